--- a/src/cli/client.rs
+++ b/src/cli/client.rs
@@ -7,7 +7,7 @@
 use http::Method;
 use http::header;
 
-use crate::exchange::Leg;
+use crate::exchange::Connection;
 use crate::exchange::Limits;
 use crate::exchange::Request;
 
@@ -37,8 +37,10 @@
     }
     let asked = async {
         let limits = Limits { connect: PATIENCE, first_byte: PATIENCE, idle: PATIENCE };
-        let leg = Leg::dial(address, PATIENCE).await.map_err(|failure| failure.to_string())?;
-        let answer = leg.ask(request, limits).await.map_err(|failure| failure.to_string())?;
+        let connection =
+            Connection::connect(address, PATIENCE).await.map_err(|failure| failure.to_string())?;
+        let answer =
+            connection.send(request, limits).await.map_err(|failure| failure.to_string())?;
         let mut response = answer.response;
         let body = response.body_text().await.map_err(|error| error.to_string())?;
         Ok(Answer { body, status: response.status })
--- a/src/demo/baseline.rs
+++ b/src/demo/baseline.rs
@@ -9,8 +9,8 @@
 use async_std::task;
 use async_std::task::JoinHandle;
 
+use crate::exchange::Connection;
 use crate::exchange::Inlet;
-use crate::exchange::Leg;
 use crate::exchange::Limits;
 use crate::exchange::Outcome;
 use crate::exchange::Outlet;
@@ -78,7 +78,8 @@
     clean_request(&mut request);
     payload.put(&mut request);
     let limits = Limits { connect: PATIENCE, first_byte: PATIENCE, idle: PATIENCE };
-    let answered = async { Leg::dial(upstream, PATIENCE).await?.ask(request, limits).await };
+    let answered =
+        async { Connection::connect(upstream, PATIENCE).await?.send(request, limits).await };
     let response = match answered.await {
         Ok(answer) => {
             let mut answer = answer;
--- a/src/exchange/answer.rs
+++ b/src/exchange/answer.rs
@@ -4,8 +4,8 @@
 use std::sync::atomic::AtomicBool;
 use std::sync::atomic::Ordering;
 
+use super::Connection;
 use super::Exact;
-use super::Leg;
 use super::Response;
 
 /// An upstream's answer: its head, and a body that is whole or still coming.
@@ -13,7 +13,7 @@
     /// Head, and body to be read.
     pub response: Response,
     pub(super) ending: Ending,
-    pub(super) leg: Leg,
+    pub(super) connection: Connection,
     pub(super) sent: bool,
 }
 
@@ -49,12 +49,13 @@
     /// Gives the connection back if it may carry another request: its exchange ended at
     /// the exact byte, and both ends mean to keep it. Any other is closed, because what
     /// is left of this answer would reach the next caller.
-    pub fn release(self) -> Option<Leg> {
-        let clean = self.is_complete() && self.ending.keep && self.sent && !self.leg.has_early();
+    pub fn release(self) -> Option<Connection> {
+        let clean =
+            self.is_complete() && self.ending.keep && self.sent && !self.connection.has_early();
         if clean {
-            return Some(self.leg);
+            return Some(self.connection);
         }
-        self.leg.close();
+        self.connection.close();
         None
     }
 }
--- a/src/exchange/leg.rs
+++ b/src/exchange/connection.rs
@@ -51,7 +51,7 @@
 
 /// An open connection to an upstream.
 #[derive(Debug)]
-pub struct Leg {
+pub struct Connection {
     born: Instant,
     idle_limit: Option<Duration>,
     /// How long it lay idle before it was taken.
@@ -60,13 +60,13 @@
     used: u32,
 }
 
-impl Leg {
+impl Connection {
     /// Opens a connection.
     ///
     /// # Errors
     ///
     /// Where nobody answers within `limit`; nothing was sent then.
-    pub async fn dial(address: SocketAddr, limit: Duration) -> Result<Self, Failure> {
+    pub async fn connect(address: SocketAddr, limit: Duration) -> Result<Self, Failure> {
         let stream = match timeout(limit, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) => return Err(Failure::Connect(error.to_string())),
@@ -122,7 +122,7 @@
     /// # Errors
     ///
     /// Where the answer does not come, is none, or is cut before it could be passed on.
-    pub async fn ask(mut self, request: Request, limits: Limits) -> Result<Answer, Failure> {
+    pub async fn send(mut self, request: Request, limits: Limits) -> Result<Answer, Failure> {
         let reused = self.used > 0 && self.rested >= RESTED;
         self.used += 1;
         let method = request.method.clone();
@@ -131,7 +131,7 @@
         self.idle_limit = head::idle_limit(&response.headers);
         let (response, ending) = self.frame(response, &method, limits).await?;
         guard.disarm();
-        Ok(Answer { ending, leg: self, response, sent })
+        Ok(Answer { ending, connection: self, response, sent })
     }
 
     /// The answer's head, and whether the request was sent whole before it came.
@@ -142,7 +142,7 @@
         reused: bool,
     ) -> Result<(Response, bool), Failure> {
         let echo = request.echoed();
-        let send = self.send(request).fuse();
+        let send = self.write_request(request).fuse();
         let receive = self.head(echo.as_ref(), limits, reused).fuse();
         pin_mut!(send, receive);
         let sent = select! {
@@ -170,7 +170,7 @@
         }
     }
 
-    async fn send(&self, request: Request) -> Result<(), SendError> {
+    async fn write_request(&self, request: Request) -> Result<(), SendError> {
         let mut bytes = request.encode();
         let chunked = request.body.len().is_none();
         match request.body {
--- a/src/exchange/pool.rs
+++ b/src/exchange/pool.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use super::Leg;
+use super::Connection;
 
 /// Longest a connection is kept at all, so that a fleet's connections move with its subsets.
 const AGE_MAX: Duration = Duration::from_secs(300);
@@ -20,7 +20,7 @@
 /// Idle connections to upstreams, the last used first.
 #[derive(Debug)]
 pub struct Pool {
-    idle: Mutex<BTreeMap<SocketAddr, Vec<(Instant, Leg)>>>,
+    idle: Mutex<BTreeMap<SocketAddr, Vec<(Instant, Connection)>>>,
     idle_max: Duration,
 }
 
@@ -41,23 +41,23 @@
 
     /// A connection that was just found open and silent, if there is one that has been
     /// idle for less than `newer`.
-    pub async fn take(&self, address: SocketAddr, newer: Duration) -> Option<Leg> {
-        while let Some((since, leg)) = self.pop(address, newer) {
-            if self.is_fresh(since, &leg) && leg.is_quiet().await {
-                return Some(leg.rested(since.elapsed()));
+    pub async fn take(&self, address: SocketAddr, newer: Duration) -> Option<Connection> {
+        while let Some((since, connection)) = self.pop(address, newer) {
+            if self.is_fresh(since, &connection) && connection.is_quiet().await {
+                return Some(connection.rested(since.elapsed()));
             }
-            leg.close();
+            connection.close();
         }
         None
     }
 
     /// Keeps a connection whose exchange ended at the exact byte.
-    pub fn put(&self, address: SocketAddr, leg: Leg) {
+    pub fn put(&self, address: SocketAddr, connection: Connection) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let legs = idle.entry(address).or_default();
-        legs.retain(|(since, leg)| self.is_fresh(*since, leg));
-        if legs.len() < IDLE_COUNT {
-            legs.push((Instant::now(), leg));
+        let connections = idle.entry(address).or_default();
+        connections.retain(|(since, connection)| self.is_fresh(*since, connection));
+        if connections.len() < IDLE_COUNT {
+            connections.push((Instant::now(), connection));
         }
     }
 
@@ -66,17 +66,17 @@
         self.idle.lock().unwrap_or_else(PoisonError::into_inner).remove(&address);
     }
 
-    fn is_fresh(&self, since: Instant, leg: &Leg) -> bool {
-        let told = leg.idle_limit().map_or(self.idle_max, |limit| limit.mul_f64(SAFE));
-        since.elapsed() < self.idle_max.min(told) && leg.born().elapsed() < AGE_MAX
+    fn is_fresh(&self, since: Instant, connection: &Connection) -> bool {
+        let told = connection.idle_limit().map_or(self.idle_max, |limit| limit.mul_f64(SAFE));
+        since.elapsed() < self.idle_max.min(told) && connection.born().elapsed() < AGE_MAX
     }
 
-    fn pop(&self, address: SocketAddr, newer: Duration) -> Option<(Instant, Leg)> {
+    fn pop(&self, address: SocketAddr, newer: Duration) -> Option<(Instant, Connection)> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let legs = idle.get_mut(&address)?;
-        if legs.last()?.0.elapsed() >= newer {
+        let connections = idle.get_mut(&address)?;
+        if connections.last()?.0.elapsed() >= newer {
             return None;
         }
-        legs.pop()
+        connections.pop()
     }
 }
--- a/src/load/caller.rs
+++ b/src/load/caller.rs
@@ -12,8 +12,8 @@
 
 use crate::directory;
 use crate::exchange;
+use crate::exchange::Connection;
 use crate::exchange::Failure;
-use crate::exchange::Leg;
 use crate::exchange::Limits;
 use crate::exchange::Pool;
 use crate::exchange::Request;
@@ -90,17 +90,19 @@
         let request = self.request(ask);
         let limits =
             Limits { connect: CONNECT, first_byte: ask.budget + GRACE, idle: ask.budget + GRACE };
-        let leg = match self.pool.take(entry, Duration::MAX).await {
-            Some(leg) => leg,
-            None => match Leg::dial(entry, CONNECT).await {
-                Ok(leg) => leg,
+        let connection = match self.pool.take(entry, Duration::MAX).await {
+            Some(connection) => connection,
+            None => match Connection::connect(entry, CONNECT).await {
+                Ok(connection) => connection,
                 Err(_) => {
                     self.client().failed(self.started.elapsed(), entry);
                     return nothing();
                 }
             },
         };
-        match timeout(ask.budget + GRACE, self.exchange(leg, entry, request, limits, ask)).await {
+        match timeout(ask.budget + GRACE, self.exchange(connection, entry, request, limits, ask))
+            .await
+        {
             Ok(heard) => heard,
             Err(_) => {
                 self.client().failed(self.started.elapsed(), entry);
@@ -111,13 +113,13 @@
 
     async fn exchange(
         &self,
-        leg: Leg,
+        connection: Connection,
         entry: SocketAddr,
         request: Request,
         limits: Limits,
         ask: &Ask<'_>,
     ) -> Heard {
-        let mut answer = match leg.ask(request, limits).await {
+        let mut answer = match connection.send(request, limits).await {
             Ok(answer) => answer,
             Err(Failure::Cut(_)) => return Heard { after: Duration::ZERO, told: Told::Cut },
             Err(_) => {
@@ -139,8 +141,8 @@
                 Ok(_) => Told::Wrong,
             },
         };
-        if let Some(leg) = answer.release() {
-            self.pool.put(entry, leg);
+        if let Some(connection) = answer.release() {
+            self.pool.put(entry, connection);
         }
         Heard { after, told }
     }
@@ -182,8 +184,8 @@
         let mut request = Request::new(Method::GET, &format!("{path}?caller={}", self.name));
         request.set_header(header::HOST, entry.to_string());
         let limits = Limits { connect: CONNECT, first_byte: CONNECT, idle: CONNECT };
-        let leg = Leg::dial(entry, CONNECT).await.ok()?;
-        let mut answer = leg.ask(request, limits).await.ok()?;
+        let connection = Connection::connect(entry, CONNECT).await.ok()?;
+        let mut answer = connection.send(request, limits).await.ok()?;
         serde_json::from_str(&answer.response.body_text().await.ok()?).ok()
     }
 
--- a/src/node/traffic/attempt.rs
+++ b/src/node/traffic/attempt.rs
@@ -5,8 +5,8 @@
 use async_std::future::timeout;
 
 use crate::exchange::Answer;
+use crate::exchange::Connection;
 use crate::exchange::Failure;
-use crate::exchange::Leg;
 use crate::exchange::Limits;
 use crate::exchange::Request;
 
@@ -46,24 +46,24 @@
     idempotent: bool,
     left: Duration,
 ) -> Result<Answer, Failure> {
-    let leg = leg(shared, address, idempotent, left).await?;
+    let connection = connection(shared, address, idempotent, left).await?;
     let first_byte = shared.settings.limits.first_byte.min(left);
     let connect = shared.settings.limits.connect;
-    leg.ask(request, Limits { connect, first_byte, idle: IDLE }).await
+    connection.send(request, Limits { connect, first_byte, idle: IDLE }).await
 }
 
 /// A connection: an idle one for what may be sent twice; for all else one that has just
 /// carried an answer, or a new one. Something on the way may have lost track of a connection
 /// that lay idle; what is sent on it then is gone, and nobody can tell whether it ran.
-async fn leg(
+async fn connection(
     shared: &Shared,
     address: SocketAddr,
     idempotent: bool,
     left: Duration,
-) -> Result<Leg, Failure> {
+) -> Result<Connection, Failure> {
     let newer = if idempotent { Duration::MAX } else { shared.settings.limits.proven };
-    if let Some(leg) = shared.pool.take(address, newer).await {
-        return Ok(leg);
+    if let Some(connection) = shared.pool.take(address, newer).await {
+        return Ok(connection);
     }
-    Leg::dial(address, shared.settings.limits.connect.min(left)).await
+    Connection::connect(address, shared.settings.limits.connect.min(left)).await
 }
--- a/src/node/traffic/relay.rs
+++ b/src/node/traffic/relay.rs
@@ -46,8 +46,8 @@
     };
     let address = tried.address();
     tried.finish(kind, job.terms.long);
-    if let Some(leg) = answer.release() {
-        shared.pool.put(address, leg);
+    if let Some(connection) = answer.release() {
+        shared.pool.put(address, connection);
     }
 }
 
--- a/src/upstream/announcer.rs
+++ b/src/upstream/announcer.rs
@@ -8,7 +8,7 @@
 use http::Method;
 use http::header;
 
-use crate::exchange::Leg;
+use crate::exchange::Connection;
 use crate::exchange::Limits;
 use crate::exchange::Request;
 use crate::registry::Announcement;
@@ -72,8 +72,9 @@
     request.body = text.into();
     let limit = Duration::from_secs(1);
     let limits = Limits { connect: limit, first_byte: limit, idle: limit };
-    let leg = Leg::dial(entry, limit).await.map_err(|failure| failure.to_string())?;
-    let answer = leg.ask(request, limits).await.map_err(|failure| failure.to_string())?;
+    let connection =
+        Connection::connect(entry, limit).await.map_err(|failure| failure.to_string())?;
+    let answer = connection.send(request, limits).await.map_err(|failure| failure.to_string())?;
     let status = answer.response.status;
     let taken = answer.response.is_success();
     answer.release();
--- a/tests/suite/exchange/script.rs
+++ b/tests/suite/exchange/script.rs
@@ -9,8 +9,8 @@
 use async_std::net::TcpStream;
 use async_std::task;
 use hemlockfield::exchange::Answer;
+use hemlockfield::exchange::Connection;
 use hemlockfield::exchange::Failure;
-use hemlockfield::exchange::Leg;
 use hemlockfield::exchange::Limits;
 use hemlockfield::exchange::Request;
 use http::Method;
@@ -79,6 +79,6 @@
 
 pub(super) async fn ask(steps: Vec<Step>) -> Result<Answer, Failure> {
     let address = peer(steps).await;
-    let leg = Leg::dial(address, LIMITS.connect).await.unwrap();
-    leg.ask(get("/hull/1"), LIMITS).await
+    let connection = Connection::connect(address, LIMITS.connect).await.unwrap();
+    connection.send(get("/hull/1"), LIMITS).await
 }
