--- a/src/demo/baseline.rs
+++ b/src/demo/baseline.rs
@@ -10,12 +10,12 @@
 use async_std::task::JoinHandle;
 
 use crate::exchange::Connection;
-use crate::exchange::Inlet;
 use crate::exchange::Limits;
 use crate::exchange::Outcome;
 use crate::exchange::Outlet;
 use crate::exchange::Payload;
 use crate::exchange::Request;
+use crate::exchange::RequestReader;
 use crate::exchange::Response;
 use crate::exchange::clean_request;
 use crate::exchange::refuse;
@@ -60,8 +60,8 @@
     upstreams: Vec<SocketAddr>,
     turn: Arc<AtomicUsize>,
 ) {
-    let mut inlet = Inlet::new(stream, peer);
-    while let Some((request, mut outlet)) = inlet.next(PATIENCE).await {
+    let mut reader = RequestReader::new(stream, peer);
+    while let Some((request, mut outlet)) = reader.next(PATIENCE).await {
         let at = turn.fetch_add(1, Ordering::Relaxed) % upstreams.len();
         pass_on(request, &mut outlet, upstreams[at]).await;
         if outlet.is_closing() {
--- a/src/exchange/inlet.rs
+++ b/src/exchange/request_reader.rs
@@ -28,13 +28,13 @@
 const IDLE: Duration = Duration::from_secs(60);
 
 /// Reads requests off one connection.
-pub struct Inlet {
+pub struct RequestReader {
     head_max: usize,
     peer: SocketAddr,
     tap: Tap,
 }
 
-impl Inlet {
+impl RequestReader {
     /// Serves an accepted connection.
     pub fn new(stream: TcpStream, peer: SocketAddr) -> Self {
         stream.set_nodelay(true).ok();
--- a/src/node/doors.rs
+++ b/src/node/doors.rs
@@ -19,12 +19,12 @@
 use crate::boundary::Order;
 use crate::catalog::Action;
 use crate::directory;
-use crate::exchange::Inlet;
 use crate::exchange::Outcome;
 use crate::exchange::Outlet;
 use crate::exchange::Payload;
 use crate::exchange::Refusal;
 use crate::exchange::Request;
+use crate::exchange::RequestReader;
 use crate::feed;
 use crate::runtime;
 use crate::wire::Verdict;
@@ -54,11 +54,11 @@
 }
 
 async fn connection(stream: TcpStream, peer: SocketAddr, inbox: Inbox, shared: Arc<Shared>) {
-    let mut inlet = Inlet::new(stream, peer);
-    while let Some((request, mut outlet)) = inlet.next(IDLE).await {
+    let mut reader = RequestReader::new(stream, peer);
+    while let Some((request, mut outlet)) = reader.next(IDLE).await {
         order(request, &mut outlet, &inbox, &shared).await;
         if outlet.is_closing() {
-            inlet.linger().await;
+            reader.linger().await;
             return;
         }
     }
--- a/src/node/traffic/listener.rs
+++ b/src/node/traffic/listener.rs
@@ -13,7 +13,7 @@
 use futures::select;
 
 use crate::exchange::Error;
-use crate::exchange::Inlet;
+use crate::exchange::RequestReader;
 use crate::runtime;
 
 use super::Shared;
@@ -51,11 +51,11 @@
 /// Serves one connection. A fault of ours in one must not take others with it.
 async fn guarded(stream: TcpStream, peer: SocketAddr, shared: Arc<Shared>) {
     let open = shared.connections.fetch_add(1, Ordering::AcqRel);
-    let inlet = Inlet::new(stream, peer);
+    let reader = RequestReader::new(stream, peer);
     let served = if open < shared.settings.limits.connections {
-        AssertUnwindSafe(connection(inlet, &shared)).catch_unwind().await
+        AssertUnwindSafe(connection(reader, &shared)).catch_unwind().await
     } else {
-        AssertUnwindSafe(too_many(inlet)).catch_unwind().await
+        AssertUnwindSafe(too_many(reader)).catch_unwind().await
     };
     if served.is_err() {
         shared.metrics.count("exchange.panicked");
@@ -64,18 +64,18 @@
     shared.connections.fetch_sub(1, Ordering::AcqRel);
 }
 
-async fn too_many(mut inlet: Inlet) {
-    inlet.reject(&Error::Connections).await;
+async fn too_many(mut reader: RequestReader) {
+    reader.reject(&Error::Connections).await;
 }
 
-async fn connection(mut inlet: Inlet, shared: &Arc<Shared>) {
+async fn connection(mut reader: RequestReader, shared: &Arc<Shared>) {
     let limits = &shared.settings.limits;
     loop {
         let told = shared.view.load().rules.as_ref().map(|rules| rules.limits());
         let told = told.unwrap_or_default();
-        inlet.set_head_max(told.head.unwrap_or(limits.head as usize));
+        reader.set_head_max(told.head.unwrap_or(limits.head as usize));
         let readable = {
-            let readable = timeout(told.idle.unwrap_or(limits.idle), inlet.readable()).fuse();
+            let readable = timeout(told.idle.unwrap_or(limits.idle), reader.readable()).fuse();
             let closing = shared.closed().fuse();
             pin_mut!(readable, closing);
             select! {
@@ -88,16 +88,16 @@
         }
         let _in_flight = InFlight::new(shared);
         let Some((request, mut outlet)) =
-            inlet.next(told.head_time.unwrap_or(limits.head_time)).await
+            reader.next(told.head_time.unwrap_or(limits.head_time)).await
         else {
             return;
         };
         if shared.closing.load(Ordering::Acquire) {
             outlet.close_after();
         }
-        serve::serve(shared, request, &mut outlet, inlet.peer()).await;
+        serve::serve(shared, request, &mut outlet, reader.peer()).await;
         if outlet.is_closing() {
-            inlet.linger().await;
+            reader.linger().await;
             return;
         }
     }
--- a/src/upstream/stand.rs
+++ b/src/upstream/stand.rs
@@ -20,9 +20,9 @@
 use rand::Rng;
 
 use crate::exchange;
-use crate::exchange::Inlet;
 use crate::exchange::Outlet;
 use crate::exchange::Request;
+use crate::exchange::RequestReader;
 use crate::exchange::Response;
 
 use super::DRAINING_HEADER;
@@ -144,10 +144,10 @@
     }
 
     async fn connection(self: Arc<Self>, stream: TcpStream, peer: SocketAddr) {
-        let mut inlet = Inlet::new(stream.clone(), peer);
-        while let Some((request, outlet)) = inlet.next(IDLE_MAX).await {
+        let mut reader = RequestReader::new(stream.clone(), peer);
+        while let Some((request, outlet)) = reader.next(IDLE_MAX).await {
             if !self.serve(request, outlet, &stream).await {
-                inlet.linger().await;
+                reader.linger().await;
                 return;
             }
         }
--- a/tests/suite/exchange/heads.rs
+++ b/tests/suite/exchange/heads.rs
@@ -6,7 +6,7 @@
 use async_std::net::TcpStream;
 use async_std::task;
 use async_std::task::block_on;
-use hemlockfield::exchange::Inlet;
+use hemlockfield::exchange::RequestReader;
 use hemlockfield::exchange::Response;
 use rstest::rstest;
 
@@ -18,8 +18,8 @@
     let address = listener.local_addr().unwrap();
     task::spawn(async move {
         let (stream, peer) = listener.accept().await.unwrap();
-        let mut inlet = Inlet::new(stream, peer);
-        while let Some((mut request, mut outlet)) = inlet.next(LIMITS.idle).await {
+        let mut reader = RequestReader::new(stream, peer);
+        while let Some((mut request, mut outlet)) = reader.next(LIMITS.idle).await {
             let mut response = Response::new(200);
             let body = std::mem::take(&mut request.body).read_all().await;
             let body =
@@ -29,7 +29,7 @@
                 break;
             }
         }
-        inlet.linger().await;
+        reader.linger().await;
     });
     let mut stream = TcpStream::connect(address).await.unwrap();
     stream.write_all(bytes).await.unwrap();
