--- a/src/demo/baseline.rs
+++ b/src/demo/baseline.rs
@@ -12,11 +12,11 @@
 use crate::exchange::Connection;
 use crate::exchange::Limits;
 use crate::exchange::Outcome;
-use crate::exchange::Outlet;
 use crate::exchange::Payload;
 use crate::exchange::Request;
 use crate::exchange::RequestReader;
 use crate::exchange::Response;
+use crate::exchange::ResponseWriter;
 use crate::exchange::clean_request;
 use crate::exchange::refuse;
 
@@ -61,18 +61,18 @@
     turn: Arc<AtomicUsize>,
 ) {
     let mut reader = RequestReader::new(stream, peer);
-    while let Some((request, mut outlet)) = reader.next(PATIENCE).await {
+    while let Some((request, mut writer)) = reader.next(PATIENCE).await {
         let at = turn.fetch_add(1, Ordering::Relaxed) % upstreams.len();
-        pass_on(request, &mut outlet, upstreams[at]).await;
-        if outlet.is_closing() {
+        pass_on(request, &mut writer, upstreams[at]).await;
+        if writer.is_closing() {
             return;
         }
     }
 }
 
-async fn pass_on(mut request: Request, outlet: &mut Outlet, upstream: SocketAddr) {
+async fn pass_on(mut request: Request, writer: &mut ResponseWriter, upstream: SocketAddr) {
     let Ok(mut payload) = Payload::take(&mut request, BODY_MAX, BODY_MAX, PATIENCE).await else {
-        outlet.close_after();
+        writer.close_after();
         return;
     };
     clean_request(&mut request);
@@ -89,5 +89,5 @@
         }
         Err(failure) => refuse(502, Outcome::Unknown, &failure.to_string(), None),
     };
-    outlet.send(response).await.ok();
+    writer.send(response).await.ok();
 }
--- a/src/exchange/connection.rs
+++ b/src/exchange/connection.rs
@@ -27,7 +27,7 @@
 use super::answer::Ending;
 use super::clean_response;
 use super::head;
-use super::outlet::chunk;
+use super::response_writer::chunk;
 
 /// Longest head of an answer, in bytes.
 const HEAD_MAX: usize = 16 * 1024;
--- a/src/exchange/request_reader.rs
+++ b/src/exchange/request_reader.rs
@@ -12,8 +12,8 @@
 use super::Error;
 use super::Exact;
 use super::Outcome;
-use super::Outlet;
 use super::Request;
+use super::ResponseWriter;
 use super::Tap;
 use super::head;
 use super::refuse;
@@ -58,7 +58,7 @@
 
     /// The next request, whose head comes within `limit`; `None` where the connection is
     /// over. A head that can't be served is answered here.
-    pub async fn next(&mut self, limit: Duration) -> Option<(Request, Outlet)> {
+    pub async fn next(&mut self, limit: Duration) -> Option<(Request, ResponseWriter)> {
         let head = timeout(limit, self.tap.head(self.head_max)).await.ok()?;
         let request = match head {
             Ok(None) => return None,
@@ -76,9 +76,9 @@
 
     /// Answers with an error and ends the connection.
     pub async fn reject(&mut self, error: &Error) {
-        let mut outlet = Outlet::new(self.tap.clone(), http::Method::GET, true);
+        let mut writer = ResponseWriter::new(self.tap.clone(), http::Method::GET, true);
         let response = refuse(error.status(), Outcome::NotRun, &error.to_string(), None);
-        outlet.send(response).await.ok();
+        writer.send(response).await.ok();
         self.linger().await;
     }
 
@@ -90,7 +90,7 @@
         self.tap.close();
     }
 
-    fn start(&self, mut request: Request) -> (Request, Outlet) {
+    fn start(&self, mut request: Request) -> (Request, ResponseWriter) {
         if let Some(framing) = head::request_framing(&request) {
             let mut exact = Exact::new(self.tap.clone(), framing, u64::MAX, IDLE);
             let expects = request.header("expect");
@@ -100,7 +100,7 @@
             request.body = Body::Stream(Box::new(exact));
         }
         let close = head::says_close(&request.headers);
-        let outlet = Outlet::new(self.tap.clone(), request.method.clone(), close);
-        (request, outlet)
+        let writer = ResponseWriter::new(self.tap.clone(), request.method.clone(), close);
+        (request, writer)
     }
 }
--- a/src/exchange/outlet.rs
+++ b/src/exchange/response_writer.rs
@@ -10,13 +10,13 @@
 use super::Tap;
 
 /// The way back to a caller.
-pub struct Outlet {
+pub struct ResponseWriter {
     close: bool,
     method: Method,
     tap: Tap,
 }
 
-impl Outlet {
+impl ResponseWriter {
     pub(super) fn new(tap: Tap, method: Method, close: bool) -> Self {
         Self { close, method, tap }
     }
--- a/src/node/doors.rs
+++ b/src/node/doors.rs
@@ -20,11 +20,11 @@
 use crate::catalog::Action;
 use crate::directory;
 use crate::exchange::Outcome;
-use crate::exchange::Outlet;
 use crate::exchange::Payload;
 use crate::exchange::Refusal;
 use crate::exchange::Request;
 use crate::exchange::RequestReader;
+use crate::exchange::ResponseWriter;
 use crate::feed;
 use crate::runtime;
 use crate::wire::Verdict;
@@ -55,38 +55,38 @@
 
 async fn connection(stream: TcpStream, peer: SocketAddr, inbox: Inbox, shared: Arc<Shared>) {
     let mut reader = RequestReader::new(stream, peer);
-    while let Some((request, mut outlet)) = reader.next(IDLE).await {
-        order(request, &mut outlet, &inbox, &shared).await;
-        if outlet.is_closing() {
+    while let Some((request, mut writer)) = reader.next(IDLE).await {
+        order(request, &mut writer, &inbox, &shared).await;
+        if writer.is_closing() {
             reader.linger().await;
             return;
         }
     }
 }
 
-async fn order(mut request: Request, outlet: &mut Outlet, inbox: &Inbox, shared: &Shared) {
+async fn order(mut request: Request, writer: &mut ResponseWriter, inbox: &Inbox, shared: &Shared) {
     let body = match Payload::take(&mut request, ORDER_MAX, ORDER_MAX, IDLE).await {
         Ok(Payload::Held(body)) => body,
         Ok(Payload::Stream(Some(mut exact), _)) => match exact.read_all().await {
             Ok(body) => body,
-            Err(error) => return refuse(400, &error.to_string(), outlet, shared).await,
+            Err(error) => return refuse(400, &error.to_string(), writer, shared).await,
         },
         Ok(_) => bytes::Bytes::new(),
-        Err(failure) => return refuse(400, &failure.to_string(), outlet, shared).await,
+        Err(failure) => return refuse(400, &failure.to_string(), writer, shared).await,
     };
     let response = match shared.boundary.order(&request, &body) {
         Ok(order) => shared.boundary.done(carry_out(order, inbox, shared).await),
         Err(refusal) => shared.boundary.refuse(&refusal),
     };
-    if let Err(error) = outlet.send(response).await {
+    if let Err(error) = writer.send(response).await {
         tracing::debug!(target: "hemlockfield::node", "who asked is gone: {error}");
     }
 }
 
-async fn refuse(status: u16, reason: &str, outlet: &mut Outlet, shared: &Shared) {
-    outlet.close_after();
+async fn refuse(status: u16, reason: &str, writer: &mut ResponseWriter, shared: &Shared) {
+    writer.close_after();
     let refusal = Refusal::new(status, Outcome::NotRun, reason);
-    if let Err(error) = outlet.send(shared.boundary.refuse(&refusal)).await {
+    if let Err(error) = writer.send(shared.boundary.refuse(&refusal)).await {
         tracing::debug!(target: "hemlockfield::node", "who asked is gone: {error}");
     }
 }
--- a/src/node/traffic/dispatch.rs
+++ b/src/node/traffic/dispatch.rs
@@ -9,8 +9,8 @@
 use crate::admission;
 use crate::admission::Arrival;
 use crate::exchange::Outcome;
-use crate::exchange::Outlet;
 use crate::exchange::Refusal;
+use crate::exchange::ResponseWriter;
 use crate::node::View;
 use crate::retry;
 
@@ -28,13 +28,18 @@
 const ABSENT: Duration = Duration::from_secs(2);
 
 /// Carries a job to its end.
-pub(super) async fn dispatch(shared: &Shared, view: &View, mut job: Job, outlet: &mut Outlet) {
+pub(super) async fn dispatch(
+    shared: &Shared,
+    view: &View,
+    mut job: Job,
+    writer: &mut ResponseWriter,
+) {
     let service = shared.service(&job.service);
     let upstreams = view.services.get(&job.service).cloned().unwrap_or_default();
     if upstreams.members.is_empty() {
         let text = format!("service `{}` has no upstream", job.service);
         job.give_back();
-        decline(shared, &job, outlet, &Refusal::not_run(503, text, ABSENT)).await;
+        decline(shared, &job, writer, &Refusal::not_run(503, text, ABSENT)).await;
         return;
     }
     service.catch_up(shared.now(), &upstreams);
@@ -42,8 +47,8 @@
         Ok(held) => held,
         Err(response) => {
             job.give_back();
-            close_upload(&job, outlet);
-            if let Err(error) = outlet.send(*response).await {
+            close_upload(&job, writer);
+            if let Err(error) = writer.send(*response).await {
                 tracing::debug!(target: "hemlockfield::exchange", "caller is gone: {error}");
             }
             return;
@@ -52,7 +57,7 @@
     let classes = view.rules.as_ref().map(|rules| rules.classes()).unwrap_or_default();
     let (turn, permit) = {
         let enter = service.queue.enter(shared, classes, arrival(&job)).fuse();
-        let gone = caller_gone(job.payload.is_stream(), outlet).fuse();
+        let gone = caller_gone(job.payload.is_stream(), writer).fuse();
         pin_mut!(enter, gone);
         select! {
             entered = enter => entered,
@@ -68,17 +73,17 @@
         held.into_iter().for_each(Held::abandon);
         shared.metrics.count("request.refused");
         let text = format!("service `{}` can't take more: {reason}", job.service);
-        return decline(shared, &job, outlet, &Refusal::not_run(503, text, after)).await;
+        return decline(shared, &job, writer, &Refusal::not_run(503, text, after)).await;
     }
     let started = shared.now();
-    let end = run(shared, &service, &upstreams, view, &mut job, outlet).await;
+    let end = run(shared, &service, &upstreams, view, &mut job, writer).await;
     shared.metrics.time("request.upstream", shared.now().saturating_sub(started));
     match end {
         End::Answer(answered) => {
             let (tried, answer) = *answered;
             permit.finish(admission::Outcome::Served);
             job.log(shared, view, "answered", answer.response.status);
-            pass_on(shared, &job, tried, answer, held, outlet).await;
+            pass_on(shared, &job, tried, answer, held, writer).await;
         }
         End::Gone { ran } => {
             permit.finish(admission::Outcome::Failed);
@@ -94,7 +99,7 @@
             permit.finish(outcome);
             held.into_iter().for_each(|held| give_up(held, !shed));
             let refusal = tell(answer, reason, status);
-            decline(shared, &job, outlet, &refusal).await;
+            decline(shared, &job, writer, &refusal).await;
         }
     }
 }
@@ -108,18 +113,18 @@
 }
 
 /// Sends an answer that is not an upstream's.
-async fn decline(shared: &Shared, job: &Job, outlet: &mut Outlet, refusal: &Refusal) {
-    close_upload(job, outlet);
+async fn decline(shared: &Shared, job: &Job, writer: &mut ResponseWriter, refusal: &Refusal) {
+    close_upload(job, writer);
     job.log(shared, &shared.view.load(), &refusal.reason, refusal.status);
-    if let Err(error) = outlet.send(shared.boundary.refuse(refusal)).await {
+    if let Err(error) = writer.send(shared.boundary.refuse(refusal)).await {
         tracing::debug!(target: "hemlockfield::exchange", "caller is gone: {error}");
     }
 }
 
 /// What is left of an upload that nobody reads ends the connection with it.
-fn close_upload(job: &Job, outlet: &mut Outlet) {
+fn close_upload(job: &Job, writer: &mut ResponseWriter) {
     if job.payload.is_stream() {
-        outlet.close_after();
+        writer.close_after();
     }
 }
 
--- a/src/node/traffic/listener.rs
+++ b/src/node/traffic/listener.rs
@@ -87,16 +87,16 @@
             return;
         }
         let _in_flight = InFlight::new(shared);
-        let Some((request, mut outlet)) =
+        let Some((request, mut writer)) =
             reader.next(told.head_time.unwrap_or(limits.head_time)).await
         else {
             return;
         };
         if shared.closing.load(Ordering::Acquire) {
-            outlet.close_after();
+            writer.close_after();
         }
-        serve::serve(shared, request, &mut outlet, reader.peer()).await;
-        if outlet.is_closing() {
+        serve::serve(shared, request, &mut writer, reader.peer()).await;
+        if writer.is_closing() {
             reader.linger().await;
             return;
         }
--- a/src/node/traffic/relay.rs
+++ b/src/node/traffic/relay.rs
@@ -3,8 +3,8 @@
 use crate::claim;
 use crate::exchange::Answer;
 use crate::exchange::Body;
-use crate::exchange::Outlet;
 use crate::exchange::Response;
+use crate::exchange::ResponseWriter;
 use crate::health;
 use crate::node::Input;
 use crate::node::probe::is_draining;
@@ -23,7 +23,7 @@
     tried: Tried<'_>,
     mut answer: Answer,
     held: Option<Held<'_>>,
-    outlet: &mut Outlet,
+    writer: &mut ResponseWriter,
 ) {
     let mut response = std::mem::replace(&mut answer.response, Response::new(200));
     shared.note_bytes(response.body.len().unwrap_or_default());
@@ -31,14 +31,14 @@
         held.end(record(&mut response).await);
     }
     if job.payload.is_stream() && answer.is_early() {
-        outlet.close_after();
+        writer.close_after();
     }
     if is_draining(&response) {
         let (service, upstream) = (job.service.clone(), tried.upstream());
         shared.tell(Input::Probed { draining: Some(true), healthy: true, service, upstream });
     }
     let failed = response.status >= 500;
-    outlet.send(response).await.ok();
+    writer.send(response).await.ok();
     let kind = match failed {
         _ if answer.is_broken() => health::Kind::Cut,
         true => health::Kind::ServerError,
--- a/src/node/traffic/serve.rs
+++ b/src/node/traffic/serve.rs
@@ -14,11 +14,11 @@
 use crate::clock::Moment;
 use crate::exchange;
 use crate::exchange::Outcome;
-use crate::exchange::Outlet;
 use crate::exchange::Payload;
 use crate::exchange::Refusal;
 use crate::exchange::Request;
 use crate::exchange::Response;
+use crate::exchange::ResponseWriter;
 use crate::exchange::clean_request;
 use crate::id::RuleId;
 use crate::id::ServiceId;
@@ -57,30 +57,30 @@
 pub(super) async fn serve(
     shared: &Shared,
     request: Request,
-    outlet: &mut Outlet,
+    writer: &mut ResponseWriter,
     peer: SocketAddr,
 ) {
     shared.metrics.count("request");
     if request.path() == DIRECTORY_PATH {
         let response = list_entries(shared, &request, peer);
-        return decline(&request, response, outlet).await;
+        return decline(&request, response, writer).await;
     }
     shared.note_arrival();
     shared.note_bytes(request.body.len().unwrap_or_default());
     let came = shared.now();
-    if !wait_for_rules(shared, &request, outlet, peer).await {
+    if !wait_for_rules(shared, &request, writer, peer).await {
         return;
     }
     let view = shared.view.load_full();
     let close = !request.body.is_empty();
     match take(shared, &view, request, peer, came).await {
-        Ok(job) => dispatch::dispatch(shared, &view, job, outlet).await,
+        Ok(job) => dispatch::dispatch(shared, &view, job, writer).await,
         Err(refusal) => {
             shared.metrics.count("request.refused");
             if close {
-                outlet.close_after();
+                writer.close_after();
             }
-            send(shared.boundary.refuse(&refusal), outlet).await;
+            send(shared.boundary.refuse(&refusal), writer).await;
         }
     }
 }
@@ -90,7 +90,7 @@
 async fn wait_for_rules(
     shared: &Shared,
     request: &Request,
-    outlet: &Outlet,
+    writer: &ResponseWriter,
     peer: SocketAddr,
 ) -> bool {
     if shared.view.load().serves() {
@@ -99,7 +99,7 @@
     let budget = shared.boundary.call(request, peer.ip()).budget.unwrap_or(BUDGET);
     let longest = Start::patience(shared.now(), budget);
     let ready = shared.wait_until_ready(longest).fuse();
-    let gone = caller_gone(!request.body.is_empty(), outlet).fuse();
+    let gone = caller_gone(!request.body.is_empty(), writer).fuse();
     pin_mut!(gone, ready);
     select! {
         () = gone => false,
@@ -108,15 +108,15 @@
 }
 
 /// Answers without a look at the body, which ends the connection where there is one.
-async fn decline(request: &Request, response: Response, outlet: &mut Outlet) {
+async fn decline(request: &Request, response: Response, writer: &mut ResponseWriter) {
     if !request.body.is_empty() {
-        outlet.close_after();
+        writer.close_after();
     }
-    send(response, outlet).await;
+    send(response, writer).await;
 }
 
-async fn send(response: Response, outlet: &mut Outlet) {
-    if let Err(error) = outlet.send(response).await {
+async fn send(response: Response, writer: &mut ResponseWriter) {
+    if let Err(error) = writer.send(response).await {
         tracing::debug!(target: "hemlockfield::exchange", "caller is gone: {error}");
     }
 }
--- a/src/node/traffic/tries.rs
+++ b/src/node/traffic/tries.rs
@@ -6,7 +6,7 @@
 use futures::select;
 
 use crate::exchange::Answer;
-use crate::exchange::Outlet;
+use crate::exchange::ResponseWriter;
 use crate::node::View;
 use crate::node::view;
 use crate::retry;
@@ -36,7 +36,7 @@
     upstreams: &view::Service,
     view: &View,
     job: &mut Job,
-    outlet: &Outlet,
+    writer: &ResponseWriter,
 ) -> End<'a> {
     let mut avoid = Vec::new();
     let mut last = None;
@@ -63,7 +63,7 @@
         let streams = job.payload.is_stream();
         let mut tried = {
             let attempt = attempt(shared, service, upstreams, job, place, &mut sends).fuse();
-            let gone = caller_gone(streams, outlet).fuse();
+            let gone = caller_gone(streams, writer).fuse();
             pin_mut!(attempt, gone);
             select! {
                 tried = attempt => tried,
@@ -123,11 +123,11 @@
 }
 
 /// A caller that still uploads shows by its upload whether it is there.
-pub(super) async fn caller_gone(streams: bool, outlet: &Outlet) {
+pub(super) async fn caller_gone(streams: bool, writer: &ResponseWriter) {
     if streams {
         futures::future::pending::<()>().await;
     }
-    outlet.caller_gone().await;
+    writer.caller_gone().await;
 }
 
 /// The last try proves nothing about those before it: told `not-run`, a caller would send
--- a/src/upstream/stand.rs
+++ b/src/upstream/stand.rs
@@ -20,10 +20,10 @@
 use rand::Rng;
 
 use crate::exchange;
-use crate::exchange::Outlet;
 use crate::exchange::Request;
 use crate::exchange::RequestReader;
 use crate::exchange::Response;
+use crate::exchange::ResponseWriter;
 
 use super::DRAINING_HEADER;
 use super::Error;
@@ -145,8 +145,8 @@
 
     async fn connection(self: Arc<Self>, stream: TcpStream, peer: SocketAddr) {
         let mut reader = RequestReader::new(stream.clone(), peer);
-        while let Some((request, outlet)) = reader.next(IDLE_MAX).await {
-            if !self.serve(request, outlet, &stream).await {
+        while let Some((request, writer)) = reader.next(IDLE_MAX).await {
+            if !self.serve(request, writer, &stream).await {
                 reader.linger().await;
                 return;
             }
@@ -154,11 +154,16 @@
     }
 
     /// Serves one request; tells whether the connection goes on.
-    async fn serve(&self, mut request: Request, mut outlet: Outlet, stream: &TcpStream) -> bool {
+    async fn serve(
+        &self,
+        mut request: Request,
+        mut writer: ResponseWriter,
+        stream: &TcpStream,
+    ) -> bool {
         let path = request.path().to_owned();
         if let Some(response) = self.own(&path, &mut request).await {
             let response = self.sign(response);
-            return outlet.send(response).await.is_ok() && !outlet.is_closing();
+            return writer.send(response).await.is_ok() && !writer.is_closing();
         }
         let gray = self.gray();
         let hit = |share: f64| rand::rng().random_bool(share);
@@ -168,7 +173,7 @@
         }
         let each = self.each(&gray);
         let Some(mut place) = self.work.enter(each, exchange::budget_of(&request)) else {
-            return outlet.send(shed()).await.is_ok() && !outlet.is_closing();
+            return writer.send(shed()).await.is_ok() && !writer.is_closing();
         };
         let Ok(upload) = std::mem::take(&mut request.body).read_all().await else {
             return false;
@@ -177,7 +182,7 @@
         let key = text(KEY_HEADER).map(Into::into);
         {
             let run = place.run(each, key).fuse();
-            let gone = outlet.caller_gone().fuse();
+            let gone = writer.caller_gone().fuse();
             pin_mut!(run, gone);
             select! {
                 () = run => (),
@@ -187,7 +192,7 @@
         if matches!(&gray, Gray::Error(share) if hit(*share)) {
             let mut response = Response::new(500);
             response.body = "failed\n".into();
-            return outlet.send(response).await.is_ok() && !outlet.is_closing();
+            return writer.send(response).await.is_ok() && !writer.is_closing();
         }
         let identity = text(IDENTITY_HEADER).unwrap_or_default();
         let size = text(SIZE_HEADER).and_then(|size| size.parse().ok()).unwrap_or(0);
@@ -202,7 +207,7 @@
         response.set_header(HeaderName::from_static("x-upstream"), &self.setup.name);
         let mut response = self.sign(response);
         response.body = body.into();
-        outlet.send(response).await.is_ok() && !outlet.is_closing()
+        writer.send(response).await.is_ok() && !writer.is_closing()
     }
 
     /// Says on an answer whether the stand-in is leaving.
--- a/tests/suite/exchange/heads.rs
+++ b/tests/suite/exchange/heads.rs
@@ -19,13 +19,13 @@
     task::spawn(async move {
         let (stream, peer) = listener.accept().await.unwrap();
         let mut reader = RequestReader::new(stream, peer);
-        while let Some((mut request, mut outlet)) = reader.next(LIMITS.idle).await {
+        while let Some((mut request, mut writer)) = reader.next(LIMITS.idle).await {
             let mut response = Response::new(200);
             let body = std::mem::take(&mut request.body).read_all().await;
             let body =
                 body.map_or("broken".into(), |body| String::from_utf8_lossy(&body).into_owned());
             response.body = format!("{} {body}", request.path()).into();
-            if outlet.send(response).await.is_err() || outlet.is_closing() {
+            if writer.send(response).await.is_err() || writer.is_closing() {
                 break;
             }
         }
