--- a/src/exchange/body.rs
+++ b/src/exchange/body.rs
@@ -12,7 +12,7 @@
     #[default]
     Empty,
     /// Received whole.
-    Held(Bytes),
+    Buffered(Bytes),
     /// To be read from a connection as it comes.
     Stream(Box<Exact>),
 }
@@ -22,7 +22,7 @@
     pub fn len(&self) -> Option<u64> {
         match self {
             Self::Empty => Some(0),
-            Self::Held(bytes) => Some(bytes.len() as u64),
+            Self::Buffered(bytes) => Some(bytes.len() as u64),
             Self::Stream(exact) => exact.declared(),
         }
     }
@@ -40,7 +40,7 @@
     pub async fn read_all(self) -> Result<Bytes, BodyError> {
         match self {
             Self::Empty => Ok(Bytes::new()),
-            Self::Held(bytes) => Ok(bytes),
+            Self::Buffered(bytes) => Ok(bytes),
             Self::Stream(mut exact) => exact.read_all().await,
         }
     }
@@ -48,7 +48,7 @@
 
 impl From<Vec<u8>> for Body {
     fn from(bytes: Vec<u8>) -> Self {
-        Self::Held(bytes.into())
+        Self::Buffered(bytes.into())
     }
 }
 
--- a/src/exchange/connection.rs
+++ b/src/exchange/connection.rs
@@ -175,7 +175,7 @@
         let chunked = request.body.len().is_none();
         match request.body {
             Body::Empty => (),
-            Body::Held(body) => bytes.extend_from_slice(&body),
+            Body::Buffered(body) => bytes.extend_from_slice(&body),
             Body::Stream(mut exact) => {
                 self.tap.write(&bytes).await?;
                 while let Some(piece) = exact.next().await? {
@@ -239,7 +239,8 @@
         match framing {
             Framing::Length(length) if length <= HELD_MAX => {
                 let body = exact.read_all().await;
-                response.body = Body::Held(body.map_err(|error| Failure::Cut(error.to_string()))?);
+                response.body =
+                    Body::Buffered(body.map_err(|error| Failure::Cut(error.to_string()))?);
             }
             Framing::Close => response.body = self.until_close(exact).await?,
             Framing::Chunked | Framing::Length(_) => {
--- a/src/exchange/payload.rs
+++ b/src/exchange/payload.rs
@@ -12,7 +12,7 @@
     /// No body.
     Empty,
     /// Received whole.
-    Held(bytes::Bytes),
+    Buffered(bytes::Bytes),
     /// To be passed on as it comes, once.
     Stream(Option<Box<Exact>>, Option<u64>),
 }
@@ -34,7 +34,7 @@
     ) -> Result<Self, Failure> {
         match std::mem::take(&mut request.body) {
             Body::Empty => Ok(Self::Empty),
-            Body::Held(bytes) => Ok(Self::Held(bytes)),
+            Body::Buffered(bytes) => Ok(Self::Buffered(bytes)),
             Body::Stream(mut exact) => {
                 exact.set_limits(limit, idle);
                 let declared = exact.declared();
@@ -42,7 +42,7 @@
                     return Ok(Self::Stream(Some(exact), declared));
                 }
                 let bytes = exact.read_all().await;
-                Ok(Self::Held(bytes.map_err(|error| Failure::Upload(error.to_string()))?))
+                Ok(Self::Buffered(bytes.map_err(|error| Failure::Upload(error.to_string()))?))
             }
         }
     }
@@ -61,7 +61,7 @@
     pub fn len(&self) -> Option<u64> {
         match self {
             Self::Empty => Some(0),
-            Self::Held(bytes) => Some(bytes.len() as u64),
+            Self::Buffered(bytes) => Some(bytes.len() as u64),
             Self::Stream(_, length) => *length,
         }
     }
@@ -75,7 +75,7 @@
     pub fn put(&mut self, request: &mut Request) {
         request.body = match self {
             Self::Empty => Body::Empty,
-            Self::Held(bytes) => Body::Held(bytes.clone()),
+            Self::Buffered(bytes) => Body::Buffered(bytes.clone()),
             Self::Stream(exact, _) => exact.take().map_or(Body::Empty, Body::Stream),
         };
     }
--- a/src/exchange/response_writer.rs
+++ b/src/exchange/response_writer.rs
@@ -59,7 +59,7 @@
         let mut bytes = response.encode(wants_body);
         let chunked = response.body.len().is_none();
         match response.body {
-            Body::Held(body) if wants_body => bytes.extend_from_slice(&body),
+            Body::Buffered(body) if wants_body => bytes.extend_from_slice(&body),
             Body::Stream(mut exact) if wants_body => {
                 self.tap.write(&bytes).await?;
                 while let Some(piece) = exact.next().await.map_err(io::Error::other)? {
@@ -71,7 +71,7 @@
                 }
                 bytes = if chunked { b"0\r\n\r\n".to_vec() } else { Vec::new() };
             }
-            Body::Empty | Body::Held(_) | Body::Stream(_) => (),
+            Body::Empty | Body::Buffered(_) | Body::Stream(_) => (),
         }
         self.tap.write(&bytes).await
     }
--- a/src/node/traffic/job.rs
+++ b/src/node/traffic/job.rs
@@ -128,7 +128,7 @@
         hash.update(self.method.as_str().as_bytes());
         hash.update(self.headers.get(http::header::HOST).map_or(&[], |host| host.as_bytes()));
         hash.update(self.target.as_bytes());
-        if let Payload::Held(bytes) = &self.payload {
+        if let Payload::Buffered(bytes) = &self.payload {
             hash.update(bytes);
         }
         hash.update(&self.payload.len().unwrap_or_default().to_le_bytes());
--- a/src/node/traffic/relay.rs
+++ b/src/node/traffic/relay.rs
@@ -59,7 +59,7 @@
     }
     match std::mem::take(&mut response.body).read_all().await {
         Ok(bytes) => {
-            response.body = Body::Held(bytes.clone());
+            response.body = Body::Buffered(bytes.clone());
             claims::keep(response, Some(&bytes))
         }
         Err(error) => {
