--- a/src/boundary/own.rs
+++ b/src/boundary/own.rs
@@ -25,7 +25,7 @@
 const KEY_HEADER: HeaderName = HeaderName::from_static("x-api-key");
 /// Tells an upstream the team that the key proved; what a caller says under it is dropped.
 const TEAM_HEADER: HeaderName = HeaderName::from_static("x-team");
-const BUDGET_HEADER: HeaderName = HeaderName::from_static(exchange::BUDGET_HEADER);
+const TIMEOUT_HEADER: HeaderName = HeaderName::from_static(exchange::TIMEOUT_HEADER);
 
 /// The product's own interface: `x-` headers, rules in YAML, operators under `/v1`.
 #[derive(Clone, Copy, Debug, Default)]
@@ -35,16 +35,16 @@
     fn call(&self, request: &Request, peer: IpAddr) -> Call {
         let named = request.header(exchange::CALLER_HEADER);
         Call {
-            budget: exchange::budget_of(request),
+            budget: exchange::request_timeout(request),
             caller: named.map_or_else(|| peer.to_compact_string(), Into::into),
             id: None,
-            key: exchange::single(request, &KEY_HEADER).map(|key| Secret::new(&key)),
+            key: exchange::joined_value(request, &KEY_HEADER).map(|key| Secret::new(&key)),
         }
     }
 
     fn address(&self, request: &mut Request, sending: &Sending<'_>) {
         request.set_header(REQUEST_HEADER, sending.id);
-        request.set_header(BUDGET_HEADER, sending.left.as_millis().to_string());
+        request.set_header(TIMEOUT_HEADER, sending.left.as_millis().to_string());
         request.headers.remove(KEY_HEADER);
         request.headers.remove(TEAM_HEADER);
         if let Some(team) = sending.team {
--- a/src/exchange/head.rs
+++ b/src/exchange/head.rs
@@ -17,7 +17,7 @@
 
 /// Header with the milliseconds that a caller is prepared to wait, and that an upstream
 /// has for its answer.
-pub const BUDGET_HEADER: &str = "x-request-timeout-ms";
+pub const TIMEOUT_HEADER: &str = "x-request-timeout-ms";
 /// Header with the caller's name.
 pub const CALLER_HEADER: &str = "x-caller";
 
@@ -94,8 +94,8 @@
 }
 
 /// How long the caller is prepared to wait, where it says so.
-pub fn budget_of(request: &Request) -> Option<Duration> {
-    request.header(BUDGET_HEADER)?.parse().ok().map(Duration::from_millis)
+pub fn request_timeout(request: &Request) -> Option<Duration> {
+    request.header(TIMEOUT_HEADER)?.parse().ok().map(Duration::from_millis)
 }
 
 /// How a request's body ends; `None` where it has none.
@@ -185,7 +185,7 @@
 
 /// The value of a header that may come once; values that came apart are told as one list, which
 /// is then no value that anybody knows.
-pub fn single(request: &Request, name: &HeaderName) -> Option<CompactString> {
+pub fn joined_value(request: &Request, name: &HeaderName) -> Option<CompactString> {
     let mut values = request.headers.get_all(name).iter();
     let first = String::from_utf8_lossy(values.next()?.as_bytes()).into_owned();
     let all =
--- a/src/load/caller.rs
+++ b/src/load/caller.rs
@@ -154,7 +154,7 @@
         let name = HeaderName::from_static;
         request.set_header(header::HOST, &ask.kind.host);
         request.set_header(name(exchange::CALLER_HEADER), &self.name);
-        request.set_header(name(exchange::BUDGET_HEADER), budget);
+        request.set_header(name(exchange::TIMEOUT_HEADER), budget);
         request.set_header(name(upstream::IDENTITY_HEADER), &ask.identity);
         request.set_header(name(upstream::SIZE_HEADER), size);
         if ask.kind.keyed {
--- a/src/upstream/stand.rs
+++ b/src/upstream/stand.rs
@@ -172,7 +172,7 @@
             return false;
         }
         let each = self.each(&gray);
-        let Some(mut place) = self.work.enter(each, exchange::budget_of(&request)) else {
+        let Some(mut place) = self.work.enter(each, exchange::request_timeout(&request)) else {
             return writer.send(shed()).await.is_ok() && !writer.is_closing();
         };
         let Ok(upload) = std::mem::take(&mut request.body).read_all().await else {
