--- a/src/exchange/failure.rs
+++ b/src/exchange/failure.rs
@@ -42,7 +42,7 @@
     }
 
     /// Whether it says anything about the upstream.
-    pub fn is_upstreams(&self) -> bool {
+    pub fn is_upstream_fault(&self) -> bool {
         !matches!(self, Self::CallerGone | Self::Closed { reused: true } | Self::Upload(_))
     }
 }
--- a/src/exchange/payload.rs
+++ b/src/exchange/payload.rs
@@ -48,7 +48,7 @@
     }
 
     /// Whether it can be sent, perhaps again.
-    pub fn is_repeatable(&self) -> bool {
+    pub fn is_available(&self) -> bool {
         !matches!(self, Self::Stream(None, _))
     }
 
--- a/src/node/traffic/job.rs
+++ b/src/node/traffic/job.rs
@@ -84,7 +84,7 @@
 
     /// Whether it can show if an upstream is well: it can be sent again elsewhere.
     pub(super) fn may_try(&self) -> bool {
-        self.is_idempotent() && self.terms.attempts > 1 && self.payload.is_repeatable()
+        self.is_idempotent() && self.terms.attempts > 1 && self.payload.is_available()
     }
 
     /// Writes the request's line in the log: what was decided by which rule of which
--- a/src/node/traffic/tried.rs
+++ b/src/node/traffic/tried.rs
@@ -111,7 +111,7 @@
     pub(super) fn end(self, outcome: retry::Outcome, long: bool) {
         let latency = self.attempt.latency;
         let kind = match (outcome, &self.attempt.answered) {
-            (_, Err(failure)) if !failure.is_upstreams() => return,
+            (_, Err(failure)) if !failure.is_upstream_fault() => return,
             // Whoever answers there is not the upstream that was meant: that one is gone.
             _ if self.misdirected => health::Kind::ConnectFailed,
             (retry::Outcome::ConnectFailed, _) => health::Kind::ConnectFailed,
--- a/src/node/traffic/tries.rs
+++ b/src/node/traffic/tries.rs
@@ -81,7 +81,7 @@
             });
         };
         let attempt = retry::Attempt {
-            body_kept: job.payload.is_repeatable(),
+            body_kept: job.payload.is_available(),
             head_sent: false,
             idempotent: job.is_idempotent() && job.terms.retry,
             limit: job.terms.attempts,
--- a/tests/suite/exchange/upstreams.rs
+++ b/tests/suite/exchange/upstreams.rs
@@ -118,7 +118,7 @@
     block_on(async {
         let failure = ask(steps).await.map(drop).unwrap_err();
         assert!(!failure.is_not_run(), "{failure}");
-        assert!(failure.is_upstreams(), "{failure}");
+        assert!(failure.is_upstream_fault(), "{failure}");
     });
 }
 
