--- a/src/bench/rule.rs
+++ b/src/bench/rule.rs
@@ -10,7 +10,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::rule::Calm;
+use crate::rule::AllHealthy;
 use crate::rule::Error;
 use crate::rule::Request;
 use crate::rule::Rule;
@@ -59,8 +59,8 @@
     let parse = started.elapsed();
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let samples: Vec<Sample> = (0..REQUESTS).map(|_| sample(shape, &mut rng)).collect();
-    let index = times(&samples, |request| rules.decide(request, &Calm));
-    let scan = times(&samples[..SCANNED], |request| rules.scan(request, &Calm));
+    let index = times(&samples, |request| rules.decide(request, &AllHealthy));
+    let scan = times(&samples[..SCANNED], |request| rules.scan(request, &AllHealthy));
     let cells = [parse, at(&index, 50), at(&index, 99), at(&scan, 50), at(&scan, 99)];
     let cells: Vec<String> = cells.iter().map(|time| format!("{time:<10.1?}")).collect();
     Ok(format!("{:<7} {}", format!("{shape:?}"), cells.join(" ")))
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -153,7 +153,7 @@
         path: path.split('?').next().unwrap_or_default(),
         team: options.team.as_ref(),
     };
-    Ok(rules.explain(&request, &rule::Calm).to_string())
+    Ok(rules.explain(&request, &rule::AllHealthy).to_string())
 }
 
 fn headers(list: &[String]) -> Result<Vec<(String, String)>, String> {
--- a/src/node/view.rs
+++ b/src/node/view.rs
@@ -132,7 +132,7 @@
     }
 }
 
-impl rule::State for View {
+impl rule::StateSource for View {
     fn state(&self, service: &str) -> ServiceState {
         self.services.get(service).map_or(ServiceState::Down, |service| service.state)
     }
--- a/src/rule/condition.rs
+++ b/src/rule/condition.rs
@@ -1,11 +1,11 @@
 use compact_str::CompactString;
 
+use super::Criterion;
 use super::Host;
-use super::Part;
 use super::Path;
 use super::Request;
 use super::ServiceState;
-use super::State;
+use super::StateSource;
 use crate::id::CallerId;
 use crate::id::ServiceId;
 use crate::id::TeamId;
@@ -45,48 +45,48 @@
         &self,
         request: &Request,
         team: Option<&TeamId>,
-        state: &dyn State,
-    ) -> Option<Part> {
+        state: &dyn StateSource,
+    ) -> Option<Criterion> {
         let among = |list: &[CompactString], item: &str| {
             list.is_empty() || list.iter().any(|entry| entry == item)
         };
         if !self.hosts.is_empty() && !self.hosts.iter().any(|host| host.matches(request.host)) {
-            return Some(Part::Host);
+            return Some(Criterion::Host);
         }
         if !self.paths.is_empty() && !self.paths.iter().any(|path| path.matches(request.path)) {
-            return Some(Part::Path);
+            return Some(Criterion::Path);
         }
         if !among(&self.methods, request.method) {
-            return Some(Part::Method);
+            return Some(Criterion::Method);
         }
         if !among(&self.callers, request.caller) {
-            return Some(Part::Caller);
+            return Some(Criterion::Caller);
         }
         if !self.teams.is_empty() && !team.is_some_and(|team| self.teams.contains(team)) {
-            return Some(Part::Team);
+            return Some(Criterion::Team);
         }
         if !self.headers.iter().all(|(name, value)| header(request, name, value.as_deref())) {
-            return Some(Part::Header);
+            return Some(Criterion::Header);
         }
         let holds = |(service, states): &(ServiceId, Vec<ServiceState>)| {
             states.contains(&state.state(service))
         };
         if !self.states.iter().all(holds) {
-            return Some(Part::ServiceState);
+            return Some(Criterion::ServiceState);
         }
         None
     }
 
-    /// What `part` wants, for a person.
-    pub fn wanted(&self, part: Part) -> String {
-        let words: Vec<String> = match part {
-            Part::Caller => self.callers.iter().map(ToString::to_string).collect(),
-            Part::Header => self.headers.iter().map(show_header).collect(),
-            Part::Host => self.hosts.iter().map(Scalar::show).collect(),
-            Part::Method => self.methods.iter().map(ToString::to_string).collect(),
-            Part::Path => self.paths.iter().map(Scalar::show).collect(),
-            Part::ServiceState => self.states.iter().map(show_state).collect(),
-            Part::Team => self.teams.iter().map(ToString::to_string).collect(),
+    /// What `criterion` wants, for a person.
+    pub fn wanted(&self, criterion: Criterion) -> String {
+        let words: Vec<String> = match criterion {
+            Criterion::Caller => self.callers.iter().map(ToString::to_string).collect(),
+            Criterion::Header => self.headers.iter().map(show_header).collect(),
+            Criterion::Host => self.hosts.iter().map(Scalar::show).collect(),
+            Criterion::Method => self.methods.iter().map(ToString::to_string).collect(),
+            Criterion::Path => self.paths.iter().map(Scalar::show).collect(),
+            Criterion::ServiceState => self.states.iter().map(show_state).collect(),
+            Criterion::Team => self.teams.iter().map(ToString::to_string).collect(),
         };
         format!("`{}`", words.join("`, `"))
     }
--- a/src/rule/part.rs
+++ b/src/rule/criterion.rs
@@ -1,8 +1,8 @@
 use std::fmt;
 
-/// Part of a condition, as an explanation names it.
+/// One criterion of a condition, as an explanation names it.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum Part {
+pub enum Criterion {
     /// Who sent the request.
     Caller,
     /// A header's presence or value.
@@ -19,7 +19,7 @@
     Team,
 }
 
-impl fmt::Display for Part {
+impl fmt::Display for Criterion {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         formatter.write_str(match self {
             Self::Caller => "caller",
--- a/src/rule/explanation.rs
+++ b/src/rule/explanation.rs
@@ -1,17 +1,17 @@
 use std::fmt;
 
 use super::Action;
-use super::Part;
+use super::Criterion;
 use super::Request;
 use super::Rule;
-use super::State;
+use super::StateSource;
 use crate::id::TeamId;
 
 /// A rule that did not hold.
 #[derive(Clone, Debug)]
-pub struct Passed<'a> {
-    /// The part that failed.
-    pub part: Part,
+pub struct Skipped<'a> {
+    /// The criterion that failed.
+    pub criterion: Criterion,
     /// The rule.
     pub rule: &'a Rule,
 }
@@ -22,11 +22,11 @@
     /// The rule that decides; `None` when no rule holds.
     pub decides: Option<&'a Rule>,
     /// How many earlier rules are for another host or path.
-    pub elsewhere: usize,
+    pub skipped_by_location: usize,
     /// Whether it is refused for want of an API key.
     pub needs_key: bool,
-    /// Earlier rules for this host and path, with the part that failed.
-    pub passed: Vec<Passed<'a>>,
+    /// Earlier rules for this host and path, with the criterion that failed.
+    pub skipped: Vec<Skipped<'a>>,
     /// Team of the caller.
     pub team: Option<TeamId>,
 }
@@ -36,14 +36,14 @@
         rules: &'a [Rule],
         request: &Request,
         team: Option<&TeamId>,
-        state: &dyn State,
+        state: &dyn StateSource,
     ) -> Self {
         let team_name = team.cloned();
         let mut found = Self {
             decides: None,
-            elsewhere: 0,
+            skipped_by_location: 0,
             needs_key: false,
-            passed: Vec::new(),
+            skipped: Vec::new(),
             team: team_name,
         };
         for rule in rules {
@@ -52,8 +52,8 @@
                     found.decides = Some(rule);
                     break;
                 }
-                Some(Part::Host | Part::Path) => found.elsewhere += 1,
-                Some(part) => found.passed.push(Passed { part, rule }),
+                Some(Criterion::Host | Criterion::Path) => found.skipped_by_location += 1,
+                Some(criterion) => found.skipped.push(Skipped { criterion, rule }),
             }
         }
         found
@@ -65,13 +65,17 @@
         if let Some(team) = &self.team {
             writeln!(formatter, "caller is in team `{team}`")?;
         }
-        if self.elsewhere > 0 {
-            writeln!(formatter, "{} earlier rules are for another host or path", self.elsewhere)?;
+        if self.skipped_by_location > 0 {
+            writeln!(
+                formatter,
+                "{} earlier rules are for another host or path",
+                self.skipped_by_location
+            )?;
         }
-        for Passed { part, rule } in &self.passed {
-            let wanted = rule.when.wanted(*part);
+        for Skipped { criterion, rule } in &self.skipped {
+            let wanted = rule.when.wanted(*criterion);
             let place = format!("line {}: `{}`", rule.line, rule.name);
-            writeln!(formatter, "{place} passed over: `{part}` fails, it wants {wanted}")?;
+            writeln!(formatter, "{place} passed over: `{criterion}` fails, it wants {wanted}")?;
         }
         if self.needs_key {
             let text = "teams have API keys; without a known one the request is refused with 401";
--- a/src/rule/rules.rs
+++ b/src/rule/rules.rs
@@ -10,7 +10,7 @@
 use super::Request;
 use super::Rule;
 use super::Service;
-use super::State;
+use super::StateSource;
 use super::teams;
 use crate::id::ClassId;
 use crate::id::ServiceId;
@@ -76,7 +76,7 @@
     }
 
     /// First rule that holds for `request`.
-    pub fn decide(&self, request: &Request, state: &dyn State) -> Option<&Rule> {
+    pub fn decide(&self, request: &Request, state: &dyn StateSource) -> Option<&Rule> {
         let team = self.team_of(request);
         let mut candidates = self.index.candidates(request, team);
         let holds = |rule: &&Rule| rule.when.failing(request, team, state).is_none();
@@ -84,7 +84,7 @@
     }
 
     /// Which rule decides, and why those before it did not.
-    pub fn explain(&self, request: &Request, state: &dyn State) -> Explanation<'_> {
+    pub fn explain(&self, request: &Request, state: &dyn StateSource) -> Explanation<'_> {
         let found = Explanation::new(&self.rules, request, self.team_of(request), state);
         let needs_key = request.team.is_none() && self.needs_key(found.decides);
         Explanation { needs_key, ..found }
@@ -106,7 +106,7 @@
 
     /// First rule that holds, found by trying one after the other: what
     /// [`Self::decide`] must give, and the baseline that it is measured against.
-    pub fn scan(&self, request: &Request, state: &dyn State) -> Option<&Rule> {
+    pub fn scan(&self, request: &Request, state: &dyn StateSource) -> Option<&Rule> {
         let team = self.team_of(request);
         self.rules.iter().find(|rule| rule.when.failing(request, team, state).is_none())
     }
--- a/src/rule/state.rs
+++ b/src/rule/state.rs
@@ -39,16 +39,16 @@
 }
 
 /// What rules may ask about the services.
-pub trait State {
+pub trait StateSource {
     /// State of `service` as this entry sees it.
     fn state(&self, service: &str) -> ServiceState;
 }
 
 /// A state in which every service is healthy.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Calm;
+pub struct AllHealthy;
 
-impl State for Calm {
+impl StateSource for AllHealthy {
     fn state(&self, _: &str) -> ServiceState {
         ServiceState::Healthy
     }
--- a/src/rule/terms.rs
+++ b/src/rule/terms.rs
@@ -9,7 +9,7 @@
 use crate::settings::Tree;
 
 /// Default for `attempts`: what the retry policy allows by itself.
-pub const ATTEMPTS: u32 = 4;
+pub const DEFAULT_ATTEMPTS: u32 = 4;
 /// Default for `body`: forms and findings, not files.
 const BODY: Size = Size(1024 * 1024);
 /// Default for `deadline`: a surveyor who waited 10 s asks again anyhow.
@@ -73,7 +73,7 @@
         let least = Duration::from_millis(1);
         let terms = Self {
             aim: fields.tree("aim").map(|_| fields.ranged("aim", DEADLINE, &least, &LONGEST)),
-            attempts: fields.ranged("attempts", ATTEMPTS as usize, &1, &10) as u32,
+            attempts: fields.ranged("attempts", DEFAULT_ATTEMPTS as usize, &1, &10) as u32,
             body: fields.ranged("body", BODY, &Size(0), &LARGEST).0,
             class: fields.or("class", class.clone()),
             deadline: fields.ranged("deadline", DEADLINE, &least, &LONGEST),
--- a/tests/suite/rule.rs
+++ b/tests/suite/rule.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 
 use hemlockfield::rule::Action;
-use hemlockfield::rule::Calm;
-use hemlockfield::rule::Part;
+use hemlockfield::rule::AllHealthy;
+use hemlockfield::rule::Criterion;
 use hemlockfield::rule::Request;
 use hemlockfield::rule::Rules;
 use hemlockfield::rule::ServiceState;
-use hemlockfield::rule::State;
+use hemlockfield::rule::StateSource;
 use proptest::prelude::Just;
 use proptest::prelude::Strategy;
 use proptest::prop_assert_eq;
@@ -24,7 +24,7 @@
 /// Every service in the same state.
 struct All(ServiceState);
 
-impl State for All {
+impl StateSource for All {
     fn state(&self, _: &str) -> ServiceState {
         self.0
     }
@@ -50,7 +50,7 @@
 ) {
     let rules = Rules::parse(DONAUWERFT).expect("sound");
     let request = request(method, "survey.donauwerft.example", path, caller);
-    let found = rules.decide(&request, &Calm).map(|rule| rule.name.as_str());
+    let found = rules.decide(&request, &AllHealthy).map(|rule| rule.name.as_str());
     assert_eq!(found, expected);
 }
 
@@ -119,15 +119,19 @@
 }
 
 #[test]
-fn explain_passed() {
+fn explain_skipped() {
     let rules = Rules::parse(DONAUWERFT).expect("sound");
     let request = request("GET", "survey.donauwerft.example", "/certificates/1", "auditor-wolf");
-    let found = rules.explain(&request, &Calm);
-    let passed: Vec<(&str, Part)> =
-        found.passed.iter().map(|passed| (passed.rule.name.as_str(), passed.part)).collect();
+    let found = rules.explain(&request, &AllHealthy);
+    let skipped: Vec<(&str, Criterion)> = found
+        .skipped
+        .iter()
+        .map(|skipped| (skipped.rule.name.as_str(), skipped.criterion))
+        .collect();
     assert_eq!(found.decides.expect("sound").name, "certificate-lookup");
-    let expected = [("auditors-read-only", Part::Method), ("certificate-issue", Part::Method)];
-    assert_eq!(passed, expected);
+    let expected =
+        [("auditors-read-only", Criterion::Method), ("certificate-issue", Criterion::Method)];
+    assert_eq!(skipped, expected);
     let text = found.to_string();
     let wanted =
         "`auditors-read-only` passed over: `method` fails, it wants `POST`, `PUT`, `DELETE`";
@@ -262,5 +266,5 @@
     let rules = Rules::parse(&text).expect("sound");
     let team = team.map(Into::into);
     let request = Request { team: team.as_ref(), ..request("GET", "a", path, "") };
-    assert_eq!(rules.explain(&request, &Calm).needs_key, needs);
+    assert_eq!(rules.explain(&request, &AllHealthy).needs_key, needs);
 }
