--- a/src/exchange.rs
+++ b/src/exchange.rs
@@ -1,16 +1,16 @@
-//! One request from caller to upstream and back, whole or visibly failed.
+//! One HTTP/1.1 request and its response, delivered complete or as a visible failure.
 //!
-//! Heads are read by a library; where a message ends, and what belongs to it, is decided
-//! here: a [`Tap`] keeps the bytes behind a message for the next one, and an [`Exact`]
-//! reader ends at the exact byte or with an error. A connection carries one exchange at a
-//! time and is used again only if the last one ended cleanly at both ends.
+//! `httparse` parses the heads. Message boundaries are decided here: a [`Socket`] keeps the
+//! bytes that follow a message for the next one, and a [`BodyReader`] ends at the last byte of
+//! the body or with an error. A connection carries one request at a time and is reused only if
+//! the previous response ended cleanly and both sides keep the connection open.
 
 mod answer;
 mod body;
 mod body_error;
+mod body_reader;
 mod connection;
 mod error;
-mod exact;
 mod failure;
 mod head;
 mod payload;
@@ -20,16 +20,16 @@
 mod request_reader;
 mod response;
 mod response_writer;
-mod tap;
+mod socket;
 
 pub use answer::Answer;
 pub use body::Body;
 pub use body_error::BodyError;
+pub use body_reader::BodyReader;
+pub use body_reader::Framing;
 pub use connection::Connection;
 pub use connection::Timeouts;
 pub use error::Error;
-pub use exact::Exact;
-pub use exact::Framing;
 pub use failure::Failure;
 pub use head::CALLER_HEADER;
 pub use head::TIMEOUT_HEADER;
@@ -46,8 +46,8 @@
 pub use refusal::Refusal;
 pub use refusal::refuse;
 pub use request::Request;
-pub use request_reader::HEAD_MAX;
+pub use request_reader::DEFAULT_MAX_HEAD_BYTES;
 pub use request_reader::RequestReader;
 pub use response::Response;
 pub use response_writer::ResponseWriter;
-pub use tap::Tap;
+pub use socket::Socket;
--- a/src/exchange/answer.rs
+++ b/src/exchange/answer.rs
@@ -1,58 +1,61 @@
-//! An upstream's answer, and the connection that it came on.
+//! An upstream's answer and the connection that it arrived on.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
 use std::sync::atomic::Ordering;
 
+use super::BodyReader;
 use super::Connection;
-use super::Exact;
 use super::Response;
 
-/// An upstream's answer: its head, and a body that is whole or still coming.
+/// An upstream's answer: its head, and a body that is buffered or still being received.
 pub struct Answer {
-    /// Head, and body to be read.
+    /// Head and body; the body may still have to be read.
     pub response: Response,
-    pub(super) ending: Ending,
+    pub(super) completion: Completion,
     pub(super) connection: Connection,
     pub(super) sent: bool,
 }
 
-/// How an answer's body came to its end.
-pub(super) struct Ending {
+/// How far the body has been read, shared with its reader, and whether the upstream keeps the
+/// connection open afterwards.
+pub(super) struct Completion {
     broken: Arc<AtomicBool>,
     complete: Arc<AtomicBool>,
-    keep: bool,
+    keep_alive: bool,
 }
 
-impl Ending {
-    pub(super) fn new(exact: &Exact, keep: bool) -> Self {
-        Self { broken: exact.broken(), complete: exact.complete(), keep }
+impl Completion {
+    pub(super) fn new(reader: &BodyReader, keep_alive: bool) -> Self {
+        Self { broken: reader.broken(), complete: reader.complete(), keep_alive }
     }
 }
 
 impl Answer {
-    /// Whether the body broke off at the upstream's end.
+    /// Whether reading the body from the upstream has failed.
     pub fn is_broken(&self) -> bool {
-        self.ending.broken.load(Ordering::Acquire)
+        self.completion.broken.load(Ordering::Acquire)
     }
 
-    /// Whether it came before the whole request was sent.
+    /// Whether it arrived before the whole request was sent.
     pub fn is_early(&self) -> bool {
         !self.sent
     }
 
-    /// Whether the body has been read to its exact end.
+    /// Whether the body has been read to its end.
     pub fn is_complete(&self) -> bool {
-        self.ending.complete.load(Ordering::Acquire)
+        self.completion.complete.load(Ordering::Acquire)
     }
 
-    /// Gives the connection back if it may carry another request: its exchange ended at
-    /// the exact byte, and both ends mean to keep it. Any other is closed, because what
-    /// is left of this answer would reach the next caller.
+    /// Returns the connection if it can carry another request: the request was sent and the
+    /// answer read completely, nothing more has arrived, and the upstream keeps the connection
+    /// open. Otherwise closes it, because the rest of this answer would reach the next caller.
     pub fn release(self) -> Option<Connection> {
-        let clean =
-            self.is_complete() && self.ending.keep && self.sent && !self.connection.has_early();
-        if clean {
+        let is_reusable = self.is_complete()
+            && self.completion.keep_alive
+            && self.sent
+            && !self.connection.has_buffered();
+        if is_reusable {
             return Some(self.connection);
         }
         self.connection.close();
--- a/src/exchange/body.rs
+++ b/src/exchange/body.rs
@@ -1,47 +1,47 @@
-//! The body of a message: none, received whole, or still coming.
+//! The body of a message: empty, buffered or streamed.
 
 use bytes::Bytes;
 
 use super::BodyError;
-use super::Exact;
+use super::BodyReader;
 
-/// Body of a request or an answer.
+/// Body of a request or a response.
 #[derive(Debug, Default)]
 pub enum Body {
     /// No body.
     #[default]
     Empty,
-    /// Received whole.
+    /// Complete, in memory.
     Buffered(Bytes),
-    /// To be read from a connection as it comes.
-    Stream(Box<Exact>),
+    /// To be read from a connection.
+    Stream(Box<BodyReader>),
 }
 
 impl Body {
-    /// Bytes, where they are known beforehand.
+    /// Length in bytes, if it is known before the body is read.
     pub fn len(&self) -> Option<u64> {
         match self {
             Self::Empty => Some(0),
             Self::Buffered(bytes) => Some(bytes.len() as u64),
-            Self::Stream(exact) => exact.declared(),
+            Self::Stream(reader) => reader.declared(),
         }
     }
 
-    /// Whether it is known to have no bytes.
+    /// Whether the length is known to be zero.
     pub fn is_empty(&self) -> bool {
         self.len() == Some(0)
     }
 
-    /// Reads what is left of it.
+    /// Reads the rest of the body.
     ///
     /// # Errors
     ///
-    /// Where it breaks off, stalls, is malformed or is over its limit.
+    /// If the body is cut, stalls, is malformed or exceeds its limit.
     pub async fn read_all(self) -> Result<Bytes, BodyError> {
         match self {
             Self::Empty => Ok(Bytes::new()),
             Self::Buffered(bytes) => Ok(bytes),
-            Self::Stream(mut exact) => exact.read_all().await,
+            Self::Stream(mut reader) => reader.read_all().await,
         }
     }
 }
--- a/src/exchange/body_error.rs
+++ b/src/exchange/body_error.rs
@@ -1,26 +1,27 @@
-//! Why a body could not be read to its end.
+//! Errors of reading a body.
 
 use std::io;
 use std::time::Duration;
 
 use thiserror::Error;
 
-/// A body that is not whole.
+/// Why a body could not be read to its end.
 #[derive(Debug, Error)]
 pub enum BodyError {
-    /// The peer closed before the body's end.
-    #[error("body was cut `{0}` bytes before its declared end")]
+    /// The peer closed the connection before the end of the body or chunk, with this many
+    /// declared bytes missing; 0 if it closed between chunks.
+    #[error("body ended `{0}` bytes before its declared end")]
     Cut(u64),
     /// The connection failed.
-    #[error("body broke off: {0}")]
+    #[error("reading the body failed: {0}")]
     Io(#[from] io::Error),
-    /// It is longer than allowed.
-    #[error("body is over its limit of `{0}` bytes")]
+    /// The body is longer than this limit, in bytes.
+    #[error("body exceeds its limit of `{0}` bytes")]
     Limit(u64),
-    /// A chunk's frame can't be read.
-    #[error("chunk `{0}` can't be read")]
+    /// The size line or the end of a chunk is invalid.
+    #[error("chunk `{0}` can't be parsed")]
     Malformed(String),
-    /// Nothing came of it for so long.
-    #[error("nothing came of the body for `{} ms`", .0.as_millis())]
+    /// No byte of the body arrived for this long.
+    #[error("no byte of the body arrived for `{} ms`", .0.as_millis())]
     Stalled(Duration),
 }
--- a/src/exchange/connection.rs
+++ b/src/exchange/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to an upstream, and one exchange on it.
+//! A client connection to an upstream or another HTTP server.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,46 +18,46 @@
 use super::Answer;
 use super::Body;
 use super::BodyError;
-use super::Exact;
+use super::BodyReader;
 use super::Failure;
 use super::Framing;
 use super::Request;
 use super::Response;
-use super::Tap;
-use super::answer::Ending;
+use super::Socket;
+use super::answer::Completion;
 use super::clean_response;
 use super::head;
-use super::response_writer::chunk;
+use super::response_writer::encode_chunk;
 
-/// Longest head of an answer, in bytes.
-const HEAD_MAX: usize = 16 * 1024;
-/// A connection that lay idle for less than this was not closed for that: upstreams keep idle
-/// ones for several seconds.
-const RESTED: Duration = Duration::from_secs(3);
-/// Largest answer that is received whole before it is passed on, in bytes: a cut one can
-/// then be told as a failure, and an idempotent request be tried again.
-const HELD_MAX: u64 = 64 * 1024;
+/// Largest head of an answer, in bytes.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Shortest idle time after which an upstream may have closed a connection for being idle:
+/// upstreams keep idle connections open for several seconds.
+const MIN_UPSTREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Largest body of an answer that is received completely before it is forwarded, in bytes. If
+/// such an answer is cut, the attempt fails visibly and an idempotent request can be retried.
+const MAX_BUFFERED_BYTES: u64 = 64 * 1024;
 
 /// Timeouts of one attempt at an upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct Timeouts {
-    /// Until the connection is open.
+    /// For opening the connection.
     pub connect: Duration,
-    /// From the request's last byte to the first byte of an answer.
+    /// From sending the last byte of the request to receiving the head of the answer.
     pub first_byte: Duration,
-    /// Between two bytes of the body, either way.
+    /// Between two reads of the answer's body.
     pub idle: Duration,
 }
 
-/// An open connection to an upstream.
+/// An open connection, which carries one request at a time.
 #[derive(Debug)]
 pub struct Connection {
-    born: Instant,
+    opened_at: Instant,
     idle_limit: Option<Duration>,
-    /// How long it lay idle before it was taken.
-    rested: Duration,
-    tap: Tap,
-    used: u32,
+    /// How long it was idle in the pool before this use.
+    idle_before_use: Duration,
+    socket: Socket,
+    request_count: u32,
 }
 
 impl Connection {
@@ -65,85 +65,86 @@
     ///
     /// # Errors
     ///
-    /// Where nobody answers within `limit`; nothing was sent then.
+    /// If the connection is refused or not open within `limit`; nothing was sent then.
     pub async fn connect(address: SocketAddr, limit: Duration) -> Result<Self, Failure> {
         let stream = match timeout(limit, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) => return Err(Failure::Connect(error.to_string())),
-            Err(_) => return Err(Failure::Connect(format!("no answer in {limit:?}"))),
+            Err(_) => return Err(Failure::Connect(format!("no answer within {limit:?}"))),
         };
         stream.set_nodelay(true).ok();
         Ok(Self {
-            born: Instant::now(),
+            opened_at: Instant::now(),
             idle_limit: None,
-            rested: Duration::ZERO,
-            tap: Tap::new(stream),
-            used: 0,
+            idle_before_use: Duration::ZERO,
+            socket: Socket::new(stream),
+            request_count: 0,
         })
     }
 
-    /// When it was opened.
-    pub fn born(&self) -> Instant {
-        self.born
+    /// Time at which it was opened.
+    pub fn opened_at(&self) -> Instant {
+        self.opened_at
     }
 
-    /// How long the upstream keeps it when it lies idle, where it has said so.
+    /// How long the upstream keeps it open while idle, if its last answer said so.
     pub fn idle_limit(&self) -> Option<Duration> {
         self.idle_limit
     }
 
-    /// Notes how long it lay idle before it was taken.
-    pub(super) fn rested(mut self, span: Duration) -> Self {
-        self.rested = span;
+    /// Records how long it was idle before it was taken from the pool.
+    pub(super) fn with_idle_time(mut self, idle: Duration) -> Self {
+        self.idle_before_use = idle;
         self
     }
 
-    /// Whether it carried a request before.
+    /// Whether it has carried a request.
     pub fn is_used(&self) -> bool {
-        self.used > 0
+        self.request_count > 0
     }
 
-    /// Whether it is open and nothing unasked came on it.
-    pub async fn is_quiet(&self) -> bool {
-        self.tap.is_quiet().await
+    /// Whether it is open and no unexpected bytes have arrived on it.
+    pub async fn is_idle(&self) -> bool {
+        self.socket.is_idle().await
     }
 
-    /// Closes it: upstreams take that as a cancellation.
+    /// Closes it, which cancels a request that is running on it.
     pub fn close(&self) {
-        self.tap.close();
+        self.socket.close();
     }
 
-    pub(super) fn has_early(&self) -> bool {
-        self.tap.has_early()
+    pub(super) fn has_buffered(&self) -> bool {
+        self.socket.has_buffered()
     }
 
-    /// Sends a request and waits for its answer. Dropped, it closes the connection.
+    /// Sends a request and receives the answer: a small body completely, a large one as a
+    /// stream. Dropping the future closes the connection, which cancels the request.
     ///
     /// # Errors
     ///
-    /// Where the answer does not come, is none, or is cut before it could be passed on.
+    /// If no answer arrives, it can't be parsed, or it is cut before its body is streamed.
     pub async fn send(mut self, request: Request, timeouts: Timeouts) -> Result<Answer, Failure> {
-        let reused = self.used > 0 && self.rested >= RESTED;
-        self.used += 1;
+        let reused = self.request_count > 0 && self.idle_before_use >= MIN_UPSTREAM_IDLE_TIMEOUT;
+        self.request_count += 1;
         let method = request.method.clone();
-        let guard = Guard(Some(self.tap.clone()));
-        let (response, sent) = self.exchange(request, timeouts, reused).await?;
+        let guard = Guard(Some(self.socket.clone()));
+        let (response, sent) = self.send_and_read_head(request, timeouts, reused).await?;
         self.idle_limit = head::idle_limit(&response.headers);
-        let (response, ending) = self.frame(response, &method, timeouts).await?;
+        let (response, completion) = self.read_body(response, &method, timeouts).await?;
         guard.disarm();
-        Ok(Answer { ending, connection: self, response, sent })
+        Ok(Answer { completion, connection: self, response, sent })
     }
 
-    /// The answer's head, and whether the request was sent whole before it came.
-    async fn exchange(
+    /// Returns the head of the answer, and whether the whole request was sent before it arrived.
+    async fn send_and_read_head(
         &self,
         request: Request,
         timeouts: Timeouts,
         reused: bool,
     ) -> Result<(Response, bool), Failure> {
-        let echo = request.echoed();
+        let echo = request.expected_echo();
         let send = self.write_request(request).fuse();
-        let receive = self.head(echo.as_ref(), timeouts, reused).fuse();
+        let receive = self.read_head(echo.as_ref(), timeouts, reused).fuse();
         pin_mut!(send, receive);
         let sent = select! {
             sent = send => sent,
@@ -152,12 +153,13 @@
         match sent {
             Ok(()) => (),
             Err(SendError::Body(error)) => return Err(Failure::Upload(error.to_string())),
-            // An upstream may answer and close before it has read all.
+            // An upstream may answer and close before it has read the whole request.
             Err(SendError::Io(error)) => {
-                tracing::debug!(target: "hemlockfield::exchange", "upstream reads no more: {error}");
+                tracing::debug!(target: "hemlockfield::exchange", "can't send the rest: {error}");
                 let response = receive.await?;
-                // The write took the news of the reset: the end of such an answer would look
-                // like its whole, and the caller would get a part of it as all.
+                // The failed write has consumed the socket's reset error, so that reads now end
+                // as after a regular close. For an answer that ends by close, a truncated body
+                // would be taken for a complete one.
                 if head::response_framing(&response)? == Framing::Close {
                     return Err(Failure::Cut(error.to_string()));
                 }
@@ -176,91 +178,95 @@
         match request.body {
             Body::Empty => (),
             Body::Buffered(body) => bytes.extend_from_slice(&body),
-            Body::Stream(mut exact) => {
-                self.tap.write(&bytes).await?;
-                while let Some(piece) = exact.next().await? {
+            Body::Stream(mut reader) => {
+                self.socket.write(&bytes).await?;
+                while let Some(data) = reader.next().await? {
                     if chunked {
-                        self.tap.write(&chunk(&piece)).await?;
+                        self.socket.write(&encode_chunk(&data)).await?;
                     } else {
-                        self.tap.write(&piece).await?;
+                        self.socket.write(&data).await?;
                     }
                 }
                 bytes = if chunked { b"0\r\n\r\n".to_vec() } else { Vec::new() };
             }
         }
-        Ok(self.tap.write(&bytes).await?)
+        Ok(self.socket.write(&bytes).await?)
     }
 
-    /// The head of the final answer to this request. Interim answers, and answers to other
-    /// requests that came late, are passed over.
-    async fn head(
+    /// Reads the head of the final answer to this request. Interim answers (1xx) and late
+    /// answers to other requests are skipped.
+    async fn read_head(
         &self,
         echo: Option<&(HeaderName, HeaderValue)>,
         timeouts: Timeouts,
         reused: bool,
     ) -> Result<Response, Failure> {
         loop {
-            let bytes = self.tap.head(HEAD_MAX).await;
+            let bytes = self.socket.read_head(MAX_HEAD_BYTES).await;
             let bytes = bytes.map_err(|error| Failure::Malformed(error.to_string()))?;
             let response = Response::parse(&bytes.ok_or(Failure::Closed { reused })?)?;
-            let foreign = echo.is_some_and(|(name, value)| {
+            let is_foreign = echo.is_some_and(|(name, value)| {
                 response.headers.get(name).is_some_and(|echoed| echoed != value)
             });
-            if foreign {
-                self.pass_over(&response, timeouts).await?;
+            if is_foreign {
+                self.skip_response(&response, timeouts).await?;
             } else if response.status >= 200 {
                 return Ok(response);
             }
         }
     }
 
-    async fn pass_over(&self, response: &Response, timeouts: Timeouts) -> Result<(), Failure> {
+    /// Reads and discards the body of a late answer to another request.
+    async fn skip_response(&self, response: &Response, timeouts: Timeouts) -> Result<(), Failure> {
         let framing = head::response_framing(response)?;
         if framing == Framing::Close {
-            return Err(Failure::Malformed("an answer to another request".to_owned()));
+            return Err(Failure::Malformed(
+                "it belongs to another request and has no length".to_owned(),
+            ));
         }
-        let mut exact = Exact::new(self.tap.clone(), framing, u64::MAX, timeouts.idle);
-        exact.read_all().await.map(drop).map_err(|error| Failure::Cut(error.to_string()))
+        let mut reader = BodyReader::new(self.socket.clone(), framing, u64::MAX, timeouts.idle);
+        reader.read_all().await.map(drop).map_err(|error| Failure::Cut(error.to_string()))
     }
 
-    async fn frame(
+    /// Reads a small body completely and leaves a large one as a stream.
+    async fn read_body(
         &self,
         mut response: Response,
         method: &Method,
         timeouts: Timeouts,
-    ) -> Result<(Response, Ending), Failure> {
-        let keep = !head::says_close(&response.headers);
+    ) -> Result<(Response, Completion), Failure> {
+        let keep_alive = !head::says_close(&response.headers);
         let framing = head::response_framing(&response)?;
         let bodiless = *method == Method::HEAD || matches!(response.status, 204 | 304);
         clean_response(&mut response);
         let framing = if bodiless { Framing::Length(0) } else { framing };
-        let mut exact = Exact::new(self.tap.clone(), framing, u64::MAX, timeouts.idle);
-        let ending = Ending::new(&exact, keep && framing != Framing::Close);
+        let mut reader = BodyReader::new(self.socket.clone(), framing, u64::MAX, timeouts.idle);
+        let completion = Completion::new(&reader, keep_alive && framing != Framing::Close);
         match framing {
-            Framing::Length(length) if length <= HELD_MAX => {
-                let body = exact.read_all().await;
+            Framing::Length(length) if length <= MAX_BUFFERED_BYTES => {
+                let body = reader.read_all().await;
                 response.body =
                     Body::Buffered(body.map_err(|error| Failure::Cut(error.to_string()))?);
             }
-            Framing::Close => response.body = self.until_close(exact).await?,
+            Framing::Close => response.body = self.read_until_close(reader).await?,
             Framing::Chunked | Framing::Length(_) => {
-                response.body = Body::Stream(Box::new(exact));
+                response.body = Body::Stream(Box::new(reader));
             }
         }
-        Ok((response, ending))
+        Ok((response, completion))
     }
 
-    /// A body that ends with its connection is held where it fits, so that it can be passed
-    /// on with its length.
-    async fn until_close(&self, mut exact: Exact) -> Result<Body, Failure> {
-        let mut held = Vec::new();
+    /// Reads a body that ends with its connection. It is buffered if it is small enough, so that
+    /// it can be forwarded with its length.
+    async fn read_until_close(&self, mut reader: BodyReader) -> Result<Body, Failure> {
+        let mut buffered = Vec::new();
         loop {
-            let piece = exact.next().await.map_err(|error| Failure::Cut(error.to_string()))?;
-            let Some(piece) = piece else { return Ok(held.into()) };
-            held.extend_from_slice(&piece);
-            if held.len() as u64 > HELD_MAX {
-                exact.unread(Bytes::from(held));
-                return Ok(Body::Stream(Box::new(exact)));
+            let bytes = reader.next().await.map_err(|error| Failure::Cut(error.to_string()))?;
+            let Some(bytes) = bytes else { return Ok(buffered.into()) };
+            buffered.extend_from_slice(&bytes);
+            if buffered.len() as u64 > MAX_BUFFERED_BYTES {
+                reader.push_back(Bytes::from(buffered));
+                return Ok(Body::Stream(Box::new(reader)));
             }
         }
     }
@@ -268,9 +274,9 @@
 
 /// Why a request could not be sent.
 enum SendError {
-    /// Its body did not come from the caller.
+    /// Its body could not be read from the caller.
     Body(BodyError),
-    /// The upstream took no more of it.
+    /// Writing to the upstream failed.
     Io(io::Error),
 }
 
@@ -286,8 +292,9 @@
     }
 }
 
-/// Closes a connection whose exchange did not end: the upstream would work on.
-struct Guard(Option<Tap>);
+/// Closes the connection on drop unless disarmed: without that, the upstream would continue to
+/// work on a request whose answer nobody waits for.
+struct Guard(Option<Socket>);
 
 impl Guard {
     fn disarm(mut self) {
@@ -297,8 +304,8 @@
 
 impl Drop for Guard {
     fn drop(&mut self) {
-        if let Some(tap) = &self.0 {
-            tap.close();
+        if let Some(socket) = &self.0 {
+            socket.close();
         }
     }
 }
--- a/src/exchange/error.rs
+++ b/src/exchange/error.rs
@@ -1,47 +1,47 @@
 use thiserror::Error as ThisError;
 
-/// What is wrong with a request that a caller sent.
+/// Why a caller's request or connection is refused before any rule is applied.
 #[derive(Clone, Debug, Eq, PartialEq, ThisError)]
 pub enum Error {
     /// Body larger than its rule allows.
-    #[error("body of `{size}` bytes is over the rule's limit of `{limit}` bytes")]
+    #[error("body of `{size}` bytes exceeds the rule's limit of `{limit}` bytes")]
     BodySize {
-        /// Bytes allowed.
+        /// Allowed size in bytes.
         limit: u64,
-        /// Bytes announced or seen.
+        /// Declared or received size in bytes.
         size: u64,
     },
-    /// More callers' connections than the process takes.
-    #[error("too many connections are open here; use another entry")]
+    /// More connections of callers than the process accepts.
+    #[error("too many connections are open; use another entry")]
     Connections,
-    /// Byte that no message head may hold.
+    /// Byte that is not allowed in a message head.
     #[error("byte `{0:#04x}` in the head is not allowed: heads are ASCII text")]
     HeadByte(u8),
-    /// More headers than are read.
+    /// More headers than the given limit.
     #[error("head has more than `{0}` headers")]
     HeaderCount(usize),
-    /// Head larger than the bound, in bytes.
+    /// Head larger than the given limit in bytes.
     #[error("head is longer than `{0}` bytes")]
     HeadSize(usize),
-    /// Lengths that contradict each other, as smuggled requests have them.
-    #[error("header `{0}` states more than one length, or one that is not a number")]
+    /// Invalid or contradictory body lengths, as used in request smuggling.
+    #[error("header `{0}` gives more than one length, or one that is not a number")]
     Length(&'static str),
-    /// Head that the HTTP library can't read.
-    #[error("request head `{0}` can't be read")]
+    /// Head that can't be parsed.
+    #[error("request head can't be parsed: `{0}`")]
     Malformed(String),
-    /// Path that an upstream may read as another than the rules matched.
-    #[error("path `{0}` holds an escaped or backward slash")]
+    /// Path that an upstream may interpret differently from the rules.
+    #[error("path `{0}` contains an escaped slash or a backslash")]
     Path(String),
     /// Transfer coding other than chunked.
     #[error("transfer coding `{0}` is not supported: use `chunked`")]
     TransferCoding(String),
-    /// Method that is not passed on.
-    #[error("method `{0}` is not passed on")]
+    /// Method that is not forwarded.
+    #[error("method `{0}` is not forwarded")]
     Method(String),
 }
 
 impl Error {
-    /// Status of the answer that tells the caller.
+    /// HTTP status of the response to the caller.
     pub fn status(&self) -> u16 {
         match self {
             Self::BodySize { .. } => 413,
--- a/src/exchange/failure.rs
+++ b/src/exchange/failure.rs
@@ -2,46 +2,47 @@
 
 use thiserror::Error as ThisError;
 
-/// How an attempt at an upstream ended without a whole answer.
+/// Why an attempt at an upstream ended without a complete answer.
 #[derive(Clone, Debug, Eq, PartialEq, ThisError)]
 pub enum Failure {
-    /// Caller closed its connection; the upstream's was closed to cancel the work.
-    #[error("caller is gone")]
+    /// The caller closed its connection; the upstream's connection is closed to cancel the work.
+    #[error("caller has disconnected")]
     CallerGone,
-    /// Connection closed before an answer's head.
+    /// The connection was closed before the head of an answer.
     #[error("connection closed before an answer (reused: `{reused}`)")]
     Closed {
-        /// Whether the connection had served an earlier request and lain idle since: the
-        /// upstream may have closed it for that.
+        /// Whether the connection had served an earlier request and had been idle long enough
+        /// that the upstream may have closed it for being idle.
         reused: bool,
     },
-    /// Connection could not be opened: nothing was sent.
+    /// The connection could not be opened; nothing was sent.
     #[error("can't connect: `{0}`")]
     Connect(String),
-    /// Answer's body ended before its declared length.
+    /// The answer ended before it was complete.
     #[error("answer was cut: `{0}`")]
     Cut(String),
-    /// The request's own deadline passed.
+    /// The request's own deadline, this long, passed.
     #[error("deadline passed after `{} ms`", .0.as_millis())]
     Expired(Duration),
-    /// Answer that is not HTTP/1.1 as we speak it.
-    #[error("answer can't be read: `{0}`")]
+    /// The answer is not HTTP/1.1 in the form supported here.
+    #[error("answer can't be parsed: `{0}`")]
     Malformed(String),
-    /// No byte of an answer within its time limit.
+    /// No head of an answer arrived within this time.
     #[error("no answer within `{} ms`", .0.as_millis())]
     Silent(Duration),
-    /// The caller's upload ended short or broke its limit: the caller's own fault.
+    /// The caller's upload was incomplete or exceeded its limit; the upstream is not at fault.
     #[error("upload failed: `{0}`")]
     Upload(String),
 }
 
 impl Failure {
-    /// Whether the attempt is proved not to have reached the upstream.
+    /// Whether the request certainly did not reach the upstream.
     pub fn is_not_run(&self) -> bool {
         matches!(self, Self::Connect(_))
     }
 
-    /// Whether it says anything about the upstream.
+    /// Whether the failure counts against the upstream's health. A caller that disconnects or
+    /// sends an invalid body, and an idle connection that the upstream closed, do not.
     pub fn is_upstream_fault(&self) -> bool {
         !matches!(self, Self::CallerGone | Self::Closed { reused: true } | Self::Upload(_))
     }
--- a/src/exchange/head.rs
+++ b/src/exchange/head.rs
@@ -1,4 +1,4 @@
-//! Heads of messages: reading, writing, and which are refused.
+//! Parses, checks and encodes message heads.
 
 use std::time::Duration;
 
@@ -15,17 +15,17 @@
 use super::Request;
 use super::Response;
 
-/// Header with the milliseconds that a caller is prepared to wait, and that an upstream
-/// has for its answer.
+/// Header with the milliseconds that a caller waits for the answer; sent on to the upstream
+/// with the time that is left.
 pub const TIMEOUT_HEADER: &str = "x-request-timeout-ms";
 /// Header with the caller's name.
 pub const CALLER_HEADER: &str = "x-caller";
 
-/// Most headers of a message: browsers and gateways send some dozens.
-pub(super) const HEADERS_MAX: usize = 128;
-pub(super) const CHUNKED: &[u8] = b"transfer-encoding: chunked\r\n";
+/// Most headers of a message; browsers and gateways send a few dozen.
+pub(super) const MAX_HEADERS: usize = 128;
+pub(super) const CHUNKED_HEADER: &[u8] = b"transfer-encoding: chunked\r\n";
 
-/// Headers that concern one connection only.
+/// Headers that apply to a single connection and are not forwarded.
 const HOP_BY_HOP: [HeaderName; 7] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
@@ -38,11 +38,12 @@
 const KEEP_ALIVE: &str = "keep-alive";
 const PROXY_CONNECTION: &str = "proxy-connection";
 
-/// Refuses heads that two readers could take for different requests.
+/// Checks that a head is unambiguous: an upstream that interprets its length, host or path
+/// differently would run a request that the rules have not seen.
 ///
 /// # Errors
 ///
-/// Says what is wrong with it.
+/// The first fault that is found.
 pub fn check_request(request: &Request) -> Result<(), Error> {
     let headers = &request.headers;
     let lengths: Vec<_> = headers.get_all(header::CONTENT_LENGTH).iter().collect();
@@ -80,25 +81,25 @@
     Ok(())
 }
 
-/// Removes from a request what concerns the caller's connection.
+/// Removes the headers that apply to the caller's connection only or that frame the body.
 pub fn clean_request(request: &mut Request) {
-    clean(&mut request.headers);
+    remove_hop_headers(&mut request.headers);
     request.headers.remove(header::EXPECT);
     request.headers.remove(header::CONTENT_LENGTH);
 }
 
-/// Removes from an answer what concerns the upstream's connection.
+/// Removes the headers that apply to the upstream's connection only or that frame the body.
 pub fn clean_response(response: &mut Response) {
-    clean(&mut response.headers);
+    remove_hop_headers(&mut response.headers);
     response.headers.remove(header::CONTENT_LENGTH);
 }
 
-/// How long the caller is prepared to wait, where it says so.
+/// How long the caller waits for the answer, if it says so.
 pub fn request_timeout(request: &Request) -> Option<Duration> {
     request.header(TIMEOUT_HEADER)?.parse().ok().map(Duration::from_millis)
 }
 
-/// How a request's body ends; `None` where it has none.
+/// How a request's body is framed; `None` if it has no body.
 pub(super) fn request_framing(request: &Request) -> Option<Framing> {
     if request.headers.contains_key(header::TRANSFER_ENCODING) {
         return Some(Framing::Chunked);
@@ -107,7 +108,7 @@
     (length > 0).then_some(Framing::Length(length))
 }
 
-/// How an answer's body ends, were it to have one.
+/// How a response's body is framed, if the method and status allow one.
 pub(super) fn response_framing(response: &Response) -> Result<Framing, Failure> {
     let headers = &response.headers;
     let mut lengths = headers.get_all(header::CONTENT_LENGTH).iter();
@@ -131,41 +132,41 @@
     text.parse().map(Framing::Length).map_err(|_| malformed(length))
 }
 
-/// Whether the connection ends with this message.
+/// Whether the peer closes the connection after this message.
 pub(super) fn says_close(headers: &HeaderMap) -> bool {
     let values = headers.get_all(header::CONNECTION).iter();
     let texts = values.filter_map(|value| value.to_str().ok());
     texts.flat_map(|text| text.split(',')).any(|word| word.trim().eq_ignore_ascii_case("close"))
 }
 
-/// How long the peer keeps the connection when it lies idle, where it says so.
+/// How long the peer keeps an idle connection open, if it says so.
 pub(super) fn idle_limit(headers: &HeaderMap) -> Option<Duration> {
     let words = last(headers, KEEP_ALIVE)?.split(',');
     let mut times = words.filter_map(|word| word.trim().strip_prefix("timeout="));
     times.next()?.parse().ok().map(Duration::from_secs)
 }
 
-/// Headers as a map.
+/// Converts parsed headers to a map.
 pub(super) fn map(parsed: &[httparse::Header<'_>]) -> Result<HeaderMap, Error> {
     let mut headers = HeaderMap::with_capacity(parsed.len() + 4);
     for field in parsed {
-        let wrong = || Error::Malformed(field.name.to_owned());
-        let name = HeaderName::from_bytes(field.name.as_bytes()).map_err(|_| wrong())?;
-        let value = HeaderValue::from_bytes(field.value).map_err(|_| wrong())?;
+        let invalid = || Error::Malformed(field.name.to_owned());
+        let name = HeaderName::from_bytes(field.name.as_bytes()).map_err(|_| invalid())?;
+        let value = HeaderValue::from_bytes(field.value).map_err(|_| invalid())?;
         headers.append(name, value);
     }
     Ok(headers)
 }
 
-/// A path and query, also where the whole address was sent.
+/// Path and query of a request target in origin form or absolute form.
 pub(super) fn origin_form(target: &str) -> &str {
     let Some(rest) = target.strip_prefix("http://") else { return target };
     rest.find('/').map_or("/", |slash| &rest[slash..])
 }
 
-pub(super) fn malformed(error: httparse::Error) -> Error {
+pub(super) fn parse_error(error: httparse::Error) -> Error {
     match error {
-        httparse::Error::TooManyHeaders => Error::HeaderCount(HEADERS_MAX),
+        httparse::Error::TooManyHeaders => Error::HeaderCount(MAX_HEADERS),
         error => Error::Malformed(error.to_string()),
     }
 }
@@ -178,13 +179,13 @@
     match HeaderValue::from_str(value) {
         Ok(value) => drop(headers.insert(name, value)),
         Err(error) => {
-            tracing::warn!(target: "hemlockfield::exchange", %name, "header left out: {error}");
+            tracing::warn!(target: "hemlockfield::exchange", %name, "left out invalid header: {error}");
         }
     }
 }
 
-/// The value of a header that may come once; values that came apart are told as one list, which
-/// is then no value that anybody knows.
+/// Value of a header that may occur only once. Repeated headers are joined by commas, so that the
+/// result matches no known value.
 pub fn joined_value(request: &Request, name: &HeaderName) -> Option<CompactString> {
     let mut values = request.headers.get_all(name).iter();
     let first = String::from_utf8_lossy(values.next()?.as_bytes()).into_owned();
@@ -206,8 +207,8 @@
     bytes.extend_from_slice(format!("content-length: {length}\r\n").as_bytes());
 }
 
-fn clean(headers: &mut HeaderMap) {
-    let named: Vec<String> = headers
+fn remove_hop_headers(headers: &mut HeaderMap) {
+    let listed: Vec<String> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
@@ -215,7 +216,7 @@
         .map(|name| name.trim().to_ascii_lowercase())
         .filter(|name| !matches!(name.as_str(), "" | "host" | "content-length"))
         .collect();
-    for name in &named {
+    for name in &listed {
         headers.remove(name.as_str());
     }
     for name in &HOP_BY_HOP {
--- a/src/exchange/payload.rs
+++ b/src/exchange/payload.rs
@@ -1,9 +1,9 @@
-//! The body of a caller's request, on its way to an upstream.
+//! The body of a caller's request while it is forwarded to upstreams.
 
 use std::time::Duration;
 
 use super::Body;
-use super::Exact;
+use super::BodyReader;
 use super::Failure;
 use super::Request;
 
@@ -11,53 +11,54 @@
 pub enum Payload {
     /// No body.
     Empty,
-    /// Received whole.
+    /// Complete, in memory; it can be sent repeatedly.
     Buffered(bytes::Bytes),
-    /// To be passed on as it comes, once.
-    Stream(Option<Box<Exact>>, Option<u64>),
+    /// Streamed to one upstream; `None` once it was taken. The second field is the declared
+    /// length.
+    Stream(Option<Box<BodyReader>>, Option<u64>),
 }
 
 impl Payload {
-    /// Takes the body off `request`, which may have at most `limit` bytes, with at most
-    /// `idle` between two of them. One of at most `held` bytes is received whole: it can
-    /// then be sent a second time, and a cut is noticed before anything went out. Larger
-    /// ones stream, so that an upload costs a connection's buffers and not its size.
+    /// Takes the body from `request`. It may have at most `limit` bytes and pause for at most
+    /// `idle`. A body with a declared length of at most `max_buffered` bytes is received
+    /// completely, so that it can be sent again and a cut is noticed before anything is sent.
+    /// Any other body is streamed, so that a large upload needs no memory of its size.
     ///
     /// # Errors
     ///
-    /// Where a body that is received whole breaks off or is over its limit.
+    /// If a body that is buffered is cut, stalls, is malformed or exceeds its limit.
     pub async fn take(
         request: &mut Request,
         limit: u64,
-        held: u64,
+        max_buffered: u64,
         idle: Duration,
     ) -> Result<Self, Failure> {
         match std::mem::take(&mut request.body) {
             Body::Empty => Ok(Self::Empty),
             Body::Buffered(bytes) => Ok(Self::Buffered(bytes)),
-            Body::Stream(mut exact) => {
-                exact.set_limits(limit, idle);
-                let declared = exact.declared();
-                if declared.is_none_or(|length| length > held) {
-                    return Ok(Self::Stream(Some(exact), declared));
+            Body::Stream(mut reader) => {
+                reader.set_limits(limit, idle);
+                let declared = reader.declared();
+                if declared.is_none_or(|length| length > max_buffered) {
+                    return Ok(Self::Stream(Some(reader), declared));
                 }
-                let bytes = exact.read_all().await;
+                let bytes = reader.read_all().await;
                 Ok(Self::Buffered(bytes.map_err(|error| Failure::Upload(error.to_string()))?))
             }
         }
     }
 
-    /// Whether it can be sent, perhaps again.
+    /// Whether it can still be sent: always, except for a stream that was already taken.
     pub fn is_available(&self) -> bool {
         !matches!(self, Self::Stream(None, _))
     }
 
-    /// Whether it is passed on as it comes.
+    /// Whether it is streamed.
     pub fn is_stream(&self) -> bool {
         matches!(self, Self::Stream(..))
     }
 
-    /// Bytes, where they are known beforehand.
+    /// Length in bytes, if it is known before the body is read.
     pub fn len(&self) -> Option<u64> {
         match self {
             Self::Empty => Some(0),
@@ -71,12 +72,12 @@
         matches!(self, Self::Empty)
     }
 
-    /// Puts the body on a request to an upstream.
+    /// Sets the body of a request to an upstream; a stream is moved there.
     pub fn put(&mut self, request: &mut Request) {
         request.body = match self {
             Self::Empty => Body::Empty,
             Self::Buffered(bytes) => Body::Buffered(bytes.clone()),
-            Self::Stream(exact, _) => exact.take().map_or(Body::Empty, Body::Stream),
+            Self::Stream(reader, _) => reader.take().map_or(Body::Empty, Body::Stream),
         };
     }
 }
--- a/src/exchange/pool.rs
+++ b/src/exchange/pool.rs
@@ -9,72 +9,77 @@
 
 use super::Connection;
 
-/// Longest a connection is kept at all, so that a fleet's connections move with its subsets.
-const AGE_MAX: Duration = Duration::from_secs(300);
-/// Idle connections kept an upstream: an entry's share of its slots is below that.
-const IDLE_COUNT: usize = 16;
-/// Share of the idle time that an upstream names after which it is no longer relied on: its
-/// clock started earlier than ours by the answer's way.
-const SAFE: f64 = 0.8;
+/// Age after which a connection is no longer reused, so that connections follow changes in which
+/// upstreams an entry uses.
+const MAX_AGE: Duration = Duration::from_secs(300);
+/// Most idle connections kept for one upstream; an entry's share of an upstream's slots is
+/// smaller.
+const MAX_IDLE_PER_UPSTREAM: usize = 16;
+/// Fraction of an upstream's announced idle timeout during which a connection is reused. The
+/// upstream starts to count before the answer arrives here, so the full timeout is not safe.
+const IDLE_LIMIT_FRACTION: f64 = 0.8;
 
-/// Idle connections to upstreams, the last used first.
+/// Idle connections by address; the most recently used one is taken first.
 #[derive(Debug)]
 pub struct Pool {
     idle: Mutex<BTreeMap<SocketAddr, Vec<(Instant, Connection)>>>,
-    idle_max: Duration,
+    idle_timeout: Duration,
 }
 
 impl Default for Pool {
-    /// Keeps connections for 15 s: something between the two ends may have lost track of one
-    /// that lies idle, and then swallows what is sent. State tables between hosts keep idle
-    /// flows for minutes, not seconds, so that 15 s stays far below.
+    /// Keeps idle connections for 15 s. A firewall or NAT on the path may drop its state of an
+    /// idle connection and then silently discards what is sent on it. Such tables keep idle
+    /// flows for minutes, so 15 s is well below.
     fn default() -> Self {
         Self::new(Duration::from_secs(15))
     }
 }
 
 impl Pool {
-    /// Keeps connections that lie idle for at most `idle_max`.
-    pub fn new(idle_max: Duration) -> Self {
-        Self { idle: Mutex::default(), idle_max }
+    /// Creates a pool that keeps idle connections for at most `idle_timeout`.
+    pub fn new(idle_timeout: Duration) -> Self {
+        Self { idle: Mutex::default(), idle_timeout }
     }
 
-    /// A connection that was just found open and silent, if there is one that has been
-    /// idle for less than `newer`.
-    pub async fn take(&self, address: SocketAddr, newer: Duration) -> Option<Connection> {
-        while let Some((since, connection)) = self.pop(address, newer) {
-            if self.is_fresh(since, &connection) && connection.is_quiet().await {
-                return Some(connection.rested(since.elapsed()));
+    /// Takes a connection that has been idle for less than `max_idle` and, checked just now, is
+    /// open with no unexpected bytes on it.
+    pub async fn take(&self, address: SocketAddr, max_idle: Duration) -> Option<Connection> {
+        while let Some((since, connection)) = self.pop(address, max_idle) {
+            if self.is_fresh(since, &connection) && connection.is_idle().await {
+                return Some(connection.with_idle_time(since.elapsed()));
             }
             connection.close();
         }
         None
     }
 
-    /// Keeps a connection whose exchange ended at the exact byte.
+    /// Keeps a connection whose last answer was read completely.
     pub fn put(&self, address: SocketAddr, connection: Connection) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let connections = idle.entry(address).or_default();
         connections.retain(|(since, connection)| self.is_fresh(*since, connection));
-        if connections.len() < IDLE_COUNT {
+        if connections.len() < MAX_IDLE_PER_UPSTREAM {
             connections.push((Instant::now(), connection));
         }
     }
 
-    /// Drops the connections of an upstream that is gone.
+    /// Drops all connections to an upstream that was removed.
     pub fn forget(&self, address: SocketAddr) {
         self.idle.lock().unwrap_or_else(PoisonError::into_inner).remove(&address);
     }
 
     fn is_fresh(&self, since: Instant, connection: &Connection) -> bool {
-        let told = connection.idle_limit().map_or(self.idle_max, |limit| limit.mul_f64(SAFE));
-        since.elapsed() < self.idle_max.min(told) && connection.born().elapsed() < AGE_MAX
+        let peer_limit = connection
+            .idle_limit()
+            .map_or(self.idle_timeout, |limit| limit.mul_f64(IDLE_LIMIT_FRACTION));
+        since.elapsed() < self.idle_timeout.min(peer_limit)
+            && connection.opened_at().elapsed() < MAX_AGE
     }
 
-    fn pop(&self, address: SocketAddr, newer: Duration) -> Option<(Instant, Connection)> {
+    fn pop(&self, address: SocketAddr, max_idle: Duration) -> Option<(Instant, Connection)> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let connections = idle.get_mut(&address)?;
-        if connections.last()?.0.elapsed() >= newer {
+        if connections.last()?.0.elapsed() >= max_idle {
             return None;
         }
         connections.pop()
--- a/src/exchange/refusal.rs
+++ b/src/exchange/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers of our own, which say what became of a request.
+//! Responses that the process itself generates, which tell callers whether a request ran.
 
 use std::time::Duration;
 
@@ -7,21 +7,21 @@
 
 use super::Response;
 
-/// Says of an answer that is ours, not an upstream's, what became of the request.
+/// Header of a generated response that tells what happened to the request.
 pub const OUTCOME_HEADER: &str = "x-hemlockfield-outcome";
-/// When to come back, finer than `retry-after`, which counts whole seconds.
+/// Header with the milliseconds to wait before a retry; `retry-after` has whole seconds only.
 pub const RETRY_AFTER_MS_HEADER: &str = "x-retry-after-ms";
 
-/// What became of a request that has no answer of its own.
+/// What happened to a request for which there is no upstream's answer to return.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// It ran when it was sent before; its answer is not kept.
+    /// It ran when it was sent before, and its answer was not stored.
     AlreadyRun,
-    /// It ran and failed, or its answer was lost; being idempotent, it may be sent again.
+    /// It ran and failed, or its answer was lost. It is idempotent and may be sent again.
     Failed,
-    /// It is being run, by an earlier sending.
+    /// It is still running because it was sent before.
     InProgress,
-    /// It reached no upstream, or the upstream documented that it did not run it.
+    /// It reached no upstream, or the upstream stated that it did not run it.
     NotRun,
     /// It may or may not have run.
     Unknown,
@@ -40,32 +40,32 @@
     }
 }
 
-/// A request that gets no upstream's answer, and why.
+/// A generated response instead of an upstream's answer, with the reason.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Refusal {
-    /// What became of the request.
+    /// What happened to the request.
     pub outcome: Outcome,
-    /// For people.
+    /// Reason as text for people.
     pub reason: String,
-    /// When the caller should come back.
+    /// Time after which the caller should retry.
     pub retry_after: Option<Duration>,
-    /// Status of the answer.
+    /// Status code of the response.
     pub status: u16,
 }
 
 impl Refusal {
-    /// One that names no time to come back.
+    /// Creates a refusal without a retry time.
     pub fn new(status: u16, outcome: Outcome, reason: impl Into<String>) -> Self {
         Self { outcome, reason: reason.into(), retry_after: None, status }
     }
 
-    /// One of a request that was not run, with a time to come back.
+    /// Creates a refusal of a request that was not run, with a retry time.
     pub fn not_run(status: u16, reason: impl Into<String>, after: Duration) -> Self {
         Self { retry_after: Some(after), ..Self::new(status, Outcome::NotRun, reason) }
     }
 }
 
-/// An answer of ours, with the reason as text and when to come back.
+/// Builds a generated response with the reason as its body and the retry time in its headers.
 pub fn refuse(
     status: u16,
     outcome: Outcome,
--- a/src/exchange/request.rs
+++ b/src/exchange/request.rs
@@ -1,4 +1,4 @@
-//! A request: its head, and a body that is whole or still coming.
+//! A request: its head, and a body that is buffered or still being received.
 
 use compact_str::CompactString;
 use compact_str::format_compact;
@@ -14,41 +14,42 @@
 /// One request, received or to be sent.
 #[derive(Debug)]
 pub struct Request {
-    /// Body; taken once.
+    /// Body; it can be taken once.
     pub body: Body,
-    /// A header that the answer repeats as it was sent. An answer with another value is a
-    /// late one to somebody else, and is passed over.
+    /// A header that the upstream repeats in its answer. An answer with another value is a late
+    /// answer to another request and is skipped.
     pub echo: Option<HeaderName>,
-    /// Headers, without those that frame the message.
+    /// Headers. A received request has those that frame the body until
+    /// [`super::clean_request`] removes them.
     pub headers: HeaderMap,
     /// Method.
     pub method: Method,
-    /// Path and query, byte for byte as received.
+    /// Path and query, unchanged from what was received.
     pub target: CompactString,
 }
 
 impl Request {
-    /// A request without headers or body.
+    /// Creates a request without headers or body.
     pub fn new(method: Method, target: &str) -> Self {
         let target = target.into();
         Self { body: Body::Empty, echo: None, headers: HeaderMap::new(), method, target }
     }
 
-    /// Reads a request's head; its body is framed by the headers and not taken yet.
+    /// Parses a request's head; its body is left empty.
     ///
     /// # Errors
     ///
-    /// Where it is no head, or one that could be read in two ways.
+    /// If it is not a complete HTTP/1.1 head, or could be interpreted in two ways.
     pub fn parse(bytes: &[u8]) -> Result<Self, Error> {
-        let mut headers = [httparse::EMPTY_HEADER; head::HEADERS_MAX];
+        let mut headers = [httparse::EMPTY_HEADER; head::MAX_HEADERS];
         let mut parsed = httparse::Request::new(&mut headers);
-        let status = parsed.parse(bytes).map_err(head::malformed)?;
+        let status = parsed.parse(bytes).map_err(head::parse_error)?;
         let (Some(method), Some(path), Some(1)) = (parsed.method, parsed.path, parsed.version)
         else {
-            return Err(Error::Malformed("its first line".to_owned()));
+            return Err(Error::Malformed("invalid request line".to_owned()));
         };
         if status.is_partial() {
-            return Err(Error::Malformed("it breaks off".to_owned()));
+            return Err(Error::Malformed("incomplete head".to_owned()));
         }
         let method = Method::from_bytes(method.as_bytes())
             .map_err(|_| Error::Malformed(method.to_owned()))?;
@@ -58,12 +59,12 @@
         Ok(request)
     }
 
-    /// The path, without a query.
+    /// Path without the query.
     pub fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or_default()
     }
 
-    /// A value of the query, percent-decoded.
+    /// First value of the query parameter `name`, percent-decoded.
     pub fn query(&self, name: &str) -> Option<CompactString> {
         let (_, query) = self.target.split_once('?')?;
         let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -71,42 +72,42 @@
         Some(percent_encoding::percent_decode_str(value).decode_utf8_lossy().into())
     }
 
-    /// A header's last value, where it is text.
+    /// Last value of the header `name`, if it is text.
     pub fn header(&self, name: &str) -> Option<&str> {
         head::last(&self.headers, name)
     }
 
-    /// Sets a header; values that no header can hold are left out.
+    /// Sets a header; a value that is not valid in a header is logged and left out.
     pub fn set_header(&mut self, name: HeaderName, value: impl AsRef<str>) {
         head::set(&mut self.headers, name, value.as_ref());
     }
 
-    /// The host that is asked, in small letters, without its port.
+    /// Requested host in lower case, without the port.
     pub fn host(&self) -> CompactString {
         let host = self.header("host").unwrap_or_default();
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         CompactString::from(name).to_ascii_lowercase()
     }
 
-    /// Head as bytes, with room for the body that goes out with it.
+    /// Encodes the head, with capacity for a body that is sent in the same write.
     pub(super) fn encode(&self) -> Vec<u8> {
         let mut bytes =
             Vec::with_capacity(512 + self.body.len().unwrap_or_default().min(65_536) as usize);
-        let line = format_compact!("{} {} HTTP/1.1\r\n", self.method, self.target);
-        bytes.extend_from_slice(line.as_bytes());
+        let request_line = format_compact!("{} {} HTTP/1.1\r\n", self.method, self.target);
+        bytes.extend_from_slice(request_line.as_bytes());
         head::encode(&self.headers, &mut bytes);
-        let plain = matches!(self.method, Method::GET | Method::HEAD | Method::DELETE);
+        let is_bodiless_method = matches!(self.method, Method::GET | Method::HEAD | Method::DELETE);
         match self.body.len() {
-            Some(0) if plain => (),
+            Some(0) if is_bodiless_method => (),
             Some(length) => head::encode_length(length, &mut bytes),
-            None => bytes.extend_from_slice(head::CHUNKED),
+            None => bytes.extend_from_slice(head::CHUNKED_HEADER),
         }
         bytes.extend_from_slice(b"\r\n");
         bytes
     }
 
-    /// The value that the answer has to repeat.
-    pub(super) fn echoed(&self) -> Option<(HeaderName, HeaderValue)> {
+    /// The header that the answer has to repeat, with its value.
+    pub(super) fn expected_echo(&self) -> Option<(HeaderName, HeaderValue)> {
         let name = self.echo.clone()?;
         let value = self.headers.get(&name)?.clone();
         Some((name, value))
--- a/src/exchange/request_reader.rs
+++ b/src/exchange/request_reader.rs
@@ -1,4 +1,4 @@
-//! A caller's connection: its requests, one after the other.
+//! Reads requests from a caller's connection, one after the other.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,64 +9,67 @@
 use async_std::net::TcpStream;
 
 use super::Body;
+use super::BodyReader;
 use super::Error;
-use super::Exact;
 use super::Outcome;
 use super::Request;
 use super::ResponseWriter;
-use super::Tap;
+use super::Socket;
 use super::head;
 use super::refuse;
 
-/// Longest head unless told otherwise, in bytes: twice what common servers allow.
-pub const HEAD_MAX: usize = 16 * 1024;
-/// Time in which a caller reads an answer that ends the connection. Closed at once, its
-/// unread bytes would reset the connection, and the answer would be lost on the way.
-const LINGER: Duration = Duration::from_secs(2);
-const LINGER_BYTES: u64 = 1024 * 1024;
-/// Longest pause in a request's body until its rule sets another.
-const IDLE: Duration = Duration::from_secs(60);
+/// Default for the largest head of a request, in bytes: twice the limit of common servers.
+pub const DEFAULT_MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Longest wait for the caller to read the last response before its connection is closed.
+/// Closing with unread bytes from the caller resets the connection, which can destroy a response
+/// that is still in transit.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Most bytes from the caller that are discarded during that wait.
+const MAX_LINGER_BYTES: u64 = 1024 * 1024;
+/// Longest wait for the next byte of a request's body until the matching rule sets another limit.
+const DEFAULT_BODY_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Reads requests off one connection.
+/// Reads the requests of one connection.
 pub struct RequestReader {
-    head_max: usize,
+    max_head_bytes: usize,
     peer: SocketAddr,
-    tap: Tap,
+    socket: Socket,
 }
 
 impl RequestReader {
-    /// Serves an accepted connection.
+    /// Creates a reader for an accepted connection.
     pub fn new(stream: TcpStream, peer: SocketAddr) -> Self {
         stream.set_nodelay(true).ok();
-        Self { head_max: HEAD_MAX, peer, tap: Tap::new(stream) }
+        Self { max_head_bytes: DEFAULT_MAX_HEAD_BYTES, peer, socket: Socket::new(stream) }
     }
 
-    /// Sets the longest head, in bytes.
-    pub fn set_head_max(&mut self, head_max: usize) {
-        self.head_max = head_max;
+    /// Sets the largest head of a request, in bytes.
+    pub fn set_max_head_bytes(&mut self, max_head_bytes: usize) {
+        self.max_head_bytes = max_head_bytes;
     }
 
-    /// The other end.
+    /// Address of the caller.
     pub fn peer(&self) -> SocketAddr {
         self.peer
     }
 
-    /// Ends when a request begins, or the caller has closed.
+    /// Waits until bytes of a request arrive or the caller closes the connection.
     pub async fn readable(&self) {
-        self.tap.readable().await;
+        self.socket.readable().await;
     }
 
-    /// The next request, whose head comes within `limit`; `None` where the connection is
-    /// over. A head that can't be served is answered here.
+    /// Reads the next request, whose head must arrive within `limit`, and returns it with the
+    /// writer of its response. `None` if the connection has ended; an invalid head is answered
+    /// with an error first.
     pub async fn next(&mut self, limit: Duration) -> Option<(Request, ResponseWriter)> {
-        let head = timeout(limit, self.tap.head(self.head_max)).await.ok()?;
+        let head = timeout(limit, self.socket.read_head(self.max_head_bytes)).await.ok()?;
         let request = match head {
             Ok(None) => return None,
             Ok(Some(bytes)) => Request::parse(&bytes),
             Err(error) => Err(error),
         };
         match request {
-            Ok(request) => Some(self.start(request)),
+            Ok(request) => Some(self.attach_body(request)),
             Err(error) => {
                 self.reject(&error).await;
                 None
@@ -74,33 +77,34 @@
         }
     }
 
-    /// Answers with an error and ends the connection.
+    /// Answers with an error and closes the connection.
     pub async fn reject(&mut self, error: &Error) {
-        let mut writer = ResponseWriter::new(self.tap.clone(), http::Method::GET, true);
+        let mut writer = ResponseWriter::new(self.socket.clone(), http::Method::GET, true);
         let response = refuse(error.status(), Outcome::NotRun, &error.to_string(), None);
         writer.send(response).await.ok();
         self.linger().await;
     }
 
-    /// Lets the caller read what was sent, and closes.
+    /// Waits for the caller to read the last response, then closes the connection.
     pub async fn linger(&mut self) {
-        self.tap.finish();
-        let mut rest = self.tap.stream().take(LINGER_BYTES);
-        timeout(LINGER, io::copy(&mut rest, &mut io::sink())).await.ok();
-        self.tap.close();
+        self.socket.finish();
+        let mut remaining = self.socket.stream().take(MAX_LINGER_BYTES);
+        timeout(LINGER_TIMEOUT, io::copy(&mut remaining, &mut io::sink())).await.ok();
+        self.socket.close();
     }
 
-    fn start(&self, mut request: Request) -> (Request, ResponseWriter) {
+    fn attach_body(&self, mut request: Request) -> (Request, ResponseWriter) {
         if let Some(framing) = head::request_framing(&request) {
-            let mut exact = Exact::new(self.tap.clone(), framing, u64::MAX, IDLE);
-            let expects = request.header("expect");
-            if expects.is_some_and(|text| text.eq_ignore_ascii_case("100-continue")) {
-                exact.greet();
+            let mut reader =
+                BodyReader::new(self.socket.clone(), framing, u64::MAX, DEFAULT_BODY_TIMEOUT);
+            let expect = request.header("expect");
+            if expect.is_some_and(|text| text.eq_ignore_ascii_case("100-continue")) {
+                reader.send_continue();
             }
-            request.body = Body::Stream(Box::new(exact));
+            request.body = Body::Stream(Box::new(reader));
         }
         let close = head::says_close(&request.headers);
-        let writer = ResponseWriter::new(self.tap.clone(), request.method.clone(), close);
+        let writer = ResponseWriter::new(self.socket.clone(), request.method.clone(), close);
         (request, writer)
     }
 }
--- a/src/exchange/response.rs
+++ b/src/exchange/response.rs
@@ -1,4 +1,4 @@
-//! An answer: its head, and a body that is whole or still coming.
+//! A response: its head, and a body that is buffered or still being received.
 
 use http::HeaderMap;
 use http::HeaderName;
@@ -9,24 +9,24 @@
 use super::Failure;
 use super::head;
 
-/// One answer, received or to be sent.
+/// One response, received or to be sent.
 #[derive(Debug)]
 pub struct Response {
-    /// Body; taken once.
+    /// Body; it can be taken once.
     pub body: Body,
-    /// Headers, without those that frame the message.
+    /// Headers, without those that frame the body.
     pub headers: HeaderMap,
-    /// Status.
+    /// Status code.
     pub status: u16,
 }
 
 impl Response {
-    /// An answer without headers or body.
+    /// Creates a response without headers or body.
     pub fn new(status: u16) -> Self {
         Self { body: Body::Empty, headers: HeaderMap::new(), status }
     }
 
-    /// An answer of JSON.
+    /// Creates a response with a JSON body.
     pub fn json(status: u16, text: String) -> Self {
         let mut response = Self::new(status);
         response.set_header(http::header::CONTENT_TYPE, "application/json");
@@ -34,18 +34,18 @@
         response
     }
 
-    /// Reads an answer's head.
+    /// Parses a response's head; its body is left empty.
     ///
     /// # Errors
     ///
-    /// Where it is none.
+    /// If it is not a complete HTTP/1.x head.
     pub(super) fn parse(bytes: &[u8]) -> Result<Self, Failure> {
-        let mut headers = [httparse::EMPTY_HEADER; head::HEADERS_MAX];
+        let mut headers = [httparse::EMPTY_HEADER; head::MAX_HEADERS];
         let mut parsed = httparse::Response::new(&mut headers);
         let malformed = |text: String| Failure::Malformed(text);
         let status = parsed.parse(bytes).map_err(|error| malformed(error.to_string()))?;
         let (false, Some(code)) = (status.is_partial(), parsed.code) else {
-            return Err(malformed("its first line".to_owned()));
+            return Err(malformed("incomplete status line or head".to_owned()));
         };
         let headers = head::map(parsed.headers).map_err(|error| malformed(error.to_string()))?;
         Ok(Self { body: Body::Empty, headers, status: code })
@@ -56,27 +56,28 @@
         (200..300).contains(&self.status)
     }
 
-    /// A header's last value, where it is text.
+    /// Last value of the header `name`, if it is text.
     pub fn header(&self, name: &str) -> Option<&str> {
         head::last(&self.headers, name)
     }
 
-    /// Sets a header; values that no header can hold are left out.
+    /// Sets a header; a value that is not valid in a header is logged and left out.
     pub fn set_header(&mut self, name: HeaderName, value: impl AsRef<str>) {
         head::set(&mut self.headers, name, value.as_ref());
     }
 
-    /// Takes the body and reads it to its end, as text.
+    /// Takes the body and reads it to its end as text.
     ///
     /// # Errors
     ///
-    /// Where it is not whole.
+    /// If the body can't be read to its end.
     pub async fn body_text(&mut self) -> Result<String, BodyError> {
         let bytes = std::mem::take(&mut self.body).read_all().await?;
         Ok(String::from_utf8_lossy(&bytes).into_owned())
     }
 
-    /// Head as bytes, as the answer to a request that may want no body.
+    /// Encodes the head, with capacity for a body. `wants_body` is false for the response to a
+    /// `HEAD` request, which has no body.
     pub(super) fn encode(&self, wants_body: bool) -> Vec<u8> {
         let mut bytes =
             Vec::with_capacity(512 + self.body.len().unwrap_or_default().min(65_536) as usize);
@@ -87,7 +88,7 @@
         match self.body.len() {
             _ if self.status == 204 || self.status == 304 => (),
             Some(length) => head::encode_length(length, &mut bytes),
-            None if wants_body => bytes.extend_from_slice(head::CHUNKED),
+            None if wants_body => bytes.extend_from_slice(head::CHUNKED_HEADER),
             None => (),
         }
         bytes.extend_from_slice(b"\r\n");
--- a/src/exchange/response_writer.rs
+++ b/src/exchange/response_writer.rs
@@ -1,4 +1,4 @@
-//! Where the answer to one request goes.
+//! Writes the response to one request.
 
 use std::io;
 
@@ -7,36 +7,36 @@
 
 use super::Body;
 use super::Response;
-use super::Tap;
+use super::Socket;
 
-/// The way back to a caller.
+/// Writes the response to one request to the caller's connection.
 pub struct ResponseWriter {
     close: bool,
     method: Method,
-    tap: Tap,
+    socket: Socket,
 }
 
 impl ResponseWriter {
-    pub(super) fn new(tap: Tap, method: Method, close: bool) -> Self {
-        Self { close, method, tap }
+    pub(super) fn new(socket: Socket, method: Method, close: bool) -> Self {
+        Self { close, method, socket }
     }
 
-    /// Whether the connection ends with this answer.
+    /// Whether the connection is closed after this response.
     pub fn is_closing(&self) -> bool {
         self.close
     }
 
-    /// Ends the connection after this answer.
+    /// Closes the connection after this response.
     pub fn close_after(&mut self) {
         self.close = true;
     }
 
-    /// Sends the answer. Where its body breaks off, the connection is closed short of the
-    /// end that was told, which is how the caller sees that this was not all.
+    /// Sends the response. If reading its body fails, the connection is closed before the
+    /// announced end, so that the caller notices that the response is incomplete.
     ///
     /// # Errors
     ///
-    /// Where the caller is gone or the body breaks off.
+    /// If writing to the caller or reading the body fails.
     pub async fn send(&mut self, mut response: Response) -> io::Result<()> {
         if self.close {
             response.set_header(header::CONNECTION, "close");
@@ -44,14 +44,14 @@
         let sent = self.write(response).await;
         if sent.is_err() {
             self.close = true;
-            self.tap.close();
+            self.socket.close();
         }
         sent
     }
 
-    /// Ends when the caller has closed its connection.
+    /// Waits until the caller has closed its connection.
     pub async fn caller_gone(&self) {
-        self.tap.gone().await;
+        self.socket.closed().await;
     }
 
     async fn write(&self, response: Response) -> io::Result<()> {
@@ -60,27 +60,27 @@
         let chunked = response.body.len().is_none();
         match response.body {
             Body::Buffered(body) if wants_body => bytes.extend_from_slice(&body),
-            Body::Stream(mut exact) if wants_body => {
-                self.tap.write(&bytes).await?;
-                while let Some(piece) = exact.next().await.map_err(io::Error::other)? {
+            Body::Stream(mut reader) if wants_body => {
+                self.socket.write(&bytes).await?;
+                while let Some(data) = reader.next().await.map_err(io::Error::other)? {
                     if chunked {
-                        self.tap.write(&chunk(&piece)).await?;
+                        self.socket.write(&encode_chunk(&data)).await?;
                     } else {
-                        self.tap.write(&piece).await?;
+                        self.socket.write(&data).await?;
                     }
                 }
                 bytes = if chunked { b"0\r\n\r\n".to_vec() } else { Vec::new() };
             }
             Body::Empty | Body::Buffered(_) | Body::Stream(_) => (),
         }
-        self.tap.write(&bytes).await
+        self.socket.write(&bytes).await
     }
 }
 
-/// One piece of a chunked body with its frame.
-pub(super) fn chunk(piece: &[u8]) -> Vec<u8> {
-    let mut bytes = format!("{:x}\r\n", piece.len()).into_bytes();
-    bytes.extend_from_slice(piece);
+/// Encodes one chunk of a chunked body.
+pub(super) fn encode_chunk(data: &[u8]) -> Vec<u8> {
+    let mut bytes = format!("{:x}\r\n", data.len()).into_bytes();
+    bytes.extend_from_slice(data);
     bytes.extend_from_slice(b"\r\n");
     bytes
 }
--- a/src/exchange/tap.rs
+++ b/src/exchange/socket.rs
@@ -1,4 +1,4 @@
-//! One connection, read through a buffer that heads and bodies take from.
+//! A TCP socket with a read buffer that heads and bodies are taken from.
 
 use std::io;
 use std::pin::Pin;
@@ -17,14 +17,15 @@
 
 use super::Error;
 
-/// Bytes asked of the socket at once: a head of the longest kind.
-const CHUNK: usize = 16 * 1024;
-const END: &[u8] = b"\r\n\r\n";
+/// Most bytes read at once; a head of the default limit fits.
+const MAX_READ_BYTES: usize = 16 * 1024;
+/// Empty line at the end of a head.
+const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// A connection. Bytes that came early stay in its buffer for the next message: lost, they
-/// would leave the next caller with half an answer.
+/// A TCP socket with a read buffer. Bytes that follow a message stay in the buffer for the next
+/// one; if they were lost, the next message would be incomplete.
 #[derive(Clone, Debug)]
-pub struct Tap {
+pub struct Socket {
     state: Arc<Mutex<State>>,
     stream: TcpStream,
 }
@@ -32,12 +33,12 @@
 #[derive(Debug, Default)]
 struct State {
     buffer: BytesMut,
-    ended: bool,
+    is_closed: bool,
 }
 
 impl State {
-    /// The first bytes; an empty buffer keeps no room.
-    fn split(&mut self, count: usize) -> Bytes {
+    /// Removes and returns the first `count` bytes. A buffer that becomes empty is freed.
+    fn split_to(&mut self, count: usize) -> Bytes {
         if count == self.buffer.len() {
             return std::mem::take(&mut self.buffer).freeze();
         }
@@ -45,41 +46,42 @@
     }
 }
 
-impl Tap {
-    /// Wraps an open connection.
+impl Socket {
+    /// Wraps an open TCP stream.
     pub fn new(stream: TcpStream) -> Self {
         Self { state: Arc::default(), stream }
     }
 
-    /// The next head, with its empty line; `None` where the peer closed before a byte of it.
+    /// Reads the next head including its empty line; `None` if the connection ends before its
+    /// first byte.
     ///
     /// # Errors
     ///
-    /// Where it is longer than `limit` bytes, holds a byte that heads can't, or breaks off.
-    pub async fn head(&self, limit: usize) -> Result<Option<Bytes>, Error> {
-        let mut seen = 0;
+    /// If it is longer than `limit` bytes, contains a byte that is not allowed, or is incomplete.
+    pub async fn read_head(&self, limit: usize) -> Result<Option<Bytes>, Error> {
+        let mut scanned = 0;
         loop {
-            if let Some(head) = self.buffered_head(&mut seen, limit)? {
+            if let Some(head) = self.take_head(&mut scanned, limit)? {
                 return Ok(Some(head));
             }
             let filled = self.fill().await;
             match filled {
-                Ok(0) | Err(_) if !self.has_early() => return Ok(None),
-                Ok(0) => return Err(Error::Malformed("it breaks off".to_owned())),
+                Ok(0) | Err(_) if !self.has_buffered() => return Ok(None),
+                Ok(0) => return Err(Error::Malformed("incomplete head".to_owned())),
                 Ok(_) => (),
                 Err(error) => return Err(Error::Malformed(error.to_string())),
             }
         }
     }
 
-    /// At most `most` bytes that are there already.
-    pub(super) fn take(&self, most: u64) -> Bytes {
+    /// Takes at most `max` bytes from the buffer.
+    pub(super) fn take(&self, max: u64) -> Bytes {
         let mut state = self.lock();
-        let count = usize::try_from(most).unwrap_or(usize::MAX).min(state.buffer.len());
-        state.split(count)
+        let count = usize::try_from(max).unwrap_or(usize::MAX).min(state.buffer.len());
+        state.split_to(count)
     }
 
-    /// The next line that is there already, without its line end.
+    /// Takes the next line from the buffer, without its line end, if it is there as a whole.
     pub(super) fn take_line(&self) -> Option<Bytes> {
         let mut state = self.lock();
         let end = state.buffer.iter().position(|byte| *byte == b'\n')?;
@@ -91,17 +93,17 @@
         Some(line.freeze())
     }
 
-    /// Bytes that came and were not taken yet.
-    pub(super) fn early(&self) -> usize {
+    /// Number of bytes that were received but not taken yet.
+    pub(super) fn buffered_len(&self) -> usize {
         self.lock().buffer.len()
     }
 
-    /// Whether bytes came that no message has taken.
-    pub fn has_early(&self) -> bool {
-        self.early() > 0
+    /// Whether bytes were received that are not taken yet.
+    pub fn has_buffered(&self) -> bool {
+        self.buffered_len() > 0
     }
 
-    /// Reads more into the buffer; 0 where the peer has closed.
+    /// Reads more bytes into the buffer and returns their number; 0 if the peer has closed.
     pub(super) async fn fill(&self) -> io::Result<usize> {
         futures::future::poll_fn(|context| self.poll_fill(context)).await
     }
@@ -111,9 +113,9 @@
         (&self.stream).write_all(bytes).await
     }
 
-    /// Whether the connection is open and nothing unasked came on it.
-    pub async fn is_quiet(&self) -> bool {
-        if self.has_early() || self.lock().ended {
+    /// Whether the connection is open and no unread bytes have arrived on it.
+    pub async fn is_idle(&self) -> bool {
+        if self.has_buffered() || self.lock().is_closed {
             return false;
         }
         let mut byte = [0];
@@ -122,9 +124,9 @@
         futures::poll!(peek).is_pending()
     }
 
-    /// Ends when the peer has closed; never while it has bytes to be read.
-    pub async fn gone(&self) {
-        if self.has_early() {
+    /// Waits until the peer has closed the connection; never returns if there are bytes to read.
+    pub async fn closed(&self) {
+        if self.has_buffered() {
             return futures::future::pending().await;
         }
         let mut byte = [0];
@@ -134,55 +136,57 @@
         }
     }
 
-    /// Ends when there is something to read, or the peer has closed.
+    /// Waits until there are bytes to read or the peer has closed the connection.
     pub async fn readable(&self) {
-        if !self.has_early() {
+        if !self.has_buffered() {
             let mut byte = [0];
             self.stream.peek(&mut byte).await.ok();
         }
     }
 
-    /// Closes both ways.
+    /// Closes both directions.
     pub fn close(&self) {
         self.stream.shutdown(std::net::Shutdown::Both).ok();
     }
 
-    /// Closes the way out.
+    /// Closes the sending direction.
     pub fn finish(&self) {
         self.stream.shutdown(std::net::Shutdown::Write).ok();
     }
 
-    /// The connection itself.
+    /// The wrapped TCP stream.
     pub fn stream(&self) -> &TcpStream {
         &self.stream
     }
 
-    fn buffered_head(&self, seen: &mut usize, limit: usize) -> Result<Option<Bytes>, Error> {
+    fn take_head(&self, scanned: &mut usize, limit: usize) -> Result<Option<Bytes>, Error> {
         let mut state = self.lock();
-        let from = seen.saturating_sub(END.len() - 1);
-        let end = state.buffer[from..].windows(END.len()).position(|window| window == END);
-        let length = end.map_or(state.buffer.len(), |end| from + end + END.len());
-        let odd = |byte: &&u8| !byte.is_ascii() || **byte == 0;
-        if let Some(byte) = state.buffer[*seen..length].iter().find(odd) {
+        let from = scanned.saturating_sub(HEAD_END.len() - 1);
+        let end =
+            state.buffer[from..].windows(HEAD_END.len()).position(|window| window == HEAD_END);
+        let length = end.map_or(state.buffer.len(), |end| from + end + HEAD_END.len());
+        let is_invalid = |byte: &&u8| !byte.is_ascii() || **byte == 0;
+        if let Some(byte) = state.buffer[*scanned..length].iter().find(is_invalid) {
             return Err(Error::HeadByte(*byte));
         }
         if length > limit {
             return Err(Error::HeadSize(limit));
         }
-        *seen = length;
-        Ok(end.map(|_| state.split(length)))
+        *scanned = length;
+        Ok(end.map(|_| state.split_to(length)))
     }
 
     fn poll_fill(&self, context: &mut Context<'_>) -> Poll<io::Result<usize>> {
-        // Not read into the buffer itself: thousands of idle connections would keep room in it.
-        let mut chunk = [0; CHUNK];
+        // Reads into the stack first: reserving buffer space for each of thousands of idle
+        // connections would waste memory.
+        let mut chunk = [0; MAX_READ_BYTES];
         let mut stream = &self.stream;
         let polled = Pin::new(&mut stream).poll_read(context, &mut chunk);
         let mut state = self.lock();
         if let Poll::Ready(Ok(count)) = &polled {
             state.buffer.extend_from_slice(&chunk[..*count]);
         }
-        state.ended |= matches!(polled, Poll::Ready(Ok(0) | Err(_)));
+        state.is_closed |= matches!(polled, Poll::Ready(Ok(0) | Err(_)));
         polled
     }
 
--- a/src/node/doors.rs
+++ b/src/node/doors.rs
@@ -67,7 +67,7 @@
 async fn order(mut request: Request, writer: &mut ResponseWriter, inbox: &Inbox, shared: &Shared) {
     let body = match Payload::take(&mut request, ORDER_MAX, ORDER_MAX, IDLE).await {
         Ok(Payload::Buffered(body)) => body,
-        Ok(Payload::Stream(Some(mut exact), _)) => match exact.read_all().await {
+        Ok(Payload::Stream(Some(mut body_reader), _)) => match body_reader.read_all().await {
             Ok(body) => body,
             Err(error) => return refuse(400, &error.to_string(), writer, shared).await,
         },
--- a/src/node/traffic/listener.rs
+++ b/src/node/traffic/listener.rs
@@ -73,7 +73,7 @@
     loop {
         let told = shared.view.load().rules.as_ref().map(|rules| rules.limits());
         let told = told.unwrap_or_default();
-        reader.set_head_max(told.head.unwrap_or(limits.head as usize));
+        reader.set_max_head_bytes(told.head.unwrap_or(limits.head as usize));
         let readable = {
             let readable = timeout(told.idle.unwrap_or(limits.idle), reader.readable()).fuse();
             let closing = shared.closed().fuse();
