--- a/src/exchange/head.rs
+++ b/src/exchange/head.rs
@@ -179,7 +179,7 @@
     match HeaderValue::from_str(value) {
         Ok(value) => drop(headers.insert(name, value)),
         Err(error) => {
-            tracing::warn!(target: "hemlockfield::exchange", %name, "left out invalid header: {error}");
+            tracing::warn!(target: "hemlockfield::exchange", %name, "header dropped: {error}");
         }
     }
 }
--- a/tests/suite/exchange.rs
+++ b/tests/suite/exchange.rs
@@ -1,4 +1,4 @@
-//! Tests of `hemlockfield::exchange`: the whole answer or a visible failure.
+//! Tests of `hemlockfield::exchange`: callers get a complete answer or a visible failure.
 
 mod callers;
 mod heads;
--- a/tests/suite/exchange/heads.rs
+++ b/tests/suite/exchange/heads.rs
@@ -1,4 +1,4 @@
-//! Heads that a caller may not send.
+//! Heads of requests that are accepted or refused.
 
 use async_std::io::ReadExt;
 use async_std::io::WriteExt;
@@ -12,8 +12,8 @@
 
 use super::script::TIMEOUTS;
 
-/// What a caller that sends `bytes` and then closes its sending side reads.
-pub(super) async fn heard(bytes: &[u8]) -> String {
+/// Sends `bytes` to a server that echoes path and body, and returns all that it answers.
+pub(super) async fn received(bytes: &[u8]) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     task::spawn(async move {
@@ -33,9 +33,9 @@
     });
     let mut stream = TcpStream::connect(address).await.unwrap();
     stream.write_all(bytes).await.unwrap();
-    let mut heard = String::new();
-    stream.read_to_string(&mut heard).await.ok();
-    heard
+    let mut received = String::new();
+    stream.read_to_string(&mut received).await.ok();
+    received
 }
 
 #[rstest]
@@ -51,7 +51,7 @@
     "POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 4\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n",
     "400"
 )]
-#[case::odd_coding(
+#[case::unknown_coding(
     "POST / HTTP/1.1\r\nhost: a\r\ntransfer-encoding: xchunked\r\n\r\n0\r\n\r\n",
     "501"
 )]
@@ -62,26 +62,26 @@
 #[case::connect("CONNECT a:1 HTTP/1.1\r\nhost: a\r\n\r\n", "501")]
 #[case::old_version("GET / HTTP/1.0\r\nhost: a\r\n\r\n", "400")]
 fn next_refused(#[case] bytes: &str, #[case] status: &str) {
-    let heard = block_on(heard(bytes.as_bytes()));
-    assert!(heard.starts_with(&format!("HTTP/1.1 {status} ")), "{heard}");
-    assert!(heard.contains("x-hemlockfield-outcome: not-run"), "{heard}");
-    assert_eq!(heard.matches("HTTP/1.1").count(), 1, "{heard}");
+    let received = block_on(received(bytes.as_bytes()));
+    assert!(received.starts_with(&format!("HTTP/1.1 {status} ")), "{received}");
+    assert!(received.contains("x-hemlockfield-outcome: not-run"), "{received}");
+    assert_eq!(received.matches("HTTP/1.1").count(), 1, "{received}");
 }
 
-// Heads of up to 16 KiB are served, and longer ones refused.
+// The default limit is 16 KiB: a head just below it is served, a longer one is refused.
 #[test]
 fn next_largest_head() {
     let bytes = format!(
         "GET /1 HTTP/1.1\r\nhost: a\r\nconnection: close\r\nx: {}\r\n\r\n",
         "a".repeat(16_000)
     );
-    let heard = block_on(heard(bytes.as_bytes()));
-    assert!(heard.starts_with("HTTP/1.1 200 "), "{heard}");
+    let received = block_on(received(bytes.as_bytes()));
+    assert!(received.starts_with("HTTP/1.1 200 "), "{received}");
 }
 
 #[test]
 fn next_oversized_head() {
     let bytes = format!("GET / HTTP/1.1\r\nhost: a\r\nx: {}\r\n\r\n", "a".repeat(17_000));
-    let heard = block_on(heard(bytes.as_bytes()));
-    assert!(heard.starts_with("HTTP/1.1 431 "), "{heard}");
+    let received = block_on(received(bytes.as_bytes()));
+    assert!(received.starts_with("HTTP/1.1 431 "), "{received}");
 }
--- a/tests/suite/exchange/script.rs
+++ b/tests/suite/exchange/script.rs
@@ -1,4 +1,4 @@
-//! A peer that reads what comes and writes fixed bytes.
+//! A scripted server that reads request heads and writes fixed bytes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,33 +22,34 @@
     idle: Duration::from_millis(300),
 };
 
-/// What the peer does, in order, on each connection.
+/// One step of the script, which runs on each connection.
 #[derive(Clone)]
 pub(super) enum Step {
     /// Closes the connection.
     Close,
-    /// Reads until a request's head has come.
+    /// Reads until the head of a request is complete.
     Head,
-    /// Keeps the connection open and says nothing more.
+    /// Keeps the connection open and sends nothing more.
     Hold,
-    /// Lets the other end read what came so far.
+    /// Waits until the client has read what was sent so far.
     Pause,
     /// Writes these bytes.
     Write(&'static str),
 }
 
-pub(super) async fn peer(steps: Vec<Step>) -> SocketAddr {
+/// Starts a server that runs `steps` on each connection, and returns its address.
+pub(super) async fn serve(steps: Vec<Step>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     task::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            task::spawn(play(stream, steps.clone()));
+            task::spawn(run(stream, steps.clone()));
         }
     });
     address
 }
 
-async fn play(mut stream: TcpStream, steps: Vec<Step>) {
+async fn run(mut stream: TcpStream, steps: Vec<Step>) {
     for step in steps {
         match step {
             Step::Close => return,
@@ -77,8 +78,9 @@
     request
 }
 
-pub(super) async fn ask(steps: Vec<Step>) -> Result<Answer, Failure> {
-    let address = peer(steps).await;
+/// Sends one request to a server that runs `steps`.
+pub(super) async fn send(steps: Vec<Step>) -> Result<Answer, Failure> {
+    let address = serve(steps).await;
     let connection = Connection::connect(address, TIMEOUTS.connect).await.unwrap();
     connection.send(get("/hull/1"), TIMEOUTS).await
 }
