--- a/src/rule.rs
+++ b/src/rule.rs
@@ -1,10 +1,10 @@
-//! Ordered rules: conditions, actions and the first match.
+//! Ordered routing rules with conditions and actions; the first rule that matches decides.
 //!
 //! Operators submit one YAML document with services, classes, teams and rules.
-//! [`Rules::parse`] checks it whole; [`Rules::decide`] finds the first rule
-//! that holds for a request. A plain scan over 4,200 rules would cost every
-//! request tens of microseconds, so an [`Index`] by host, path and team leaves
-//! a handful of candidates, and gives exactly what the scan gives.
+//! [`Rules::parse`] validates it as a whole; [`Rules::decide`] finds the first rule that
+//! matches a request. A linear scan over 4,200 rules would cost every request tens of
+//! microseconds. An [`Index`] by host, path and team reduces that to a few candidates with
+//! the same result as the scan.
 
 mod action;
 mod class;
@@ -15,9 +15,9 @@
 mod headers;
 mod index;
 mod limits;
+mod not_run_signal;
 mod pattern;
 mod probe;
-mod refusal;
 mod request;
 #[allow(clippy::module_inception)]
 mod rule;
@@ -38,10 +38,10 @@
 pub use headers::Headers;
 pub use index::Index;
 pub use limits::Limits;
+pub use not_run_signal::NotRunSignal;
 pub use pattern::Host;
 pub use pattern::Path;
 pub use probe::Probe;
-pub use refusal::Refusal;
 pub use request::Request;
 pub use rule::Rule;
 pub use rules::Rules;
--- a/src/rule/action.rs
+++ b/src/rule/action.rs
@@ -8,30 +8,31 @@
 use crate::settings::Tree;
 
 /// Default for `status` of a refusal.
-const STATUS: u16 = 403;
+const DEFAULT_STATUS: u16 = 403;
 /// Default for `message` of a refusal.
-const MESSAGE: &str = "refused by a rule";
+const DEFAULT_MESSAGE: &str = "refused by a rule";
 
-/// What a rule does with a request.
+/// What happens to a request that matches a rule.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Answers at once; the request is not run.
+    /// Refuses the request; it is not run.
     Refuse {
-        /// Body of the answer.
+        /// Body of the response.
         message: CompactString,
-        /// Status of the answer, 400 to 599.
+        /// Status of the response, 400 to 599.
         status: u16,
     },
-    /// Sends it to an upstream of a service.
+    /// Sends the request to an upstream of a service.
     Route {
-        /// The service, or those that share its requests.
+        /// The service, or several that share the requests by weight.
         split: Split,
-        /// Terms of service.
+        /// Limits and guarantees for the request.
         terms: Terms,
     },
 }
 
 impl Action {
+    /// Reads the `then` field of a rule; `class` is the default class.
     pub(super) fn read(
         tree: &Tree,
         class: &ClassId,
@@ -45,7 +46,7 @@
                     let text = "`terms` belong to `route`; a refusal has none";
                     mistakes.add(fields.line_of("terms"), text);
                 }
-                refusal(refuse, mistakes)
+                read_refusal(refuse, mistakes)
             }
             (None, Some(route)) => {
                 let terms = Terms::read(fields.tree("terms"), class, classes, mistakes);
@@ -60,9 +61,9 @@
     }
 }
 
-fn refusal(tree: &Tree, mistakes: &Mistakes) -> Option<Action> {
+fn read_refusal(tree: &Tree, mistakes: &Mistakes) -> Option<Action> {
     let fields = Fields::open(tree, mistakes, &["message", "status"])?;
-    let message = fields.or("message", MESSAGE.into());
-    let status = fields.ranged("status", STATUS, &400, &599);
+    let message = fields.or("message", DEFAULT_MESSAGE.into());
+    let status = fields.ranged("status", DEFAULT_STATUS, &400, &599);
     Some(Action::Refuse { message, status })
 }
--- a/src/rule/class.rs
+++ b/src/rule/class.rs
@@ -9,35 +9,36 @@
 use crate::settings::Mistakes;
 use crate::settings::Tree;
 
-/// Default for `weight`: every class alike.
-const WEIGHT: usize = 1;
-/// Default for `wait`: a caller who waits longer than a second for its turn
-/// is better told to come back; lookups take tens of milliseconds.
-const WAIT: Duration = Duration::from_secs(1);
+/// Default for `weight`: all classes have the same share.
+const DEFAULT_WEIGHT: usize = 1;
+/// Default for `wait`. Lookups take tens of milliseconds, so a caller that has
+/// waited a second is better served by a refusal and a later retry.
+const DEFAULT_WAIT: Duration = Duration::from_secs(1);
 
-/// A class of service. Classes stand in the order of their priority.
+/// A class of service. Classes are listed in order of priority.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Class {
-    /// Name that rules use.
+    /// Name by which rules and teams refer to it.
     pub name: ClassId,
-    /// Longest wait for a turn, whatever the deadline allows.
+    /// Longest wait in the queue, even if the request's deadline is later.
     pub wait: Duration,
-    /// Share of the capacity under load, against the other classes' weights.
+    /// Share of the capacity under load, relative to the weights of the other classes.
     pub weight: usize,
 }
 
 impl Class {
-    /// The only class of a document that names none.
+    /// The single class of a document that defines no classes.
     pub(super) fn common() -> Self {
-        Self { name: "common".into(), wait: WAIT, weight: WEIGHT }
+        Self { name: "common".into(), wait: DEFAULT_WAIT, weight: DEFAULT_WEIGHT }
     }
 
+    /// Reads an item of `classes`.
     pub(super) fn read(tree: &Tree, mistakes: &Mistakes) -> Option<Self> {
         let fields = Fields::open(tree, mistakes, &["name", "wait", "weight"])?;
         let name = fields.required::<CompactString>("name");
-        let most = Duration::from_secs(60);
-        let wait = fields.ranged("wait", WAIT, &Duration::ZERO, &most);
-        let weight = fields.ranged("weight", WEIGHT, &1, &1_000);
+        let max = Duration::from_secs(60);
+        let wait = fields.ranged("wait", DEFAULT_WAIT, &Duration::ZERO, &max);
+        let weight = fields.ranged("weight", DEFAULT_WEIGHT, &1, &1_000);
         Some(Self { name: name?, wait, weight })
     }
 }
--- a/src/rule/condition.rs
+++ b/src/rule/condition.rs
@@ -16,38 +16,39 @@
 use crate::settings::Tree;
 use crate::settings::scalar;
 
-/// Value of `header` that any value of the header satisfies.
-const PRESENT: &str = "*";
+/// Value of `header` in a document that matches any value of the header.
+const ANY_VALUE: &str = "*";
 
-/// When a rule holds: every part that is given must hold, and a part that is a
-/// list holds when one of its items does.
+/// Condition of a rule. Every criterion that is given must match. A list of hosts, paths,
+/// methods, callers or teams matches if one item does; all headers and all service states
+/// must match.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Condition {
-    /// Callers.
+    /// Names of callers.
     pub callers: Vec<CallerId>,
-    /// Headers: name in lower case, and the value unless any will do.
+    /// Headers: name in lower case and the required value, or `None` for any value.
     pub headers: Vec<(CompactString, Option<CompactString>)>,
-    /// Hosts.
+    /// Host patterns.
     pub hosts: Vec<Host>,
-    /// Methods in upper case.
+    /// Methods, in upper case.
     pub methods: Vec<CompactString>,
-    /// Paths.
+    /// Path patterns.
     pub paths: Vec<Path>,
-    /// States of services.
+    /// Services, each with its accepted states.
     pub states: Vec<(ServiceId, Vec<ServiceState>)>,
-    /// Teams of the caller.
+    /// Names of teams, one of which must be the caller's.
     pub teams: Vec<TeamId>,
 }
 
 impl Condition {
-    /// First part that does not hold; `None` when the condition holds.
-    pub fn failing(
+    /// Returns the first criterion that does not match; `None` if all match.
+    pub fn first_mismatch(
         &self,
         request: &Request,
         team: Option<&TeamId>,
         state: &dyn StateSource,
     ) -> Option<Criterion> {
-        let among = |list: &[CompactString], item: &str| {
+        let is_listed = |list: &[CompactString], item: &str| {
             list.is_empty() || list.iter().any(|entry| entry == item)
         };
         if !self.hosts.is_empty() && !self.hosts.iter().any(|host| host.matches(request.host)) {
@@ -56,30 +57,30 @@
         if !self.paths.is_empty() && !self.paths.iter().any(|path| path.matches(request.path)) {
             return Some(Criterion::Path);
         }
-        if !among(&self.methods, request.method) {
+        if !is_listed(&self.methods, request.method) {
             return Some(Criterion::Method);
         }
-        if !among(&self.callers, request.caller) {
+        if !is_listed(&self.callers, request.caller) {
             return Some(Criterion::Caller);
         }
         if !self.teams.is_empty() && !team.is_some_and(|team| self.teams.contains(team)) {
             return Some(Criterion::Team);
         }
-        if !self.headers.iter().all(|(name, value)| header(request, name, value.as_deref())) {
+        if !self.headers.iter().all(|(name, value)| has_header(request, name, value.as_deref())) {
             return Some(Criterion::Header);
         }
-        let holds = |(service, states): &(ServiceId, Vec<ServiceState>)| {
+        let is_in_state = |(service, states): &(ServiceId, Vec<ServiceState>)| {
             states.contains(&state.state(service))
         };
-        if !self.states.iter().all(holds) {
+        if !self.states.iter().all(is_in_state) {
             return Some(Criterion::ServiceState);
         }
         None
     }
 
-    /// What `criterion` wants, for a person.
-    pub fn wanted(&self, criterion: Criterion) -> String {
-        let words: Vec<String> = match criterion {
+    /// Formats the values that `criterion` accepts, for people.
+    pub fn accepted_values(&self, criterion: Criterion) -> String {
+        let values: Vec<String> = match criterion {
             Criterion::Caller => self.callers.iter().map(ToString::to_string).collect(),
             Criterion::Header => self.headers.iter().map(show_header).collect(),
             Criterion::Host => self.hosts.iter().map(Scalar::show).collect(),
@@ -88,9 +89,10 @@
             Criterion::ServiceState => self.states.iter().map(show_state).collect(),
             Criterion::Team => self.teams.iter().map(ToString::to_string).collect(),
         };
-        format!("`{}`", words.join("`, `"))
+        format!("`{}`", values.join("`, `"))
     }
 
+    /// Reads the `when` field of a rule.
     pub(super) fn read(tree: &Tree, mistakes: &Mistakes) -> Option<Self> {
         let allowed = ["caller", "header", "host", "method", "path", "service_state", "team"];
         let fields = Fields::open(tree, mistakes, &allowed)?;
@@ -100,18 +102,18 @@
         }
         Some(Self {
             callers: fields.several("caller"),
-            headers: headers(&fields),
+            headers: read_headers(&fields),
             hosts: fields.several("host"),
             methods: methods.iter().map(CompactString::to_uppercase).collect(),
             paths: fields.several("path"),
-            states: states(&fields),
+            states: read_states(&fields),
             teams: fields.several("team"),
         })
     }
 }
 
 fn show_header((name, value): &(CompactString, Option<CompactString>)) -> String {
-    format!("{name}: {}", value.as_deref().unwrap_or(PRESENT))
+    format!("{name}: {}", value.as_deref().unwrap_or(ANY_VALUE))
 }
 
 fn show_state((service, states): &(ServiceId, Vec<ServiceState>)) -> String {
@@ -127,7 +129,7 @@
     fields.mistakes().add(fields.line_of("method"), text);
 }
 
-fn header(request: &Request, name: &str, value: Option<&str>) -> bool {
+fn has_header(request: &Request, name: &str, value: Option<&str>) -> bool {
     match (request.headers.header(name), value) {
         (Some(found), Some(value)) => found == value,
         (found, None) => found.is_some(),
@@ -135,25 +137,25 @@
     }
 }
 
-fn headers(fields: &Fields) -> Vec<(CompactString, Option<CompactString>)> {
+fn read_headers(fields: &Fields) -> Vec<(CompactString, Option<CompactString>)> {
     let mut headers = Vec::new();
     for (_, name, tree) in fields.entries("header") {
         let Some(value) = scalar::<CompactString>(tree, fields.mistakes()) else { continue };
-        headers.push((name.to_lowercase(), (value != PRESENT).then_some(value)));
+        headers.push((name.to_lowercase(), (value != ANY_VALUE).then_some(value)));
     }
     headers
 }
 
-fn states(fields: &Fields) -> Vec<(ServiceId, Vec<ServiceState>)> {
+fn read_states(fields: &Fields) -> Vec<(ServiceId, Vec<ServiceState>)> {
     let Some(tree) = fields.tree("service_state") else { return Vec::new() };
     let trees = match &tree.content {
         Content::List(items) => items.as_slice(),
         _ => std::slice::from_ref(tree),
     };
-    trees.iter().filter_map(|tree| one_state(tree, fields.mistakes())).collect()
+    trees.iter().filter_map(|tree| read_state(tree, fields.mistakes())).collect()
 }
 
-fn one_state(tree: &Tree, mistakes: &Mistakes) -> Option<(ServiceId, Vec<ServiceState>)> {
+fn read_state(tree: &Tree, mistakes: &Mistakes) -> Option<(ServiceId, Vec<ServiceState>)> {
     let fields = Fields::open(tree, mistakes, &["is", "service"])?;
     let service = fields.required::<CompactString>("service");
     fields.needed("is");
--- a/src/rule/criterion.rs
+++ b/src/rule/criterion.rs
@@ -1,21 +1,21 @@
 use std::fmt;
 
-/// One criterion of a condition, as an explanation names it.
+/// Criterion of a condition; the names in explanations are those of the document's fields.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Criterion {
-    /// Who sent the request.
+    /// Name of the caller.
     Caller,
-    /// A header's presence or value.
+    /// Presence or value of a header.
     Header,
-    /// The host.
+    /// Host.
     Host,
-    /// The method.
+    /// Method.
     Method,
-    /// The path.
+    /// Path.
     Path,
-    /// The state of a service.
+    /// State of a service.
     ServiceState,
-    /// The team of the caller.
+    /// Team of the caller.
     Team,
 }
 
--- a/src/rule/error.rs
+++ b/src/rule/error.rs
@@ -1,15 +1,15 @@
 use crate::settings::Mistake;
 
-/// Why a document of rules was not taken.
+/// Why a document of rules was rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The document holds mistakes; each has its line.
+    /// The document contains mistakes, each with its line.
     #[error("{}", join(.0))]
     Invalid(Vec<Mistake>),
 }
 
 impl Error {
-    /// The mistakes, in the order of the document.
+    /// Mistakes in the order of the document.
     pub fn mistakes(&self) -> &[Mistake] {
         let Self::Invalid(mistakes) = self;
         mistakes
--- a/src/rule/explanation.rs
+++ b/src/rule/explanation.rs
@@ -7,27 +7,27 @@
 use super::StateSource;
 use crate::id::TeamId;
 
-/// A rule that did not hold.
+/// A rule that did not match.
 #[derive(Clone, Debug)]
 pub struct Skipped<'a> {
-    /// The criterion that failed.
+    /// First criterion that did not match.
     pub criterion: Criterion,
-    /// The rule.
+    /// Rule that was skipped.
     pub rule: &'a Rule,
 }
 
-/// Which rule decides a request, and why those before it did not.
+/// Which rule decides a request, and why the earlier ones did not match.
 #[derive(Clone, Debug)]
 pub struct Explanation<'a> {
-    /// The rule that decides; `None` when no rule holds.
+    /// Rule that decides; `None` if no rule matches.
     pub decides: Option<&'a Rule>,
-    /// How many earlier rules are for another host or path.
+    /// Number of earlier rules for another host or path.
     pub skipped_by_location: usize,
-    /// Whether it is refused for want of an API key.
+    /// Whether the request is refused because it has no valid API key.
     pub needs_key: bool,
-    /// Earlier rules for this host and path, with the criterion that failed.
+    /// Earlier rules for this host and path that did not match.
     pub skipped: Vec<Skipped<'a>>,
-    /// Team of the caller.
+    /// Team of the caller, if known.
     pub team: Option<TeamId>,
 }
 
@@ -39,7 +39,7 @@
         state: &dyn StateSource,
     ) -> Self {
         let team_name = team.cloned();
-        let mut found = Self {
+        let mut explanation = Self {
             decides: None,
             skipped_by_location: 0,
             needs_key: false,
@@ -47,16 +47,16 @@
             team: team_name,
         };
         for rule in rules {
-            match rule.when.failing(request, team, state) {
+            match rule.when.first_mismatch(request, team, state) {
                 None => {
-                    found.decides = Some(rule);
+                    explanation.decides = Some(rule);
                     break;
                 }
-                Some(Criterion::Host | Criterion::Path) => found.skipped_by_location += 1,
-                Some(criterion) => found.skipped.push(Skipped { criterion, rule }),
+                Some(Criterion::Host | Criterion::Path) => explanation.skipped_by_location += 1,
+                Some(criterion) => explanation.skipped.push(Skipped { criterion, rule }),
             }
         }
-        found
+        explanation
     }
 }
 
@@ -73,16 +73,19 @@
             )?;
         }
         for Skipped { criterion, rule } in &self.skipped {
-            let wanted = rule.when.wanted(*criterion);
+            let expected = rule.when.accepted_values(*criterion);
             let place = format!("line {}: `{}`", rule.line, rule.name);
-            writeln!(formatter, "{place} passed over: `{criterion}` fails, it wants {wanted}")?;
+            writeln!(
+                formatter,
+                "{place} skipped: `{criterion}` does not match, expected {expected}"
+            )?;
         }
         if self.needs_key {
-            let text = "teams have API keys; without a known one the request is refused with 401";
+            let text = "teams have API keys; without a valid one the request is refused with 401";
             return write!(formatter, "{text}, not run");
         }
         let Some(rule) = self.decides else {
-            return write!(formatter, "no rule holds; the request is refused with 404, not run");
+            return write!(formatter, "no rule matches; the request is refused with 404, not run");
         };
         write!(formatter, "line {}: `{}` decides: ", rule.line, rule.name)?;
         match &rule.then {
--- a/src/rule/headers.rs
+++ b/src/rule/headers.rs
@@ -1,6 +1,6 @@
-/// Headers of a request, by name in lower case.
+/// Headers of a request, looked up by name in lower case.
 pub trait Headers {
-    /// First value of header `name`.
+    /// Returns the first value of header `name`.
     fn header(&self, name: &str) -> Option<&str>;
 }
 
--- a/src/rule/limits.rs
+++ b/src/rule/limits.rs
@@ -1,4 +1,4 @@
-//! What callers may send, and how long they may take, as operators set it with the rules.
+//! Limits on callers' connections that operators set in the document of rules.
 
 use std::time::Duration;
 
@@ -7,18 +7,19 @@
 use crate::settings::Size;
 use crate::settings::Tree;
 
-/// Bounds on callers' connections. What is left out stays as the process's settings have it.
+/// Limits on callers' connections. The process's settings apply where a field is `None`.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Limits {
-    /// Most bytes of a request's head.
+    /// Largest head of a request, in bytes.
     pub head: Option<usize>,
-    /// Longest that a head may take to come.
+    /// Longest time for receiving a head.
     pub head_time: Option<Duration>,
-    /// Longest that a connection may lie idle.
+    /// Longest time that a connection may be idle.
     pub idle: Option<Duration>,
 }
 
 impl Limits {
+    /// Reads the `limits` field of a document.
     pub(super) fn read(tree: &Tree, mistakes: &Mistakes) -> Option<Self> {
         let fields = Fields::open(tree, mistakes, &["head", "head_time", "idle"])?;
         let head = fields.tree("head").map(|_| {
@@ -26,9 +27,9 @@
             size.0 as usize
         });
         let time = |name: &str| {
-            let least = Duration::from_millis(10);
-            let most = Duration::from_secs(3600);
-            fields.tree(name).map(|_| fields.ranged(name, most, &least, &most))
+            let min = Duration::from_millis(10);
+            let max = Duration::from_secs(3600);
+            fields.tree(name).map(|_| fields.ranged(name, max, &min, &max))
         };
         Some(Self { head, head_time: time("head_time"), idle: time("idle") })
     }
--- a/src/rule/pattern.rs
+++ b/src/rule/pattern.rs
@@ -2,20 +2,20 @@
 
 use crate::settings::Scalar;
 
-/// Which hosts a rule is for.
+/// Pattern of hosts.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Host {
-    /// Hosts below a domain, kept with its leading dot.
-    Below(CompactString),
-    /// This host.
+    /// All hosts below a domain; the domain is stored with a leading dot.
+    Subdomain(CompactString),
+    /// A single host.
     Exact(CompactString),
 }
 
 impl Host {
-    /// Whether `host` (lower case, no port) is meant.
+    /// Whether `host`, in lower case and without port, matches.
     pub fn matches(&self, host: &str) -> bool {
         match self {
-            Self::Below(domain) => host.len() > domain.len() && host.ends_with(domain.as_str()),
+            Self::Subdomain(domain) => host.len() > domain.len() && host.ends_with(domain.as_str()),
             Self::Exact(name) => host == name,
         }
     }
@@ -28,36 +28,36 @@
 
     fn read(text: &str) -> Option<Self> {
         let name = text.strip_prefix("*.").unwrap_or(text);
-        let plain = |symbol: char| symbol.is_ascii_alphanumeric() || "-._".contains(symbol);
-        if name.is_empty() || !name.chars().all(plain) || name.starts_with('.') {
+        let is_allowed = |symbol: char| symbol.is_ascii_alphanumeric() || "-._".contains(symbol);
+        if name.is_empty() || !name.chars().all(is_allowed) || name.starts_with('.') {
             return None;
         }
         let name = name.to_lowercase();
         match text.starts_with("*.") {
-            true => Some(Self::Below(format!(".{name}").into())),
+            true => Some(Self::Subdomain(format!(".{name}").into())),
             false => Some(Self::Exact(name.into())),
         }
     }
 
     fn show(&self) -> String {
         match self {
-            Self::Below(domain) => format!("*{domain}"),
+            Self::Subdomain(domain) => format!("*{domain}"),
             Self::Exact(name) => name.to_string(),
         }
     }
 }
 
-/// Which paths a rule is for.
+/// Pattern of paths.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Path {
-    /// This path.
+    /// A single path.
     Exact(CompactString),
-    /// Paths that start with this text, which ends with a slash.
+    /// All paths that start with this prefix, which ends with a slash.
     Prefix(CompactString),
 }
 
 impl Path {
-    /// Whether `path` (without query) is meant.
+    /// Whether `path`, without query, matches.
     pub fn matches(&self, path: &str) -> bool {
         match self {
             Self::Exact(exact) => path == exact,
--- a/src/rule/request.rs
+++ b/src/rule/request.rs
@@ -1,21 +1,21 @@
 use super::Headers;
 use crate::id::TeamId;
 
-/// What rules see of a request.
+/// Properties of a request that conditions are matched against.
 #[derive(Clone, Copy)]
 pub struct Request<'a> {
-    /// Who sent it; empty when unknown.
+    /// Name of the caller; empty if unknown.
     pub caller: &'a str,
-    /// Its headers.
+    /// Headers.
     pub headers: &'a dyn Headers,
-    /// Host in lower case, without a port.
+    /// Host in lower case without port.
     pub host: &'a str,
     /// Method in upper case.
     pub method: &'a str,
-    /// Path without query. It must hold no `.` or `..` segment and no escaped
-    /// slash: an upstream may read such a path as another than the one that the
-    /// rule matched, so the exchange refuses it before rules see it.
+    /// Path without query. It must contain no `.` or `..` segment and no escaped slash:
+    /// an upstream may interpret such a path as a different one from the path that the
+    /// rule matched.
     pub path: &'a str,
-    /// Team that its API key proves, where it came with one.
+    /// Team that the API key belongs to, if the request has a valid one.
     pub team: Option<&'a TeamId>,
 }
--- a/src/rule/rule.rs
+++ b/src/rule/rule.rs
@@ -8,20 +8,21 @@
 use crate::settings::Mistakes;
 use crate::settings::Tree;
 
-/// One rule: when the condition holds, then the action is done.
+/// One rule: a condition, and the action for requests that match it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rule {
-    /// Line in the document, from 1.
+    /// Line in the document, starting at 1.
     pub line: u64,
-    /// Its name, unique in the document.
+    /// Name, unique in the document.
     pub name: RuleId,
-    /// What is done.
+    /// Action for requests that match.
     pub then: Action,
-    /// When it holds.
+    /// Condition.
     pub when: Condition,
 }
 
 impl Rule {
+    /// Reads an item of `rules`; `class` is the default class.
     pub(super) fn read(
         tree: &Tree,
         class: &ClassId,
--- a/src/rule/rules.rs
+++ b/src/rule/rules.rs
@@ -20,10 +20,10 @@
 use crate::settings::Tree;
 use crate::team::Teams;
 
-/// Name of the document where no file is known.
-const DOCUMENT: &str = "rules";
+/// Name of the document in mistakes if no file name is given.
+const DEFAULT_FILE: &str = "rules";
 
-/// A checked document of rules with its index.
+/// A validated document of rules with its index.
 #[derive(Clone, Debug)]
 pub struct Rules {
     classes: Vec<Class>,
@@ -35,8 +35,8 @@
 }
 
 impl Rules {
-    /// Compiles rules that were read from another document; the caller has checked that
-    /// each service and class they name is there.
+    /// Creates rules that were read from another kind of document. The code that calls this must
+    /// have checked that each service and class that a rule names exists.
     pub fn new(
         classes: Vec<Class>,
         services: BTreeMap<ServiceId, Service>,
@@ -48,17 +48,25 @@
         Self { classes, index, limits, rules, services, teams }
     }
 
-    /// Bounds on callers' connections.
+    /// Limits on callers' connections.
     pub fn limits(&self) -> Limits {
         self.limits
     }
 
-    /// Checks `text`; every mistake is told with its line.
+    /// Parses and validates `text`.
+    ///
+    /// # Errors
+    ///
+    /// [`Error::Invalid`] with all mistakes and their lines.
     pub fn parse(text: &str) -> Result<Self, Error> {
-        Self::parse_file(DOCUMENT, text)
+        Self::parse_file(DEFAULT_FILE, text)
     }
 
-    /// Checks `text`; `file` names it in mistakes.
+    /// Parses and validates `text`; mistakes refer to it as `file`.
+    ///
+    /// # Errors
+    ///
+    /// [`Error::Invalid`] with all mistakes and their lines.
     pub fn parse_file(file: &str, text: &str) -> Result<Self, Error> {
         let tree = Tree::parse(file, text).map_err(|mistake| Error::Invalid(vec![mistake]))?;
         let mistakes = Mistakes::new(file);
@@ -70,27 +78,30 @@
         }
     }
 
-    /// Classes in the order of their priority.
+    /// Classes in order of priority.
     pub fn classes(&self) -> &[Class] {
         &self.classes
     }
 
-    /// First rule that holds for `request`.
+    /// Returns the first rule that matches `request`.
     pub fn decide(&self, request: &Request, state: &dyn StateSource) -> Option<&Rule> {
         let team = self.team_of(request);
         let mut candidates = self.index.candidates(request, team);
-        let holds = |rule: &&Rule| rule.when.failing(request, team, state).is_none();
-        std::iter::from_fn(|| candidates.next()).map(|place| &self.rules[place]).find(holds)
+        let is_match = |rule: &&Rule| rule.when.first_mismatch(request, team, state).is_none();
+        std::iter::from_fn(|| candidates.next())
+            .map(|position| &self.rules[position])
+            .find(is_match)
     }
 
-    /// Which rule decides, and why those before it did not.
+    /// Explains which rule decides and why the earlier ones did not match.
     pub fn explain(&self, request: &Request, state: &dyn StateSource) -> Explanation<'_> {
-        let found = Explanation::new(&self.rules, request, self.team_of(request), state);
-        let needs_key = request.team.is_none() && self.needs_key(found.decides);
-        Explanation { needs_key, ..found }
+        let explanation = Explanation::new(&self.rules, request, self.team_of(request), state);
+        let needs_key = request.team.is_none() && self.needs_key(explanation.decides);
+        Explanation { needs_key, ..explanation }
     }
 
-    /// Whether a request that `rule` decides needs an API key.
+    /// Whether a request that `rule` decides needs an API key: if any team has keys and the rule
+    /// is not public.
     pub fn needs_key(&self, rule: Option<&Rule>) -> bool {
         let is_public = |rule: &Rule| match &rule.then {
             Action::Refuse { .. } => false,
@@ -104,45 +115,45 @@
         &self.rules
     }
 
-    /// First rule that holds, found by trying one after the other: what
-    /// [`Self::decide`] must give, and the baseline that it is measured against.
+    /// Returns the first rule that matches, by a linear scan. [`Self::decide`] must return
+    /// the same rule; tests and benchmarks compare the two.
     pub fn scan(&self, request: &Request, state: &dyn StateSource) -> Option<&Rule> {
         let team = self.team_of(request);
-        self.rules.iter().find(|rule| rule.when.failing(request, team, state).is_none())
+        self.rules.iter().find(|rule| rule.when.first_mismatch(request, team, state).is_none())
     }
 
-    /// What operators say about `service`.
+    /// Settings of `service`, if the document defines it.
     pub fn service(&self, service: &str) -> Option<&Service> {
         self.services.get(service)
     }
 
-    /// Services by name.
+    /// Settings of all services by name.
     pub fn services(&self) -> &BTreeMap<ServiceId, Service> {
         &self.services
     }
 
-    /// Teams, and their keys.
+    /// Teams with their keys.
     pub fn teams(&self) -> &Teams {
         &self.teams
     }
 
-    /// The team that a request's key proves, or else that of its caller.
+    /// Team of the request's API key, or else of its caller.
     fn team_of<'a>(&'a self, request: &Request<'a>) -> Option<&'a TeamId> {
-        let of_caller = || self.teams.of_caller(request.caller).map(|team| &team.name);
-        request.team.or_else(of_caller)
+        let team_of_caller = || self.teams.of_caller(request.caller).map(|team| &team.name);
+        request.team.or_else(team_of_caller)
     }
 
     fn read(tree: &Tree, mistakes: &Mistakes) -> Option<Self> {
         let fields =
             Fields::open(tree, mistakes, &["classes", "limits", "rules", "services", "teams"])?;
         let limits = fields.tree("limits").and_then(|tree| Limits::read(tree, mistakes));
-        let classes = classes(&fields);
-        let services = services(&fields);
+        let classes = read_classes(&fields);
+        let services = read_services(&fields);
         let teams = teams::read(&fields, &classes);
         let names: HashSet<TeamId> = teams.all().iter().map(|team| team.name.clone()).collect();
-        let rules = rules(&fields, &classes);
+        let rules = read_rules(&fields, &classes);
         for rule in &rules {
-            check(rule, &services, &names, mistakes);
+            check_names(rule, &services, &names, mistakes);
         }
         if rules.is_empty() {
             mistakes.add(fields.line_of("rules"), "`rules` is empty; write at least one rule");
@@ -151,7 +162,7 @@
     }
 }
 
-fn classes(fields: &Fields) -> Vec<Class> {
+fn read_classes(fields: &Fields) -> Vec<Class> {
     let mut classes: Vec<Class> = Vec::new();
     for tree in fields.items("classes") {
         let Some(class) = Class::read(tree, fields.mistakes()) else { continue };
@@ -167,7 +178,7 @@
     classes
 }
 
-fn services(fields: &Fields) -> BTreeMap<ServiceId, Service> {
+fn read_services(fields: &Fields) -> BTreeMap<ServiceId, Service> {
     let mut services = BTreeMap::new();
     for (_, name, tree) in fields.entries("services") {
         if let Some(service) = Service::read(tree, fields.mistakes()) {
@@ -177,7 +188,7 @@
     services
 }
 
-fn rules(fields: &Fields, classes: &[Class]) -> Vec<Rule> {
+fn read_rules(fields: &Fields, classes: &[Class]) -> Vec<Rule> {
     let names: Vec<ClassId> = classes.iter().map(|class| class.name.clone()).collect();
     let Some(last) = names.last() else { return Vec::new() };
     let mut seen = HashSet::new();
@@ -193,8 +204,8 @@
     rules
 }
 
-/// Checks the names that a rule uses.
-fn check(
+/// Checks that the services and teams that a rule names exist.
+fn check_names(
     rule: &Rule,
     services: &BTreeMap<ServiceId, Service>,
     teams: &HashSet<TeamId>,
--- a/src/rule/split.rs
+++ b/src/rule/split.rs
@@ -1,4 +1,4 @@
-//! Services that share a route's requests by weight.
+//! Division of a route's requests among services by weight.
 
 use compact_str::CompactString;
 
@@ -8,25 +8,24 @@
 use crate::settings::Scalar;
 use crate::settings::Tree;
 
-/// Largest weight: enough for any share, and sums stay exact.
-const MOST: Weight = Weight(1e6);
+/// Largest weight; it allows any practical share and keeps sums of whole weights exact.
+const MAX_WEIGHT: Weight = Weight(1e6);
 
 /// Services that share a route's requests by weight.
 ///
-/// The share holds also while one part is short of room: what does not fit there is
-/// refused, not moved, because operators split routes to see what a small part does with
-/// just its share.
+/// Requests that exceed the capacity of one service are refused and not moved to another:
+/// operators split routes to observe a service under exactly its share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Split {
     parts: Vec<Portion>,
 }
 
-/// One service's part of a route.
+/// A service with its weight in a split.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Portion {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceId,
-    /// Its weight among the route's parts.
+    /// Weight, relative to the other portions.
     pub weight: f64,
 }
 
@@ -47,37 +46,38 @@
 }
 
 impl Split {
-    /// All requests to one service.
+    /// Creates a split with a single service.
     pub fn whole(service: ServiceId) -> Self {
         Self { parts: vec![Portion { service, weight: 1.0 }] }
     }
 
-    /// Requests shared by weight; `None` where no part has any.
+    /// Creates a split; `None` if a weight is negative or not finite, or if all are zero.
     pub fn new(parts: Vec<Portion>) -> Option<Self> {
-        let sound = parts.iter().all(|part| part.weight >= 0.0 && part.weight.is_finite());
-        let some = parts.iter().any(|part| part.weight > 0.0);
-        (sound && some).then_some(Self { parts })
+        let is_valid = parts.iter().all(|part| part.weight >= 0.0 && part.weight.is_finite());
+        let has_weight = parts.iter().any(|part| part.weight > 0.0);
+        (is_valid && has_weight).then_some(Self { parts })
     }
 
-    /// The parts, in the operator's order.
+    /// Portions in the order of the document.
     pub fn parts(&self) -> &[Portion] {
         &self.parts
     }
 
-    /// The service at `point` of all weights laid in a row, from 0 to 1.
+    /// Selects a service by a number from 0 to 1, usually random, in proportion to the weights.
     pub fn choose(&self, point: f64) -> &ServiceId {
         let sum: f64 = self.parts.iter().map(|part| part.weight).sum();
-        let mut left = point * sum;
+        let mut remaining = point * sum;
         for part in &self.parts {
-            left -= part.weight;
-            if left < 0.0 {
+            remaining -= part.weight;
+            if remaining < 0.0 {
                 return &part.service;
             }
         }
-        let weighty = self.parts.iter().rev().find(|part| part.weight > 0.0);
-        &weighty.unwrap_or(&self.parts[0]).service
+        let last = self.parts.iter().rev().find(|part| part.weight > 0.0);
+        &last.unwrap_or(&self.parts[0]).service
     }
 
+    /// Reads the `route` field of an action.
     pub(super) fn read(tree: &Tree, mistakes: &Mistakes) -> Option<Self> {
         let fields = Fields::open(tree, mistakes, &["service", "split"])?;
         if fields.tree("split").is_none() {
@@ -87,7 +87,7 @@
             let text = "write `service` or `split`, not both";
             mistakes.add(fields.line_of("split"), text);
         }
-        let parts = fields.items("split").iter().filter_map(|tree| portion(tree, mistakes));
+        let parts = fields.items("split").iter().filter_map(|tree| read_portion(tree, mistakes));
         let split = Self::new(parts.collect());
         if split.is_none() {
             mistakes.add(fields.line_of("split"), "`split` has no part with a weight above `0`");
@@ -106,9 +106,9 @@
     }
 }
 
-fn portion(tree: &Tree, mistakes: &Mistakes) -> Option<Portion> {
+fn read_portion(tree: &Tree, mistakes: &Mistakes) -> Option<Portion> {
     let fields = Fields::open(tree, mistakes, &["service", "weight"])?;
     let service = fields.required::<CompactString>("service");
-    let weight = fields.ranged("weight", Weight(1.0), &Weight(0.0), &MOST).0;
+    let weight = fields.ranged("weight", Weight(1.0), &Weight(0.0), &MAX_WEIGHT).0;
     Some(Portion { service: service?, weight })
 }
--- a/src/rule/state.rs
+++ b/src/rule/state.rs
@@ -1,15 +1,15 @@
 use crate::settings::Scalar;
 
-/// State of a whole service, from the verdicts on its upstreams.
+/// State of a service, derived from the health of its upstreams.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum ServiceState {
-    /// Ejections have reached the floor; more upstreams may be bad.
+    /// Ejections have reached the floor; more upstreams may be unhealthy.
     AtFloor,
     /// Some upstreams are ejected.
     Degraded,
-    /// No upstream takes requests.
+    /// No upstream accepts requests.
     Down,
-    /// Every upstream takes requests.
+    /// Every upstream accepts requests.
     #[default]
     Healthy,
 }
@@ -38,13 +38,13 @@
     }
 }
 
-/// What rules may ask about the services.
+/// Provides the states of services to conditions.
 pub trait StateSource {
-    /// State of `service` as this entry sees it.
+    /// Returns the state of `service` as known to this process.
     fn state(&self, service: &str) -> ServiceState;
 }
 
-/// A state in which every service is healthy.
+/// Reports every service as healthy.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AllHealthy;
 
--- a/src/rule/teams.rs
+++ b/src/rule/teams.rs
@@ -14,8 +14,8 @@
 use crate::team::Team;
 use crate::team::Teams;
 
-/// Most requests a second, and at once, that a limit may allow.
-const LIMIT_MOST: f64 = 1e6;
+/// Largest rate (requests per second) and largest burst of a limit.
+const MAX_LIMIT: f64 = 1e6;
 
 impl Scalar for Digest {
     const KIND: &'static str = "the digest of a key";
@@ -30,12 +30,12 @@
     }
 }
 
-/// All teams; mistakes are noted with their lines.
+/// Reads the `teams` field of a document.
 pub(super) fn read(fields: &Fields, classes: &[Class]) -> Teams {
     let mut teams = Teams::default();
     for (_, name, tree) in fields.entries("teams") {
         match &tree.content {
-            Content::Map(_) => describe(name, tree, classes, fields.mistakes(), &mut teams),
+            Content::Map(_) => read_team(name, tree, classes, fields.mistakes(), &mut teams),
             _ => {
                 let team = teams.add(Team { class: None, limit: None, name: name.clone() });
                 add_callers(team, tree, fields.mistakes(), &mut teams);
@@ -45,7 +45,7 @@
     teams
 }
 
-fn describe(name: &str, tree: &Tree, classes: &[Class], mistakes: &Mistakes, teams: &mut Teams) {
+fn read_team(name: &str, tree: &Tree, classes: &[Class], mistakes: &Mistakes, teams: &mut Teams) {
     let allowed = ["burst", "callers", "class", "keys", "rate"];
     let Some(fields) = Fields::open(tree, mistakes, &allowed) else { return };
     let class: Option<ClassId> = fields.optional("class");
@@ -55,7 +55,7 @@
         let text = format!("`{class}` is not a class; allowed are `{names}`");
         mistakes.add(fields.line_of("class"), text);
     }
-    let limit = limit(&fields);
+    let limit = read_limit(&fields);
     let team = teams.add(Team { class, limit, name: name.into() });
     if let Some(tree) = fields.tree("callers") {
         add_callers(team, tree, mistakes, teams);
@@ -72,13 +72,13 @@
     classes.iter().any(|other| other.name == *class)
 }
 
-fn limit(fields: &Fields) -> Option<Limit> {
+fn read_limit(fields: &Fields) -> Option<Limit> {
     if fields.tree("rate").is_none() && fields.tree("burst").is_some() {
         fields.mistakes().add(fields.line_of("burst"), "`burst` goes with `rate`");
     }
     fields.tree("rate")?;
-    let rate = fields.ranged("rate", LIMIT_MOST, &0.1, &LIMIT_MOST);
-    let burst = fields.ranged("burst", rate, &0.0, &LIMIT_MOST);
+    let rate = fields.ranged("rate", MAX_LIMIT, &0.1, &MAX_LIMIT);
+    let burst = fields.ranged("burst", rate, &0.0, &MAX_LIMIT);
     Some(Limit { burst, rate })
 }
 
--- a/src/rule/terms.rs
+++ b/src/rule/terms.rs
@@ -8,47 +8,47 @@
 use crate::settings::Size;
 use crate::settings::Tree;
 
-/// Default for `attempts`: what the retry policy allows by itself.
+/// Default for `attempts`; equals the limit of the retry policy.
 pub const DEFAULT_ATTEMPTS: u32 = 4;
-/// Default for `body`: forms and findings, not files.
-const BODY: Size = Size(1024 * 1024);
-/// Default for `deadline`: a surveyor who waited 10 s asks again anyhow.
-const DEADLINE: Duration = Duration::from_secs(10);
-/// Most that `deadline` may be: an upload over a bad line takes minutes.
-const LONGEST: Duration = Duration::from_secs(3600);
-/// Most that `body` may be.
-const LARGEST: Size = Size(64 * 1024 * 1024 * 1024);
+/// Default for `body`, in bytes: enough for forms and findings, but not for files.
+const DEFAULT_BODY: Size = Size(1024 * 1024);
+/// Default for `deadline`. A user who has waited for 10 s sends the request again anyway.
+const DEFAULT_DEADLINE: Duration = Duration::from_secs(10);
+/// Largest `deadline`; an upload over a slow connection takes minutes.
+const MAX_DEADLINE: Duration = Duration::from_secs(3600);
+/// Largest `body`, in bytes.
+const MAX_BODY: Size = Size(64 * 1024 * 1024 * 1024);
 
-/// Terms of service that a rule gives a request.
+/// Limits and guarantees that a rule gives to a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Terms {
-    /// Time in which callers want the answer, where the operator says so.
+    /// Target for the time to the answer, if the operator sets one.
     pub aim: Option<Duration>,
-    /// Most upstreams that may get the request, the first one counted.
+    /// Most upstreams that the request may be sent to, including the first.
     pub attempts: u32,
-    /// Most bytes of the request's body.
+    /// Largest body of the request, in bytes.
     pub body: u64,
     /// Class of service.
     pub class: ClassId,
-    /// Time from the request's head to the end of its answer.
+    /// Time from the head of the request to the end of its answer.
     pub deadline: Duration,
-    /// Whether a second copy may be sent when the first is late.
+    /// Whether a second copy may be sent if the first is late.
     pub hedge: bool,
-    /// Whether running it twice does no harm.
+    /// Whether the request may be run more than once.
     pub idempotent: bool,
-    /// Header with the caller's key, in lower case; resends with the same key
-    /// run once, at whichever entry they come in.
+    /// Header with the caller's idempotency key, in lower case. Requests with the same key run
+    /// once, whichever entry receives them.
     pub key: Option<CompactString>,
-    /// Whether it holds a slot for long, such as an upload.
+    /// Whether it occupies a slot for a long time, such as an upload.
     pub long: bool,
-    /// Whether it needs no API key where callers have keys.
+    /// Whether it needs no API key even if teams have keys.
     pub public: bool,
-    /// Whether it may be tried again at all.
+    /// Whether it may be retried.
     pub retry: bool,
 }
 
 impl Terms {
-    /// Reads the terms beside an action; `class` is the default class.
+    /// Reads the `terms` field of an action; `class` is the default class.
     pub(super) fn read(
         tree: Option<&Tree>,
         class: &ClassId,
@@ -70,16 +70,18 @@
         ];
         let empty = Tree::empty();
         let fields = Fields::open(tree.unwrap_or(&empty), mistakes, &allowed)?;
-        let least = Duration::from_millis(1);
+        let min = Duration::from_millis(1);
         let terms = Self {
-            aim: fields.tree("aim").map(|_| fields.ranged("aim", DEADLINE, &least, &LONGEST)),
+            aim: fields
+                .tree("aim")
+                .map(|_| fields.ranged("aim", DEFAULT_DEADLINE, &min, &MAX_DEADLINE)),
             attempts: fields.ranged("attempts", DEFAULT_ATTEMPTS as usize, &1, &10) as u32,
-            body: fields.ranged("body", BODY, &Size(0), &LARGEST).0,
+            body: fields.ranged("body", DEFAULT_BODY, &Size(0), &MAX_BODY).0,
             class: fields.or("class", class.clone()),
-            deadline: fields.ranged("deadline", DEADLINE, &least, &LONGEST),
+            deadline: fields.ranged("deadline", DEFAULT_DEADLINE, &min, &MAX_DEADLINE),
             hedge: fields.or("hedge", false),
             idempotent: fields.or("idempotent", false),
-            key: key(&fields),
+            key: read_key(&fields),
             long: fields.or("long", false),
             public: fields.or("public", false),
             retry: fields.or("retry", true),
@@ -106,7 +108,7 @@
     }
 }
 
-fn key(fields: &Fields) -> Option<CompactString> {
+fn read_key(fields: &Fields) -> Option<CompactString> {
     let tree = fields.tree("key")?;
     let key = Fields::open(tree, fields.mistakes(), &["header"])?;
     Some(key.required::<CompactString>("header")?.to_lowercase())
--- a/tests/suite/exchange/upstreams.rs
+++ b/tests/suite/exchange/upstreams.rs
@@ -179,7 +179,7 @@
 // pool must not return the connection once the answer has arrived. The test loops until then and
 // would never end if the connection were kept.
 #[rstest]
-#[case::with_first_answer(vec![Step::Head, Step::Write(COMPLETE), Step::Write(COMPLETE), Step::Hold])]
+#[case::with_first(vec![Step::Head, Step::Write(COMPLETE), Step::Write(COMPLETE), Step::Hold])]
 #[case::while_idle(vec![Step::Head, Step::Write(COMPLETE), Step::Pause, Step::Write(COMPLETE), Step::Hold])]
 fn take_unrequested_answer(#[case] steps: Vec<Step>) {
     block_on(async {
--- a/tests/suite/rule.rs
+++ b/tests/suite/rule.rs
@@ -21,10 +21,10 @@
 const DONAUWERFT: &str = include_str!("../../examples/donauwerft.yaml");
 const HORVAT: &str = include_str!("../../examples/horvat.yaml");
 
-/// Every service in the same state.
-struct All(ServiceState);
+/// Reports the same state for every service.
+struct AllIn(ServiceState);
 
-impl StateSource for All {
+impl StateSource for AllIn {
     fn state(&self, _: &str) -> ServiceState {
         self.0
     }
@@ -42,13 +42,13 @@
 #[case("GET", "/hulls", "auditor-wolf", None)]
 #[case("PUT", "/gauging/4711/plate", "", Some("gauging-upload"))]
 #[case("POST", "/certificates/4711", "", Some("certificate-issue"))]
-fn decide_donauwerft(
+fn decide_example(
     #[case] method: &str,
     #[case] path: &str,
     #[case] caller: &str,
     #[case] expected: Option<&str>,
 ) {
-    let rules = Rules::parse(DONAUWERFT).expect("sound");
+    let rules = Rules::parse(DONAUWERFT).expect("valid example");
     let request = request(method, "survey.donauwerft.example", path, caller);
     let found = rules.decide(&request, &AllHealthy).map(|rule| rule.name.as_str());
     assert_eq!(found, expected);
@@ -60,31 +60,32 @@
 #[case(ServiceState::AtFloor, "samples-at-floor")]
 #[case(ServiceState::Down, "samples-at-floor")]
 fn decide_service_state(#[case] state: ServiceState, #[case] expected: &str) {
-    let rules = Rules::parse(HORVAT).expect("sound");
+    let rules = Rules::parse(HORVAT).expect("valid example");
     let request = request("GET", "shop.horvat.example", "/samples/3", "");
-    assert_eq!(rules.decide(&request, &All(state)).expect("sound").name, expected);
+    assert_eq!(rules.decide(&request, &AllIn(state)).expect("a rule matches").name, expected);
 }
 
 #[test]
 fn parse_terms() {
-    let rules = Rules::parse(DONAUWERFT).expect("sound");
-    let rule = rules.rules().iter().find(|rule| rule.name == "finding-sign-off").expect("sound");
+    let rules = Rules::parse(DONAUWERFT).expect("valid example");
+    let rule =
+        rules.rules().iter().find(|rule| rule.name == "finding-sign-off").expect("rule exists");
     let Action::Route { split, terms } = &rule.then else { panic!("not a route") };
     let service = split.choose(0.0);
     assert_eq!(service, "hull-register");
     assert_eq!(terms.key.as_deref(), Some("idempotency-key"));
     assert_eq!(terms.deadline, Duration::from_secs(20));
     assert!(!terms.idempotent);
-    let register = rules.service("hull-register").expect("sound");
+    let register = rules.service("hull-register").expect("service exists");
     assert_eq!(register.floor, 0.8);
     assert!(register.not_run.proves(503, Some("true")));
     assert!(!register.not_run.proves(503, None));
 }
 
 #[test]
-fn parse_every_mistake_at_once() {
-    // A broken submission is refused with all its mistakes, so that an operator
-    // in a hurry mends them in one go instead of one submission a mistake.
+fn parse_reports_all_mistakes() {
+    // An invalid document is rejected with all its mistakes at once, so that an operator does
+    // not have to submit it again for each of them.
     let text = "\
 services:
   knjizara: {floor: 170%}
@@ -99,7 +100,7 @@
     when: {team: c, service_state: {service: knjizara, is: bad}}
     then: {refuse: {status: 200}, route: {service: knjizara}}
 ";
-    let error = Rules::parse_file("rules.yaml", text).expect_err("mistakes");
+    let error = Rules::parse_file("rules.yaml", text).expect_err("invalid rules");
     let found: Vec<String> = error.mistakes().iter().map(ToString::to_string).collect();
     let expected = [
         "rules.yaml:2: `170%` is not a share; write `0%` to `100%`, or `0.0` to `1.0`",
@@ -120,7 +121,7 @@
 
 #[test]
 fn explain_skipped() {
-    let rules = Rules::parse(DONAUWERFT).expect("sound");
+    let rules = Rules::parse(DONAUWERFT).expect("valid example");
     let request = request("GET", "survey.donauwerft.example", "/certificates/1", "auditor-wolf");
     let found = rules.explain(&request, &AllHealthy);
     let skipped: Vec<(&str, Criterion)> = found
@@ -128,18 +129,18 @@
         .iter()
         .map(|skipped| (skipped.rule.name.as_str(), skipped.criterion))
         .collect();
-    assert_eq!(found.decides.expect("sound").name, "certificate-lookup");
+    assert_eq!(found.decides.expect("a rule matches").name, "certificate-lookup");
     let expected =
         [("auditors-read-only", Criterion::Method), ("certificate-issue", Criterion::Method)];
     assert_eq!(skipped, expected);
     let text = found.to_string();
-    let wanted =
-        "`auditors-read-only` passed over: `method` fails, it wants `POST`, `PUT`, `DELETE`";
-    assert!(text.contains(wanted), "{text}");
+    let expected =
+        "`auditors-read-only` skipped: `method` does not match, expected `POST`, `PUT`, `DELETE`";
+    assert!(text.contains(expected), "{text}");
     assert!(text.ends_with("route to `cert-office`, class `lookup`, idempotent, 5s"), "{text}");
 }
 
-/// One random condition over few names, so that rules overlap often.
+/// Random condition over few names, so that rules often overlap.
 fn condition() -> impl Strategy<Value = String> {
     let host = prop_oneof![
         Just(""),
@@ -154,44 +155,44 @@
         Just("path: /o/*"),
         Just("path: [/o/p, /o/p/*]")
     ];
-    let who = prop_oneof![
+    let sender = prop_oneof![
         Just(""),
         Just("team: t"),
         Just("team: [t, u]"),
         Just("caller: c"),
         Just("caller: [c, d, c]")
     ];
-    let rest = prop_oneof![
+    let other = prop_oneof![
         Just(""),
         Just("method: GET"),
         Just("header: {x-kind: '*'}"),
         Just("header: {x-kind: one}"),
         Just("service_state: {service: s, is: down}")
     ];
-    (host, path, who, rest).prop_map(|(host, path, who, rest)| {
+    (host, path, sender, other).prop_map(|(host, path, sender, other)| {
         let parts: Vec<&str> =
-            [host, path, who, rest].into_iter().filter(|part| !part.is_empty()).collect();
+            [host, path, sender, other].into_iter().filter(|part| !part.is_empty()).collect();
         format!("{{{}}}", parts.join(", "))
     })
 }
 
 fn document(conditions: &[String]) -> String {
     let mut text = "services: {s: {}}\nteams: {t: [c], u: [e]}\nrules:\n".to_string();
-    for (place, condition) in conditions.iter().enumerate() {
+    for (position, condition) in conditions.iter().enumerate() {
         let then = "{route: {service: s}}";
-        text += &format!("  - {{name: r{place}, when: {condition}, then: {then}}}\n");
+        text += &format!("  - {{name: r{position}, when: {condition}, then: {then}}}\n");
     }
     text
 }
 
 proptest! {
-    // The same cases every run, so that the verdict is the same.
+    // A fixed seed generates the same cases in every run, so that the result does not vary.
     #![proptest_config(ProptestConfig {
         rng_seed: RngSeed::Fixed(1),
         ..ProptestConfig::default()
     })]
 
-    /// The index gives what the plain scan gives, for every request.
+    /// The index decides as the linear scan for every request.
     #[test]
     fn decide_as_scan(
         conditions in proptest::collection::vec(condition(), 1..24),
@@ -201,8 +202,8 @@
         header in prop_oneof![Just("one"), Just("two"), Just("")],
         down in proptest::bool::ANY,
     ) {
-        let rules = Rules::parse(&document(&conditions)).expect("sound");
-        let state = All(if down { ServiceState::Down } else { ServiceState::Healthy });
+        let rules = Rules::parse(&document(&conditions)).expect("valid rules");
+        let state = AllIn(if down { ServiceState::Down } else { ServiceState::Healthy });
         let headers: &[(&str, &str)] = &[("x-kind", header)];
         let headers = headers[..usize::from(!header.is_empty())].iter();
         let headers: Vec<(String, String)> =
@@ -216,9 +217,9 @@
     }
 }
 
-// Every mistake in the teams is told, with its line.
+// All mistakes in the teams are reported.
 #[test]
-fn parse_teams_mistaken() {
+fn parse_reports_team_mistakes() {
     let text = "
 services: {hull: {}}
 classes: [{name: common}]
@@ -230,7 +231,7 @@
   - name: all
     then: {route: {service: hull}, terms: {public: maybe}}
 ";
-    let told = Rules::parse(text).expect_err("mistaken").to_string();
+    let error = Rules::parse(text).expect_err("invalid teams").to_string();
     for part in [
         "sha256:",
         "`urgent` is not a class",
@@ -239,11 +240,11 @@
         "`huber` is in team `passau`",
         "maybe",
     ] {
-        assert!(told.contains(part), "{part}: {told}");
+        assert!(error.contains(part), "{part}: {error}");
     }
 }
 
-// Teams with keys: a request without one is explained as refused, but for what is public.
+// If teams have keys, a request without a key is refused unless the rule is public.
 #[rstest]
 #[case::none(None, "/a", true)]
 #[case::known(Some("linz"), "/a", false)]
@@ -263,7 +264,7 @@
     then: {{route: {{service: hull}}}}
 "
     );
-    let rules = Rules::parse(&text).expect("sound");
+    let rules = Rules::parse(&text).expect("valid rules");
     let team = team.map(Into::into);
     let request = Request { team: team.as_ref(), ..request("GET", "a", path, "") };
     assert_eq!(rules.explain(&request, &AllHealthy).needs_key, needs);
