--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -133,8 +133,8 @@
         }
         if let Some(listener) = callers {
             runtime::spawn(traffic::listen(listener, Arc::clone(&shared)));
-            runtime::spawn(traffic::tick(Arc::clone(&shared)));
-            runtime::spawn(traffic::ask_for_more(Arc::clone(&shared)));
+            runtime::spawn(traffic::poll_queues(Arc::clone(&shared)));
+            runtime::spawn(traffic::renew_quota(Arc::clone(&shared)));
         }
         Ok(Self {
             callers: callers_at,
--- a/src/node/traffic.rs
+++ b/src/node/traffic.rs
@@ -1,27 +1,28 @@
-//! The traffic threads' side: accepts callers, and carries each request to its end.
+//! Request handling on the traffic threads: accepts callers, routes and admits their requests,
+//! and relays the answers of upstreams.
 
-mod allowances;
 mod attempt;
+mod attempts;
 mod claims;
 mod dispatch;
 mod hedge;
 mod job;
 mod listener;
-mod place;
 mod queue;
+mod rate_limiter;
 mod relay;
+mod reservation;
+mod round_trip;
 mod serve;
 mod service;
 mod shared;
-mod tried;
-mod tries;
 
-pub(super) use allowances::ask_for_more;
 pub(super) use listener::listen;
-pub(super) use queue::tick;
+pub(super) use queue::poll_queues;
+pub(super) use rate_limiter::renew_quota;
 pub(super) use shared::Noted;
 pub(super) use shared::Shared;
 pub(super) use shared::Trial;
 
-/// Where callers ask, at any entry, which entries to use.
+/// Path at which every entry tells callers which entries to use.
 pub const DIRECTORY_PATH: &str = "/.well-known/hemlockfield/entries";
--- a/src/node/traffic/attempt.rs
+++ b/src/node/traffic/attempt.rs
@@ -1,69 +1,145 @@
 use std::net::SocketAddr;
 use std::time::Duration;
-use std::time::Instant;
-
-use async_std::future::timeout;
 
+use crate::boundary::Answered;
+use crate::boundary::Boundary;
 use crate::exchange::Answer;
 use crate::exchange::Failure;
-use crate::exchange::Leg;
-use crate::exchange::Limits;
 use crate::exchange::Request;
+use crate::health;
+use crate::id::UpstreamId;
+use crate::retry;
+use crate::rule;
 
 use super::Shared;
+use super::reservation::Reservation;
+use super::round_trip::RoundTrip;
 
-/// Longest between two bytes of a body.
-const IDLE: Duration = Duration::from_secs(30);
+/// Shortest silence that counts against an upstream: a caller with less time left gives up on
+/// healthy upstreams too.
+const MIN_SILENCE: Duration = Duration::from_millis(500);
 
-/// How one attempt at an upstream went.
-pub(super) struct Attempt {
-    pub(super) answered: Result<Answer, Failure>,
-    /// Until the head of the answer, or until it was given up.
-    pub(super) latency: Duration,
+/// A finished attempt and its reservation at the upstream.
+pub(super) struct Attempt<'a> {
+    round_trip: RoundTrip,
+    /// Whether a different process answered at the upstream's address.
+    is_misdirected: bool,
+    reservation: Reservation<'a>,
 }
 
-impl Attempt {
-    /// Sends a request to the upstream at `address`, with `left` time for all of it. When
-    /// dropped, it closes the connection, which cancels the work.
-    pub(super) async fn make(
+impl<'a> Attempt<'a> {
+    pub(super) async fn run(
         shared: &Shared,
         request: Request,
-        address: SocketAddr,
+        reservation: Reservation<'a>,
         idempotent: bool,
         left: Duration,
     ) -> Self {
-        let started = Instant::now();
-        let sent = send(shared, request, address, idempotent, left);
-        let answered = timeout(left, sent).await.unwrap_or(Err(Failure::Expired(left)));
-        Self { answered, latency: started.elapsed() }
+        let round_trip =
+            RoundTrip::run(shared, request, reservation.address, idempotent, left).await;
+        Self { round_trip, is_misdirected: false, reservation }
+    }
+
+    pub(super) fn address(&self) -> SocketAddr {
+        self.reservation.address
+    }
+
+    pub(super) fn upstream(&self) -> UpstreamId {
+        self.reservation.upstream.clone()
+    }
+
+    pub(super) fn latency(&self) -> Duration {
+        self.round_trip.latency
+    }
+
+    /// Whether the upstream sent an answer to pass on to the caller.
+    pub(super) fn is_success(&self, boundary: &dyn Boundary) -> bool {
+        let answer = self.round_trip.result.as_ref().ok();
+        answer.is_some_and(|answer| boundary.judge(None, &answer.response) == Answered::Served)
+    }
+
+    /// Whether any byte of the request may have reached the upstream.
+    pub(super) fn is_sent(&self) -> bool {
+        !matches!(&self.round_trip.result, Err(failure) if failure.is_not_run())
     }
-}
 
-async fn send(
-    shared: &Shared,
-    request: Request,
-    address: SocketAddr,
-    idempotent: bool,
-    left: Duration,
-) -> Result<Answer, Failure> {
-    let leg = leg(shared, address, idempotent, left).await?;
-    let first_byte = shared.settings.limits.first_byte.min(left);
-    let connect = shared.settings.limits.connect;
-    leg.ask(request, Limits { connect, first_byte, idle: IDLE }).await
+    pub(super) fn is_upload_failure(&self) -> bool {
+        matches!(self.round_trip.result, Err(Failure::Upload(_)))
+    }
+
+    pub(super) fn reason(&self) -> String {
+        match &self.round_trip.result {
+            Ok(answer) => format!("upstream answered `{}`", answer.response.status),
+            Err(failure) => failure.to_string(),
+        }
+    }
+
+    /// How the attempt failed, for the retry policy; `None` if its answer goes to the caller.
+    pub(super) fn outcome(
+        &mut self,
+        boundary: &dyn Boundary,
+        service: Option<&rule::Service>,
+    ) -> Option<retry::Outcome> {
+        let answer = match &self.round_trip.result {
+            Ok(answer) => answer,
+            Err(failure) => return Some(outcome_of(failure)),
+        };
+        let answered = boundary.judge(service, &answer.response);
+        self.is_misdirected = answered == Answered::Misdirected;
+        match answered {
+            Answered::Failed => Some(retry::Outcome::Failed { status: answer.response.status }),
+            Answered::Misdirected | Answered::NotRun => Some(retry::Outcome::RefusedNotRun),
+            Answered::Served => None,
+            Answered::Spoiled => Some(retry::Outcome::Cut),
+        }
+    }
+
+    /// Splits off the answer; the attempt remains to be finished once the answer is relayed.
+    pub(super) fn into_answer(self) -> Option<(Self, Answer)> {
+        let Self { round_trip: RoundTrip { result, latency }, is_misdirected, reservation } = self;
+        let answer = result.ok()?;
+        let result = Err(Failure::Closed { reused: true });
+        Some((
+            Self { round_trip: RoundTrip { result, latency }, is_misdirected, reservation },
+            answer,
+        ))
+    }
+
+    /// Ends an attempt whose answer went to the caller.
+    pub(super) fn finish(self, kind: health::Kind, long: bool) {
+        let latency = self.round_trip.latency;
+        self.reservation.end(kind, latency, long);
+    }
+
+    /// Ends a failed attempt and reports the failure to outlier detection.
+    pub(super) fn fail(self, outcome: retry::Outcome, long: bool) {
+        let latency = self.round_trip.latency;
+        let kind = match (outcome, &self.round_trip.result) {
+            (_, Err(failure)) if !failure.is_upstreams() => return,
+            // The process at this address is not the selected upstream, which is therefore gone.
+            _ if self.is_misdirected => health::Kind::ConnectFailed,
+            (retry::Outcome::ConnectFailed, _) => health::Kind::ConnectFailed,
+            (retry::Outcome::Cut, _) => health::Kind::Cut,
+            (retry::Outcome::Deadline | retry::Outcome::Silent, _) if latency < MIN_SILENCE => {
+                return;
+            }
+            (retry::Outcome::Deadline | retry::Outcome::Silent, _) => health::Kind::Silent,
+            (retry::Outcome::Failed { .. }, _) => health::Kind::ServerError,
+            (retry::Outcome::RefusedNotRun, _) => health::Kind::Refused,
+        };
+        self.reservation.end(kind, latency, long);
+    }
 }
 
-/// A connection: an idle one for what may be sent twice; for all else one that has just
-/// carried an answer, or a new one. Something on the way may have lost track of a connection
-/// that lay idle; what is sent on it then is gone, and nobody can tell whether it ran.
-async fn leg(
-    shared: &Shared,
-    address: SocketAddr,
-    idempotent: bool,
-    left: Duration,
-) -> Result<Leg, Failure> {
-    let newer = if idempotent { Duration::MAX } else { shared.settings.limits.proven };
-    if let Some(leg) = shared.pool.take(address, newer).await {
-        return Ok(leg);
+fn outcome_of(failure: &Failure) -> retry::Outcome {
+    match failure {
+        Failure::Connect(_) => retry::Outcome::ConnectFailed,
+        Failure::Expired(_) => retry::Outcome::Deadline,
+        Failure::Silent(_) => retry::Outcome::Silent,
+        Failure::CallerGone
+        | Failure::Closed { .. }
+        | Failure::Cut(_)
+        | Failure::Malformed(_)
+        | Failure::Upload(_) => retry::Outcome::Cut,
     }
-    Leg::dial(address, shared.settings.limits.connect.min(left)).await
 }
--- /dev/null
+++ b/src/node/traffic/attempts.rs
@@ -0,0 +1,173 @@
+//! Sends a job to upstreams, with retries, until one answers or no retry is allowed.
+
+use async_std::task;
+use futures::FutureExt;
+use futures::pin_mut;
+use futures::select;
+
+use crate::exchange::Answer;
+use crate::exchange::Outlet;
+use crate::node::View;
+use crate::node::view;
+use crate::retry;
+use crate::retry::Decision;
+
+use super::Shared;
+use super::attempt::Attempt;
+use super::hedge::hedged_attempt;
+use super::job::Job;
+use super::reservation::Reservation;
+use super::service::Service;
+
+/// How a job ended. Decides how its admission permit and its claim are settled.
+pub(super) enum Completion<'a> {
+    /// An upstream's answer, to be relayed to the caller.
+    Answer(Box<(Attempt<'a>, Answer)>),
+    /// The caller disconnected.
+    CallerGone { may_have_run: bool },
+    /// The entry answers the caller itself.
+    LocalReply { answer: retry::Answer, reason: String, status: u16 },
+}
+
+/// Attempts a job at upstreams until one answers or the retry policy stops.
+pub(super) async fn run_attempts<'a>(
+    shared: &'a Shared,
+    service: &'a Service,
+    upstreams: &view::Service,
+    view: &View,
+    job: &mut Job,
+    outlet: &Outlet,
+) -> Completion<'a> {
+    let mut avoid = Vec::new();
+    let mut last_failure = None;
+    let mut may_have_run = false;
+    let mut tries = 0;
+    let mut sends = 0;
+    service.policy(shared.now()).first();
+    loop {
+        // If every other upstream is busy or already failed, retry one that failed before.
+        let is_long = job.terms.long;
+        let can_risk = job.is_resendable() && service.policy(shared.now()).can_risk();
+        let take_trial = || Reservation::take_trial(shared, service, upstreams, can_risk);
+        let trial = (tries == 0).then(take_trial).flatten();
+        let reservation = trial
+            .or_else(|| Reservation::take(shared, service, upstreams, &avoid, is_long))
+            .or_else(|| Reservation::take(shared, service, upstreams, &[], is_long));
+        let Some(reservation) = reservation else {
+            let answer = failure_answer(may_have_run, job);
+            let unavailable = || (format!("no upstream of `{}` is available", job.service), 503);
+            let (reason, status) = last_failure.take().unwrap_or_else(unavailable);
+            return Completion::LocalReply { answer, reason, status };
+        };
+        tries += 1;
+        let is_stream = job.payload.is_stream();
+        let mut attempt = {
+            let hedged =
+                hedged_attempt(shared, service, upstreams, job, reservation, &mut sends).fuse();
+            let gone = caller_gone(is_stream, outlet).fuse();
+            pin_mut!(hedged, gone);
+            select! {
+                attempt = hedged => attempt,
+                () = gone => return Completion::CallerGone { may_have_run: true },
+            }
+        };
+        let rule_service = view.rules.as_ref().and_then(|rules| rules.service(&job.service));
+        let outcome = attempt.outcome(shared.boundary.as_ref(), rule_service);
+        job.record_step(&attempt.upstream(), outcome, attempt.latency());
+        sends += u32::from(attempt.is_sent());
+        let Some(outcome) = outcome else {
+            return attempt.into_answer().map_or_else(missing_answer, |(attempt, answer)| {
+                service.policy(shared.now()).note(attempt.latency());
+                Completion::Answer(Box::new((attempt, answer)))
+            });
+        };
+        let failed = retry::Attempt {
+            body_kept: job.payload.is_repeatable(),
+            head_sent: false,
+            idempotent: job.is_idempotent() && job.terms.retry,
+            limit: job.terms.attempts,
+            outcome,
+            remaining: job.left(shared.now()),
+            sends,
+            sent: attempt.is_sent(),
+            tries,
+        };
+        may_have_run |= !failed.is_not_run();
+        if attempt.is_upload_failure() {
+            let reason = attempt.reason();
+            return Completion::LocalReply {
+                answer: failure_answer(may_have_run, job),
+                reason,
+                status: 400,
+            };
+        }
+        let decision = service.policy(shared.now()).decide(&failed);
+        match decision {
+            Decision::Again { after } => {
+                let kind = if failed.sent { "retry.sent" } else { "retry.unsent" };
+                shared.metrics.count(kind);
+                avoid.push(attempt.upstream());
+                last_failure = Some((attempt.reason(), status_of(outcome)));
+                attempt.fail(outcome, job.terms.long);
+                task::sleep(after).await;
+            }
+            Decision::Stop { answer } => {
+                if matches!(outcome, retry::Outcome::Failed { .. }) {
+                    return attempt
+                        .into_answer()
+                        .map_or_else(missing_answer, |(attempt, answer)| {
+                            Completion::Answer(Box::new((attempt, answer)))
+                        });
+                }
+                let reason = attempt.reason();
+                let status = status_of(outcome);
+                attempt.fail(outcome, job.terms.long);
+                let answer = correct_for_earlier_attempts(answer, may_have_run, job);
+                return Completion::LocalReply { answer, reason, status };
+            }
+        }
+    }
+}
+
+/// Completes when the caller disconnects. Never completes for a streamed request body: there, a
+/// broken upload shows that the caller is gone.
+pub(super) async fn caller_gone(is_stream: bool, outlet: &Outlet) {
+    if is_stream {
+        futures::future::pending::<()>().await;
+    }
+    outlet.caller_gone().await;
+}
+
+/// Corrects the answer for earlier attempts. The last attempt proves nothing about them: told
+/// `not-run`, a caller would resend a request that an earlier attempt may have run.
+fn correct_for_earlier_attempts(
+    answer: retry::Answer,
+    may_have_run: bool,
+    job: &Job,
+) -> retry::Answer {
+    match answer {
+        retry::Answer::NotRun => failure_answer(may_have_run, job),
+        answer => answer,
+    }
+}
+
+fn failure_answer(may_have_run: bool, job: &Job) -> retry::Answer {
+    match (may_have_run, job.is_idempotent()) {
+        (false, _) => retry::Answer::NotRun,
+        (true, true) => retry::Answer::Failed,
+        (true, false) => retry::Answer::Unknown,
+    }
+}
+
+fn missing_answer<'a>() -> Completion<'a> {
+    let reason = "the upstream's answer is missing".to_owned();
+    Completion::LocalReply { answer: retry::Answer::Unknown, reason, status: 502 }
+}
+
+fn status_of(outcome: retry::Outcome) -> u16 {
+    match outcome {
+        retry::Outcome::Deadline | retry::Outcome::Silent => 504,
+        retry::Outcome::RefusedNotRun => 503,
+        _ => 502,
+    }
+}
--- a/src/node/traffic/claims.rs
+++ b/src/node/traffic/claims.rs
@@ -1,4 +1,4 @@
-//! Asks control for the claim of a keyed request, and answers resends.
+//! Claims the idempotency key of a request at control and answers resent requests.
 
 use std::time::Duration;
 
@@ -21,83 +21,87 @@
 use super::Shared;
 use super::job::Job;
 
-/// Says that an answer is that of an earlier sending of the request.
+/// Marks an answer that was recorded for an earlier send of the same request.
 const REPLAYED_HEADER: &str = "x-hemlockfield-replayed";
-/// Longest answer that is kept, in bytes.
-pub(super) const KEPT_MAX: usize = 4096;
-/// Added to a request's own deadline before its unfinished claim counts as unknown.
-const GRACE: Duration = Duration::from_secs(5);
-/// How much longer than control may take an answer of control is waited for, so that it
-/// is control that gives up first and frees the key.
-const SLACK: Duration = Duration::from_millis(250);
-/// When to ask again about a request that is in progress.
-const SOON: Duration = Duration::from_millis(500);
+/// Longest answer that is recorded for resends, in bytes.
+pub(super) const MAX_KEPT_ANSWER_BYTES: usize = 4096;
+/// Time after a request's deadline until its unfinished claim counts as unknown.
+const CLAIM_GRACE: Duration = Duration::from_secs(5);
+/// How much longer than the request's deadline to wait for control. Control then times out first
+/// and frees the key.
+const CONTROL_REPLY_MARGIN: Duration = Duration::from_millis(250);
+/// Retry-after for a request that is in progress, or whose claim control did not answer.
+const RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// A claim that was granted: it must end, in one way or the other.
-pub(super) struct Held<'a> {
+/// A granted claim. It must be ended or abandoned; when dropped, it ends with an unknown outcome.
+pub(super) struct Claim<'a> {
     ended: bool,
     shared: &'a Shared,
     ticket: u64,
 }
 
-impl<'a> Held<'a> {
-    /// Claims the job's key. `Err` has the answer for a caller whose request is not to be
-    /// dispatched.
-    pub(super) async fn ask(shared: &'a Shared, job: &Job) -> Result<Option<Self>, Box<Response>> {
+impl<'a> Claim<'a> {
+    /// Claims the job's idempotency key; `None` for a job without one. `Err` holds the answer for
+    /// a caller whose request must not be dispatched.
+    pub(super) async fn acquire(
+        shared: &'a Shared,
+        job: &Job,
+    ) -> Result<Option<Self>, Box<Response>> {
         let Some(key) = &job.key else { return Ok(None) };
         let scope = job.team.clone().unwrap_or_else(|| job.caller.clone());
         let slot = Slot { caller: scope, key: key.clone(), service: job.service.clone() };
         let left = job.left(shared.now());
-        let request = claim::Request { digest: job.digest(), limit: left + GRACE, slot };
+        let request = claim::Request { digest: job.digest(), limit: left + CLAIM_GRACE, slot };
         let (sender, receiver) = bounded(1);
         shared.tell(Input::Claim(job.ticket, request, left, sender));
-        let held = Self { ended: false, shared, ticket: job.ticket };
-        let claimed = timeout(left + SLACK, receiver.recv()).await;
+        let claim = Self { ended: false, shared, ticket: job.ticket };
+        let claimed = timeout(left + CONTROL_REPLY_MARGIN, receiver.recv()).await;
         match claimed {
-            Ok(Ok(Claimed::Granted)) => Ok(Some(held)),
+            Ok(Ok(Claimed::Granted)) => Ok(Some(claim)),
             Ok(Ok(Claimed::Answer(answer))) => {
-                held.forget();
-                Err(Box::new(told(answer)))
+                claim.disarm();
+                Err(Box::new(response_to_resend(answer)))
             }
             Ok(Ok(Claimed::Refused(after))) => {
-                held.forget();
+                claim.disarm();
                 Err(Box::new(unconfirmed(after)))
             }
             Ok(Err(_)) | Err(_) => {
-                held.abandon();
-                Err(Box::new(unconfirmed(SOON)))
+                claim.abandon();
+                Err(Box::new(unconfirmed(RETRY_AFTER)))
             }
         }
     }
 
-    /// The request ran, or may have run.
+    /// Ends the claim of a request that ran, or may have run.
     pub(super) fn end(mut self, outcome: Outcome) {
         self.ended = true;
-        self.shared.tell_surely(Input::ClaimEnd(self.ticket, Some(outcome)));
+        self.shared.tell_reliably(Input::ClaimEnd(self.ticket, Some(outcome)));
     }
 
-    /// The request is proved not to have run: its key is free again.
+    /// Frees the key of a request that provably did not run.
     pub(super) fn abandon(mut self) {
         self.ended = true;
-        self.shared.tell_surely(Input::ClaimEnd(self.ticket, None));
+        self.shared.tell_reliably(Input::ClaimEnd(self.ticket, None));
     }
 
-    fn forget(mut self) {
+    fn disarm(mut self) {
         self.ended = true;
     }
 }
 
-impl Drop for Held<'_> {
-    /// A job that is dropped midway, as when its task panics, leaves its key unknown.
+impl Drop for Claim<'_> {
+    /// A job that is dropped before its end, for example by a panic, leaves its outcome unknown.
     fn drop(&mut self) {
         if !self.ended {
-            self.shared.tell_surely(Input::ClaimEnd(self.ticket, Some(Outcome::Unknown)));
+            self.shared.tell_reliably(Input::ClaimEnd(self.ticket, Some(Outcome::Unknown)));
         }
     }
 }
 
-/// What is kept of an answer for a caller that loses it.
-pub(super) fn keep(response: &Response, body: Option<&[u8]>) -> Outcome {
+/// The outcome to record for an answered request. With `body`, the answer is replayed to a caller
+/// that resends the request because it lost the answer.
+pub(super) fn outcome(response: &Response, body: Option<&[u8]>) -> Outcome {
     let status = response.status;
     let Some(body) = body else { return Outcome::ran(status, None) };
     let headers = response
@@ -108,23 +112,29 @@
     Outcome::ran(status, Some(KeptAnswer { body: body.to_vec(), headers }))
 }
 
-fn told(answer: Answer) -> Response {
+fn response_to_resend(answer: Answer) -> Response {
     match answer {
-        Answer::Conflict => {
-            refuse(422, exchange::Outcome::NotRun, "the key stands for another request", None)
-        }
+        Answer::Conflict => refuse(
+            422,
+            exchange::Outcome::NotRun,
+            "the idempotency key was used for a different request",
+            None,
+        ),
         Answer::Done(Outcome::Ran { answer: Some(answer), status }) => replay(status, answer),
         Answer::Done(Outcome::Ran { answer: None, status }) => {
-            let text = format!("the request ran already, with status `{status}`");
+            let text = format!("the request already ran, with status `{status}`");
             refuse(409, exchange::Outcome::AlreadyRun, &text, None)
         }
         Answer::InProgress { by, .. } => {
-            let text = format!("the request is being run, through `{by}`");
-            refuse(409, exchange::Outcome::InProgress, &text, Some(SOON))
-        }
-        Answer::Done(Outcome::Unknown) | Answer::Unknown => {
-            refuse(409, exchange::Outcome::Unknown, "the request may have run before", None)
+            let text = format!("the request is in progress through `{by}`");
+            refuse(409, exchange::Outcome::InProgress, &text, Some(RETRY_AFTER))
         }
+        Answer::Done(Outcome::Unknown) | Answer::Unknown => refuse(
+            409,
+            exchange::Outcome::Unknown,
+            "an earlier send of the request may have run",
+            None,
+        ),
     }
 }
 
@@ -143,6 +153,6 @@
 }
 
 fn unconfirmed(after: Duration) -> Response {
-    let text = "the request could not be claimed, and was not run";
+    let text = "the idempotency key could not be claimed; the request was not run";
     refuse(503, exchange::Outcome::NotRun, text, Some(after))
 }
--- a/src/node/traffic/dispatch.rs
+++ b/src/node/traffic/dispatch.rs
@@ -1,4 +1,4 @@
-//! Carries one job to its end: claim, turn, attempts, answer.
+//! Runs one job: claim, admission, attempts, answer.
 
 use std::time::Duration;
 
@@ -15,108 +15,116 @@
 use crate::retry;
 
 use super::Shared;
-use super::claims::Held;
+use super::attempts::Completion;
+use super::attempts::caller_gone;
+use super::attempts::run_attempts;
+use super::claims::Claim;
 use super::job::Job;
-use super::queue::Turn;
-use super::relay::pass_on;
-use super::tries::End;
-use super::tries::caller_gone;
-use super::tries::run;
+use super::queue::Decision;
+use super::relay::relay_answer;
 
-/// When to come back where no upstream is free, or none is there at all.
-const BUSY: Duration = Duration::from_millis(500);
-const ABSENT: Duration = Duration::from_secs(2);
+/// Retry-after when every upstream is busy.
+const BUSY_RETRY_AFTER: Duration = Duration::from_millis(500);
+/// Retry-after when a service has no upstream.
+const NO_UPSTREAM_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Carries a job to its end.
+/// Runs a job and answers its caller.
 pub(super) async fn dispatch(shared: &Shared, view: &View, mut job: Job, outlet: &mut Outlet) {
     let service = shared.service(&job.service);
     let upstreams = view.services.get(&job.service).cloned().unwrap_or_default();
     if upstreams.members.is_empty() {
-        let text = format!("service `{}` has no upstream", job.service);
-        job.give_back();
-        decline(shared, &job, outlet, &Refusal::not_run(503, text, ABSENT)).await;
+        let text = format!("service `{}` has no upstreams", job.service);
+        job.refund();
+        send_local_reply(
+            shared,
+            &job,
+            outlet,
+            &Refusal::not_run(503, text, NO_UPSTREAM_RETRY_AFTER),
+        )
+        .await;
         return;
     }
-    service.catch_up(shared.now(), &upstreams);
-    let held = match Held::ask(shared, &job).await {
-        Ok(held) => held,
+    service.refresh(shared.now(), &upstreams);
+    let claim = match Claim::acquire(shared, &job).await {
+        Ok(claim) => claim,
         Err(response) => {
-            job.give_back();
+            job.refund();
             close_upload(&job, outlet);
             if let Err(error) = outlet.send(*response).await {
-                tracing::debug!(target: "hemlockfield::exchange", "caller is gone: {error}");
+                tracing::debug!(target: "hemlockfield::exchange", "caller disconnected: {error}");
             }
             return;
         }
     };
     let classes = view.rules.as_ref().map(|rules| rules.classes()).unwrap_or_default();
-    let (turn, permit) = {
+    let (decision, permit) = {
         let enter = service.queue.enter(shared, classes, arrival(&job)).fuse();
         let gone = caller_gone(job.payload.is_stream(), outlet).fuse();
         pin_mut!(enter, gone);
         select! {
             entered = enter => entered,
             () = gone => {
-                job.give_back();
-                held.into_iter().for_each(Held::abandon);
+                job.refund();
+                claim.into_iter().for_each(Claim::abandon);
                 return;
             }
         }
     };
-    if let Turn::Refuse(reason, after) = turn {
-        job.give_back();
-        held.into_iter().for_each(Held::abandon);
+    if let Decision::Refuse(reason, after) = decision {
+        job.refund();
+        claim.into_iter().for_each(Claim::abandon);
         shared.metrics.count("request.refused");
-        let text = format!("service `{}` can't take more: {reason}", job.service);
-        return decline(shared, &job, outlet, &Refusal::not_run(503, text, after)).await;
+        let text = format!("service `{}` does not admit the request: {reason}", job.service);
+        return send_local_reply(shared, &job, outlet, &Refusal::not_run(503, text, after)).await;
     }
     let started = shared.now();
-    let end = run(shared, &service, &upstreams, view, &mut job, outlet).await;
+    let completion = run_attempts(shared, &service, &upstreams, view, &mut job, outlet).await;
     shared.metrics.time("request.upstream", shared.now().saturating_sub(started));
-    match end {
-        End::Answer(answered) => {
-            let (tried, answer) = *answered;
+    match completion {
+        Completion::Answer(answered) => {
+            let (attempt, answer) = *answered;
             permit.finish(admission::Outcome::Served);
             job.log(shared, view, "answered", answer.response.status);
-            pass_on(shared, &job, tried, answer, held, outlet).await;
+            relay_answer(shared, &job, attempt, answer, claim, outlet).await;
         }
-        End::Gone { ran } => {
+        Completion::CallerGone { may_have_run } => {
             permit.finish(admission::Outcome::Failed);
-            job.log(shared, view, "caller is gone", 0);
-            held.into_iter().for_each(|held| give_up(held, ran));
+            job.log(shared, view, "caller disconnected", 0);
+            claim.into_iter().for_each(|claim| settle_claim(claim, may_have_run));
         }
-        End::Told { answer, reason, status } => {
-            let shed = answer == retry::Answer::NotRun;
-            if shed {
-                job.give_back();
+        Completion::LocalReply { answer, reason, status } => {
+            let is_not_run = answer == retry::Answer::NotRun;
+            if is_not_run {
+                job.refund();
             }
-            let outcome = if shed { admission::Outcome::Shed } else { admission::Outcome::Failed };
+            let outcome =
+                if is_not_run { admission::Outcome::Shed } else { admission::Outcome::Failed };
             permit.finish(outcome);
-            held.into_iter().for_each(|held| give_up(held, !shed));
-            let refusal = tell(answer, reason, status);
-            decline(shared, &job, outlet, &refusal).await;
+            claim.into_iter().for_each(|claim| settle_claim(claim, !is_not_run));
+            let refusal = refusal_for(answer, reason, status);
+            send_local_reply(shared, &job, outlet, &refusal).await;
         }
     }
 }
 
-fn give_up(held: Held<'_>, ran: bool) {
-    if ran {
-        held.end(crate::claim::Outcome::Unknown);
+fn settle_claim(claim: Claim<'_>, may_have_run: bool) {
+    if may_have_run {
+        claim.end(crate::claim::Outcome::Unknown);
     } else {
-        held.abandon();
+        claim.abandon();
     }
 }
 
-/// Sends an answer that is not an upstream's.
-async fn decline(shared: &Shared, job: &Job, outlet: &mut Outlet, refusal: &Refusal) {
+/// Answers the caller with a refusal by this entry.
+async fn send_local_reply(shared: &Shared, job: &Job, outlet: &mut Outlet, refusal: &Refusal) {
     close_upload(job, outlet);
     job.log(shared, &shared.view.load(), &refusal.reason, refusal.status);
     if let Err(error) = outlet.send(shared.boundary.refuse(refusal)).await {
-        tracing::debug!(target: "hemlockfield::exchange", "caller is gone: {error}");
+        tracing::debug!(target: "hemlockfield::exchange", "caller disconnected: {error}");
     }
 }
 
-/// What is left of an upload that nobody reads ends the connection with it.
+/// Closes the connection after the answer, since the rest of a streamed upload is never read.
 fn close_upload(job: &Job, outlet: &mut Outlet) {
     if job.payload.is_stream() {
         outlet.close_after();
@@ -128,19 +136,19 @@
         caller: job.caller.clone(),
         class: job.terms.class.clone(),
         deadline: job.deadline,
-        key: job.subject(),
+        key: job.admission_key(),
         long: job.terms.long,
         ticket: job.ticket,
     }
 }
 
-/// The caller's answer where no upstream's is passed on.
-fn tell(answer: retry::Answer, reason: String, status: u16) -> Refusal {
+/// The entry's own answer for a job that no upstream answered.
+fn refusal_for(answer: retry::Answer, reason: String, status: u16) -> Refusal {
     match answer {
         retry::Answer::Failed => Refusal::new(status, Outcome::Failed, reason),
         retry::Answer::NotRun => {
             let status = if status == 400 { 400 } else { 503 };
-            Refusal::not_run(status, reason, BUSY)
+            Refusal::not_run(status, reason, BUSY_RETRY_AFTER)
         }
         retry::Answer::Unknown => Refusal::new(status, Outcome::Unknown, reason),
     }
--- a/src/node/traffic/hedge.rs
+++ b/src/node/traffic/hedge.rs
@@ -1,4 +1,4 @@
-//! One attempt at a job, with a second copy where the first is late.
+//! One attempt at a job, hedged with a second send if the first is slow.
 
 use std::time::Duration;
 
@@ -13,73 +13,75 @@
 
 use super::Noted;
 use super::Shared;
+use super::attempt::Attempt;
 use super::job::Job;
-use super::place::Place;
+use super::reservation::Reservation;
 use super::service::Service;
-use super::tried::Tried;
 
-/// One attempt, with a second copy at another upstream where the first is late, the rule
-/// wants that, and it pays. Whichever answers first counts; the other is cancelled.
-pub(super) async fn attempt<'a>(
+/// Makes one attempt. If it is slow, the rule allows hedging and the retry budget has room, sends
+/// the request to a second upstream as well. The first usable answer wins and the other send is
+/// cancelled.
+pub(super) async fn hedged_attempt<'a>(
     shared: &'a Shared,
     service: &'a Service,
     upstreams: &view::Service,
     job: &mut Job,
-    place: Place<'a>,
+    reservation: Reservation<'a>,
     sends: &mut u32,
-) -> Tried<'a> {
+) -> Attempt<'a> {
     let now = shared.now();
     let started = now;
-    let may = *sends + 1 < job.terms.attempts;
-    let hedge = may && job.terms.hedge && job.is_idempotent() && !job.payload.is_stream();
-    let after = if hedge { service.policy(shared.now()).hedge_after() } else { None };
-    let request = job.request(now, shared.boundary.as_ref(), &place.upstream);
-    let overtaken = place.upstream.clone();
-    let first = Tried::make(shared, request, place, job.is_idempotent(), job.left(now));
+    let may_send_again = *sends + 1 < job.terms.attempts;
+    let may_hedge =
+        may_send_again && job.terms.hedge && job.is_idempotent() && !job.payload.is_stream();
+    let after = if may_hedge { service.policy(shared.now()).hedge_after() } else { None };
+    let request = job.request(now, shared.boundary.as_ref(), &reservation.upstream);
+    let primary = reservation.upstream.clone();
+    let first = Attempt::run(shared, request, reservation, job.is_idempotent(), job.left(now));
     let Some(after) = after else { return first.await };
     let first = first.fuse();
     pin_mut!(first);
-    let late = task::sleep(after).fuse();
-    pin_mut!(late);
+    let delay = task::sleep(after).fuse();
+    pin_mut!(delay);
     select! {
-        tried = first => return tried,
-        () = late => (),
+        attempt = first => return attempt,
+        () = delay => (),
     }
     let now = shared.now();
     let left = job.left(now);
     if !service.policy(shared.now()).hedge(left) {
         return first.await;
     }
-    let Some(place) =
-        Place::take(shared, service, upstreams, std::slice::from_ref(&overtaken), false)
+    let Some(reservation) =
+        Reservation::take(shared, service, upstreams, std::slice::from_ref(&primary), false)
     else {
         service.policy(shared.now()).hedged(false);
         return first.await;
     };
-    let request = job.request(now, shared.boundary.as_ref(), &place.upstream);
+    let request = job.request(now, shared.boundary.as_ref(), &reservation.upstream);
     *sends += 1;
     shared.metrics.count("retry.hedge");
-    let second = Tried::make(shared, request, place, true, left).fuse();
+    let second = Attempt::run(shared, request, reservation, true, left).fuse();
     pin_mut!(second);
-    let (tried, won) = select! {
-        tried = first => (tried, false),
-        tried = second => (tried, true),
+    let (attempt, hedge_won) = select! {
+        attempt = first => (attempt, false),
+        attempt = second => (attempt, true),
     };
-    service.policy(shared.now()).hedged(won && tried.is_served(shared.boundary.as_ref()));
-    if won && tried.is_served(shared.boundary.as_ref()) {
-        tell_overtaken(shared, job, overtaken, shared.now().saturating_sub(started));
+    service.policy(shared.now()).hedged(hedge_won && attempt.is_success(shared.boundary.as_ref()));
+    if hedge_won && attempt.is_success(shared.boundary.as_ref()) {
+        report_late_primary(shared, job, primary, shared.now().saturating_sub(started));
     }
-    if tried.is_served(shared.boundary.as_ref()) {
-        return tried;
+    if attempt.is_success(shared.boundary.as_ref()) {
+        return attempt;
     }
-    if won { first.await } else { second.await }
+    if hedge_won { first.await } else { second.await }
 }
 
-/// Tells the judge that an upstream had not answered after `waited`, when another one had.
-/// Cancelled without a word, a silent upstream would never be found by what is hedged. Its
-/// latency is at least that long, and it is not called a failure, since one request in
-/// twenty is late at any upstream.
-fn tell_overtaken(shared: &Shared, job: &Job, upstream: UpstreamId, waited: Duration) {
+/// Reports that an upstream had not answered after `waited`, when the hedge had. Without this
+/// report, the cancelled send would leave no trace and a silent upstream would go undetected
+/// wherever requests are hedged. The report counts as a success with this latency, a lower bound,
+/// and not as a failure: one request in twenty is slow at any upstream.
+fn report_late_primary(shared: &Shared, job: &Job, upstream: UpstreamId, waited: Duration) {
     let service = job.service.clone();
     let kind = health::Kind::Success;
     shared.note(Noted { kind, latency: waited, service, trial: None, upstream });
--- a/src/node/traffic/job.rs
+++ b/src/node/traffic/job.rs
@@ -23,9 +23,9 @@
 use crate::rule::Terms;
 
 use super::Shared;
-use super::allowances::Passed;
+use super::rate_limiter::Charge;
 
-/// One request on its way through the entry.
+/// One request while the entry handles it.
 pub(super) struct Job {
     pub(super) caller: CallerId,
     pub(super) deadline: Moment,
@@ -33,14 +33,14 @@
     pub(super) id: RequestId,
     pub(super) key: Option<Key>,
     pub(super) method: Method,
-    /// What it took of its team's allowance.
-    pub(super) passed: Option<Passed>,
+    /// Charge against the team's rate limit.
+    pub(super) charge: Option<Charge>,
     pub(super) payload: Payload,
-    /// The team, where the request's key proved it; upstreams are told no other.
-    pub(super) proven: Option<TeamId>,
+    /// The team that the request's API key proves. Upstreams are told no other.
+    pub(super) verified_team: Option<TeamId>,
     pub(super) rule: RuleId,
     pub(super) service: ServiceId,
-    /// What was tried, for the log.
+    /// Attempts so far, for the log.
     pub(super) steps: String,
     pub(super) target: CompactString,
     pub(super) team: Option<TeamId>,
@@ -49,17 +49,17 @@
 }
 
 impl Job {
-    /// Time left at `now`.
+    /// Time from `now` until the deadline.
     pub(super) fn left(&self, now: Moment) -> Duration {
         self.deadline.saturating_sub(now)
     }
 
-    /// Whether running it twice does no harm, by the rule or by HTTP's own word.
+    /// Whether the request may run more than once without harm, according to its rule.
     pub(super) fn is_idempotent(&self) -> bool {
         self.terms.idempotent
     }
 
-    /// The request for one attempt at `upstream`, with the time that it has left.
+    /// Builds the request for one attempt at `upstream`, with the remaining time.
     pub(super) fn request(
         &mut self,
         now: Moment,
@@ -69,27 +69,27 @@
         let mut request = Request::new(self.method.clone(), &self.target);
         request.headers = self.headers.clone();
         let left = self.left(now);
-        let team = self.proven.as_deref();
+        let team = self.verified_team.as_deref();
         boundary.address(&mut request, &Sending { id: &self.id, left, team, upstream });
         self.payload.put(&mut request);
         request
     }
 
-    /// It is proved not to have run: its team may ask once more instead.
-    pub(super) fn give_back(&mut self) {
-        if let Some(passed) = self.passed.take() {
-            passed.give_back();
+    /// Refunds the team's rate limit, for a request that provably did not run.
+    pub(super) fn refund(&mut self) {
+        if let Some(charge) = self.charge.take() {
+            charge.refund();
         }
     }
 
-    /// Whether it can show if an upstream is well: it can be sent again elsewhere.
-    pub(super) fn may_try(&self) -> bool {
+    /// Whether the request can be sent to another upstream after a failure. Only such a request
+    /// may test an upstream that was at fault.
+    pub(super) fn is_resendable(&self) -> bool {
         self.is_idempotent() && self.terms.attempts > 1 && self.payload.is_repeatable()
     }
 
-    /// Writes the request's line in the log: what was decided by which rule of which
-    /// configuration, what was tried, and what the caller is told.
-    pub(super) fn log(&self, shared: &Shared, view: &View, told: &str, status: u16) {
+    /// Logs the request: the rule and configuration that decided it, the attempts, and the answer.
+    pub(super) fn log(&self, shared: &Shared, view: &View, message: &str, status: u16) {
         let left = self.left(shared.now()).as_millis() as u64;
         tracing::info!(
             target: "hemlockfield::request",
@@ -100,12 +100,12 @@
             steps = self.steps,
             status,
             left_ms = left,
-            "{told}"
+            "{message}"
         );
     }
 
-    /// Notes an attempt for the log.
-    pub(super) fn tell_step(
+    /// Appends an attempt to the steps for the log.
+    pub(super) fn record_step(
         &mut self,
         upstream: &UpstreamId,
         outcome: Option<retry::Outcome>,
@@ -121,8 +121,8 @@
         };
     }
 
-    /// What this request is, so that another one under the same key is told from it. An
-    /// upload that streams counts by its length alone.
+    /// Hash of the request, which detects a different request with the same idempotency key. A
+    /// streamed upload contributes only its length.
     pub(super) fn digest(&self) -> u128 {
         let mut hash = Xxh3::new();
         hash.update(self.method.as_str().as_bytes());
@@ -135,10 +135,9 @@
         hash.digest128()
     }
 
-    /// What many requests may be about at the same time: the key of one that must not run
-    /// twice. Not the address of a lookup: a page that everybody wants is no fault, and a
-    /// share of the turns for each address refused it while slots idled.
-    pub(super) fn subject(&self) -> Option<CompactString> {
+    /// The key that admission limits the concurrency of: the idempotency key. The path of a lookup
+    /// is no such key. A limit per path refused requests for popular pages while slots were idle.
+    pub(super) fn admission_key(&self) -> Option<CompactString> {
         self.key.clone()
     }
 }
--- a/src/node/traffic/listener.rs
+++ b/src/node/traffic/listener.rs
@@ -19,10 +19,10 @@
 use super::Shared;
 use super::serve;
 
-/// Pause after a failed accept, as when file descriptors have run out.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Pause after a failed accept, for example when file descriptors have run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Accepts callers until the process may stop serving.
+/// Accepts connections of callers until the process stops serving.
 pub(in crate::node) async fn listen(listener: TcpListener, shared: Arc<Shared>) {
     loop {
         let accepted = {
@@ -38,44 +38,45 @@
         };
         match accepted {
             Ok((stream, peer)) => {
-                runtime::spawn(guarded(stream, peer, Arc::clone(&shared)));
+                runtime::spawn(serve_isolated(stream, peer, Arc::clone(&shared)));
             }
             Err(error) => {
-                tracing::warn!(target: "hemlockfield::exchange", "can't accept: {error}");
-                task::sleep(PAUSE).await;
+                tracing::warn!(target: "hemlockfield::exchange", "can't accept a connection: {error}");
+                task::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Serves one connection. A fault of ours in one must not take others with it.
-async fn guarded(stream: TcpStream, peer: SocketAddr, shared: Arc<Shared>) {
+/// Serves one connection. A panic in it must not affect other connections.
+async fn serve_isolated(stream: TcpStream, peer: SocketAddr, shared: Arc<Shared>) {
     let open = shared.connections.fetch_add(1, Ordering::AcqRel);
     let inlet = Inlet::new(stream, peer);
     let served = if open < shared.settings.limits.connections {
-        AssertUnwindSafe(connection(inlet, &shared)).catch_unwind().await
+        AssertUnwindSafe(serve_connection(inlet, &shared)).catch_unwind().await
     } else {
-        AssertUnwindSafe(too_many(inlet)).catch_unwind().await
+        AssertUnwindSafe(reject_connection(inlet)).catch_unwind().await
     };
     if served.is_err() {
         shared.metrics.count("exchange.panicked");
-        tracing::error!(target: "hemlockfield::exchange", "connection of `{peer}` panicked");
+        tracing::error!(target: "hemlockfield::exchange", "task of the connection from `{peer}` panicked");
     }
     shared.connections.fetch_sub(1, Ordering::AcqRel);
 }
 
-async fn too_many(mut inlet: Inlet) {
+async fn reject_connection(mut inlet: Inlet) {
     inlet.reject(&Error::Connections).await;
 }
 
-async fn connection(mut inlet: Inlet, shared: &Arc<Shared>) {
+async fn serve_connection(mut inlet: Inlet, shared: &Arc<Shared>) {
     let limits = &shared.settings.limits;
     loop {
-        let told = shared.view.load().rules.as_ref().map(|rules| rules.limits());
-        let told = told.unwrap_or_default();
-        inlet.set_head_max(told.head.unwrap_or(limits.head as usize));
+        let rule_limits = shared.view.load().rules.as_ref().map(|rules| rules.limits());
+        let rule_limits = rule_limits.unwrap_or_default();
+        inlet.set_head_max(rule_limits.head.unwrap_or(limits.head as usize));
         let readable = {
-            let readable = timeout(told.idle.unwrap_or(limits.idle), inlet.readable()).fuse();
+            let readable =
+                timeout(rule_limits.idle.unwrap_or(limits.idle), inlet.readable()).fuse();
             let closing = shared.closed().fuse();
             pin_mut!(readable, closing);
             select! {
@@ -88,7 +89,7 @@
         }
         let _in_flight = InFlight::new(shared);
         let Some((request, mut outlet)) =
-            inlet.next(told.head_time.unwrap_or(limits.head_time)).await
+            inlet.next(rule_limits.head_time.unwrap_or(limits.head_time)).await
         else {
             return;
         };
@@ -103,7 +104,7 @@
     }
 }
 
-/// Counts a request as in flight until it is dropped.
+/// Counts a request as in flight until dropped.
 struct InFlight<'a>(&'a Shared);
 
 impl<'a> InFlight<'a> {
--- a/src/node/traffic/queue.rs
+++ b/src/node/traffic/queue.rs
@@ -27,15 +27,15 @@
 
 use super::Shared;
 
-/// Time between two looks at the queues: the least wait that a gate tells apart.
-const TICK: Duration = Duration::from_millis(5);
-/// Time between two reports of gauges.
-const GAUGES: Duration = Duration::from_secs(1);
-/// Longest time between two looks, where nothing waits: as often as a judge looks, and a
-/// fiftieth of what a look every 5 ms costs an idle process.
-const IDLE: Duration = health::Setup::TICK;
-
-/// The gate of one service, and those that wait before it.
+/// Interval of polling while requests wait: the shortest wait that a gate distinguishes.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Interval between reports of gauges.
+const GAUGE_INTERVAL: Duration = Duration::from_secs(1);
+/// Longest interval of polling while no request waits: the health judge's tick. It costs an idle
+/// process a fiftieth of polling every 5 ms.
+const IDLE_POLL_INTERVAL: Duration = health::Setup::TICK;
+
+/// Admission queue of one service: its gate and the waiting requests.
 pub(in crate::node) struct Queue {
     seed: u64,
     state: Mutex<State>,
@@ -47,19 +47,19 @@
     gate: Option<Gate>,
     slots: Option<usize>,
     tape: Tape,
-    waiting: BTreeMap<u64, (Arrival, Sender<Turn>)>,
+    waiting: BTreeMap<u64, (Arrival, Sender<Decision>)>,
 }
 
-/// What became of a request that wanted its turn.
+/// Admission decision for one request.
 #[derive(Clone, Debug)]
-pub(super) enum Turn {
-    /// Answer it now, as not run.
+pub(super) enum Decision {
+    /// Refuse the request as not run, with the reason and the time after which to retry.
     Refuse(Reason, Duration),
-    /// Send it to an upstream now.
-    Run,
+    /// Send the request to an upstream now.
+    Admit,
 }
 
-/// A turn in use; it ends as failed where nobody says otherwise.
+/// Permission to run an admitted request. Counts as failed if dropped without an outcome.
 pub(super) struct Permit<'a> {
     ended: bool,
     queue: &'a Queue,
@@ -72,36 +72,36 @@
         Self { seed, state: Mutex::new(State { tape, ..State::default() }) }
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub(in crate::node) fn len(&self) -> usize {
         self.lock().waiting.len()
     }
 
-    /// Waits for a turn. Given up by its caller, the request leaves the queue.
+    /// Waits for the admission decision. If this future is dropped, the request leaves the queue.
     pub(super) async fn enter<'a>(
         &'a self,
         shared: &'a Shared,
         classes: &[Class],
         arrival: Arrival,
-    ) -> (Turn, Permit<'a>) {
+    ) -> (Decision, Permit<'a>) {
         let (sender, receiver) = bounded(1);
         let permit = Permit { ended: false, queue: self, shared, ticket: arrival.ticket };
         {
             let mut state = self.lock();
             let now = shared.now();
-            state.use_classes(now, classes, self.seed);
+            state.set_classes(now, classes, self.seed);
             state.waiting.insert(arrival.ticket, (arrival.clone(), sender));
             state.handle(now, Input::Arrive(arrival));
             if !state.waiting.is_empty() {
-                shared.look_soon();
+                shared.request_poll();
             }
         }
-        let turn = receiver.recv().await;
-        let closed = Turn::Refuse(Reason::Overload, Duration::from_secs(1));
-        (turn.unwrap_or(closed), permit)
+        let decision = receiver.recv().await;
+        let closed = Decision::Refuse(Reason::Overload, Duration::from_secs(1));
+        (decision.unwrap_or(closed), permit)
     }
 
-    /// Sets how many requests may run at a time.
+    /// Sets how many requests may run at once.
     pub(super) fn set_slots(&self, now: Moment, slots: usize) {
         let mut state = self.lock();
         state.slots = Some(slots);
@@ -122,17 +122,17 @@
 }
 
 impl State {
-    /// Takes over changed classes: who waits is moved to the new gate. What runs under
-    /// the old one ends unnoticed there, and the new one learns its slots anew.
-    fn use_classes(&mut self, now: Moment, classes: &[Class], seed: u64) {
+    /// Applies changed classes. Waiting requests move to the new gate. The new gate is not told of
+    /// requests that the old one admitted, and learns its slots anew.
+    fn set_classes(&mut self, now: Moment, classes: &[Class], seed: u64) {
         if self.gate.is_some() && self.classes == classes {
             return;
         }
         self.classes = classes.to_vec();
         let random = ChaCha8Rng::seed_from_u64(seed);
         self.gate = Some(Gate::new(classes, random, now));
-        let made = || replay::Machine::Gate { classes: classes.to_vec(), seed };
-        self.tape.machine(now, made);
+        let machine = || replay::Machine::Gate { classes: classes.to_vec(), seed };
+        self.tape.machine(now, machine);
         self.handle(now, Input::Capacity { slots: self.slots });
         let waiting: Vec<Arrival> =
             self.waiting.values().map(|(arrival, _)| arrival.clone()).collect();
@@ -145,21 +145,21 @@
         let Some(gate) = &mut self.gate else { return };
         self.tape.input(now, || replay::Input::Gate(input.clone()));
         for output in gate.handle(now, input) {
-            let (ticket, turn) = match output {
+            let (ticket, decision) = match output {
                 Output::Refuse { reason, retry_after, ticket } => {
-                    (ticket, Turn::Refuse(reason, retry_after))
+                    (ticket, Decision::Refuse(reason, retry_after))
                 }
-                Output::Run { ticket } => (ticket, Turn::Run),
+                Output::Run { ticket } => (ticket, Decision::Admit),
             };
             if let Some((_, sender)) = self.waiting.remove(&ticket) {
-                sender.try_send(turn).ok();
+                sender.try_send(decision).ok();
             }
         }
     }
 }
 
 impl Permit<'_> {
-    /// Ends the turn.
+    /// Releases the permit with the outcome of the request.
     pub(super) fn finish(mut self, outcome: Outcome) {
         self.end(outcome);
     }
@@ -186,36 +186,36 @@
     }
 }
 
-/// Looks at all queues for as long as the process serves, and tells control what waits
-/// unusually long at an upstream.
-pub(in crate::node) async fn tick(shared: Arc<Shared>) {
+/// Polls all queues until the process stops, and reports to control the requests that have waited
+/// unusually long for an upstream.
+pub(in crate::node) async fn poll_queues(shared: Arc<Shared>) {
     let mut overdue_at = Moment::ZERO;
     let mut gauges_at = Moment::ZERO;
     while !shared.done.is_closed() {
-        shared.wait_for_look(IDLE).await;
+        shared.wait_for_poll(IDLE_POLL_INTERVAL).await;
         let services = shared.services();
         if services.iter().any(|service| service.queue.len() > 0) {
-            task::sleep(TICK).await;
-            shared.look_soon();
+            task::sleep(POLL_INTERVAL).await;
+            shared.request_poll();
         }
         let now = shared.now();
         services.iter().for_each(|service| service.queue.tick(now));
         if now >= overdue_at {
             overdue_at = now + health::Setup::TICK;
-            services.iter().for_each(|service| tell_overdue(&shared, service));
+            services.iter().for_each(|service| report_overdue(&shared, service));
         }
         if now >= gauges_at {
-            gauges_at = now + GAUGES;
+            gauges_at = now + GAUGE_INTERVAL;
             let in_flight = shared.in_flight.load(Ordering::Relaxed);
             shared.metrics.gauge("request.in_flight", in_flight as u64);
-            tell_levels(&shared);
+            report_gauges(&shared);
         }
     }
 }
 
-/// Tells what this entry goes by: entries that share the retry budget with it, upstreams that
-/// are out, and those that get work only where no other has room.
-fn tell_levels(shared: &Shared) {
+/// Reports gauges of the state that this entry acts on: entries that share the retry budget,
+/// ejected upstreams, and upstreams used only as a last resort.
+fn report_gauges(shared: &Shared) {
     let view = shared.view.load();
     let services = || view.services.values();
     let is_out = |weight: &&f64| **weight <= 0.0;
@@ -229,10 +229,10 @@
     }
 }
 
-fn tell_overdue(shared: &Shared, service: &super::service::Service) {
+fn report_overdue(shared: &Shared, service: &super::service::Service) {
     let overdue = service.overdue(shared.now());
     let stuck = overdue.iter().map(|(_, ages)| ages.len()).sum();
-    service.make_up_for(shared.now(), stuck);
+    service.compensate_stuck(shared.now(), stuck);
     for (upstream, ages) in overdue {
         shared.tell(node::Input::Overdue(service.name.clone(), upstream, ages));
     }
--- a/src/node/traffic/relay.rs
+++ b/src/node/traffic/relay.rs
@@ -1,4 +1,4 @@
-//! Passes an upstream's answer on to the caller.
+//! Relays an upstream's answer to the caller.
 
 use crate::claim;
 use crate::exchange::Answer;
@@ -10,31 +10,31 @@
 use crate::node::probe::is_draining;
 
 use super::Shared;
+use super::attempt::Attempt;
 use super::claims;
-use super::claims::Held;
+use super::claims::Claim;
 use super::job::Job;
-use super::tried::Tried;
 
-/// Passes an answer on. Only when all of it has gone through does the upstream count as
-/// having served, and its connection as fit for another request.
-pub(super) async fn pass_on(
+/// Relays an answer. The upstream's success is recorded, and its connection reused, only after the
+/// whole answer has passed through.
+pub(super) async fn relay_answer(
     shared: &Shared,
     job: &Job,
-    tried: Tried<'_>,
+    attempt: Attempt<'_>,
     mut answer: Answer,
-    held: Option<Held<'_>>,
+    claim: Option<Claim<'_>>,
     outlet: &mut Outlet,
 ) {
     let mut response = std::mem::replace(&mut answer.response, Response::new(200));
-    shared.note_bytes(response.body.len().unwrap_or_default());
-    if let Some(held) = held {
-        held.end(record(&mut response).await);
+    shared.count_bytes(response.body.len().unwrap_or_default());
+    if let Some(claim) = claim {
+        claim.end(claim_outcome(&mut response).await);
     }
     if job.payload.is_stream() && answer.is_early() {
         outlet.close_after();
     }
     if is_draining(&response) {
-        let (service, upstream) = (job.service.clone(), tried.upstream());
+        let (service, upstream) = (job.service.clone(), attempt.upstream());
         shared.tell(Input::Probed { draining: Some(true), healthy: true, service, upstream });
     }
     let failed = response.status >= 500;
@@ -44,27 +44,29 @@
         true => health::Kind::ServerError,
         false => health::Kind::Success,
     };
-    let address = tried.address();
-    tried.finish(kind, job.terms.long);
-    if let Some(leg) = answer.release() {
-        shared.pool.put(address, leg);
+    let address = attempt.address();
+    attempt.finish(kind, job.terms.long);
+    if let Some(connection) = answer.release() {
+        shared.pool.put(address, connection);
     }
 }
 
-/// What the ledger is told of an answer; a small one whole, for a caller that loses it.
-async fn record(response: &mut Response) -> claim::Outcome {
-    let long = response.body.len().is_none_or(|length| length > claims::KEPT_MAX as u64);
+/// The outcome for the claim ledger. A short answer is recorded whole, to be replayed to a caller
+/// that loses it.
+async fn claim_outcome(response: &mut Response) -> claim::Outcome {
+    let long =
+        response.body.len().is_none_or(|length| length > claims::MAX_KEPT_ANSWER_BYTES as u64);
     if long {
-        return claims::keep(response, None);
+        return claims::outcome(response, None);
     }
     match std::mem::take(&mut response.body).read_all().await {
         Ok(bytes) => {
             response.body = Body::Held(bytes.clone());
-            claims::keep(response, Some(&bytes))
+            claims::outcome(response, Some(&bytes))
         }
         Err(error) => {
-            tracing::warn!(target: "hemlockfield::claim", "answer is not kept: {error}");
-            claims::keep(response, None)
+            tracing::warn!(target: "hemlockfield::claim", "can't keep the answer for resends: {error}");
+            claims::outcome(response, None)
         }
     }
 }
--- a/src/node/traffic/place.rs
+++ b/src/node/traffic/reservation.rs
@@ -13,8 +13,8 @@
 use super::Trial;
 use super::service::Service;
 
-/// A request's place at an upstream; given back, at the latest when it is dropped.
-pub(super) struct Place<'a> {
+/// A reserved slot at an upstream, released at the latest when dropped.
+pub(super) struct Reservation<'a> {
     pub(super) address: SocketAddr,
     ended: bool,
     service: &'a Service,
@@ -24,8 +24,8 @@
     pub(super) upstream: UpstreamId,
 }
 
-impl<'a> Place<'a> {
-    /// Takes a place at an upstream that can serve, if one is free.
+impl<'a> Reservation<'a> {
+    /// Reserves a slot at a usable upstream; `None` if there is none.
     pub(super) fn take(
         shared: &'a Shared,
         service: &'a Service,
@@ -37,7 +37,7 @@
         Self::at(shared, service, view, pick)
     }
 
-    /// A place at an upstream that is to be tried.
+    /// Reserves a slot at an upstream that is due for a trial request.
     pub(super) fn take_trial(
         shared: &'a Shared,
         service: &'a Service,
@@ -45,9 +45,9 @@
         is_repeatable: bool,
     ) -> Option<Self> {
         let pick = service.pick_trial(shared.now(), view, is_repeatable)?;
-        let mut place = Self::at(shared, service, view, pick)?;
-        place.trial = Some(Trial { is_repeatable });
-        Some(place)
+        let mut reservation = Self::at(shared, service, view, pick)?;
+        reservation.trial = Some(Trial { is_repeatable });
+        Some(reservation)
     }
 
     fn at(
@@ -57,7 +57,7 @@
         pick: Pick,
     ) -> Option<Self> {
         let address = view.addresses.get(&pick.upstream).copied();
-        let place = Self {
+        let reservation = Self {
             address: address.unwrap_or_else(|| SocketAddr::from(([0, 0, 0, 0], 0))),
             ended: false,
             service,
@@ -66,11 +66,11 @@
             trial: None,
             upstream: pick.upstream,
         };
-        address.map(|_| place)
+        address.map(|_| reservation)
     }
 
-    /// Gives the place back, and tells the judge what it showed of the upstream. A job
-    /// whose length is the caller's doing shows nothing by its latency.
+    /// Releases the slot and reports the outcome to outlier detection. A success of a long job is
+    /// not reported, because its latency depends on the caller's request.
     pub(super) fn end(mut self, kind: health::Kind, latency: Duration, long: bool) {
         self.give_back(kind, latency);
         if kind == health::Kind::Success && long {
@@ -90,8 +90,8 @@
     }
 }
 
-impl Drop for Place<'_> {
-    /// What was given up midway says nothing about the upstream.
+impl Drop for Reservation<'_> {
+    /// An attempt that was cancelled says nothing about the upstream, so nothing is reported.
     fn drop(&mut self) {
         self.give_back(health::Kind::Timeout, Duration::ZERO);
     }
--- /dev/null
+++ b/src/node/traffic/round_trip.rs
@@ -0,0 +1,70 @@
+use std::net::SocketAddr;
+use std::time::Duration;
+use std::time::Instant;
+
+use async_std::future::timeout;
+
+use crate::exchange::Answer;
+use crate::exchange::Failure;
+use crate::exchange::Leg;
+use crate::exchange::Limits;
+use crate::exchange::Request;
+
+use super::Shared;
+
+/// Longest wait between two bytes of an answer body.
+const BODY_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+
+/// Result of sending one request to an upstream.
+pub(super) struct RoundTrip {
+    pub(super) result: Result<Answer, Failure>,
+    /// Time until the answer's head arrived or the attempt ended.
+    pub(super) latency: Duration,
+}
+
+impl RoundTrip {
+    /// Sends a request to the upstream at `address`, with `left` time for all of it. Dropping the
+    /// future closes the connection, which cancels the work.
+    pub(super) async fn run(
+        shared: &Shared,
+        request: Request,
+        address: SocketAddr,
+        idempotent: bool,
+        left: Duration,
+    ) -> Self {
+        let started = Instant::now();
+        let sending = send(shared, request, address, idempotent, left);
+        let result = timeout(left, sending).await.unwrap_or(Err(Failure::Expired(left)));
+        Self { result, latency: started.elapsed() }
+    }
+}
+
+async fn send(
+    shared: &Shared,
+    request: Request,
+    address: SocketAddr,
+    idempotent: bool,
+    left: Duration,
+) -> Result<Answer, Failure> {
+    let connection = acquire_connection(shared, address, idempotent, left).await?;
+    let first_byte = shared.settings.limits.first_byte.min(left);
+    let connect = shared.settings.limits.connect;
+    connection.ask(request, Limits { connect, first_byte, idle: BODY_IDLE_TIMEOUT }).await
+}
+
+/// Takes a pooled connection or opens a new one. Requests that are not idempotent use only
+/// connections that carried an answer very recently. A middlebox may have dropped the state of a
+/// connection that was idle for longer: a request sent on it is lost, and nobody can tell whether
+/// it ran.
+async fn acquire_connection(
+    shared: &Shared,
+    address: SocketAddr,
+    idempotent: bool,
+    left: Duration,
+) -> Result<Leg, Failure> {
+    let max_idle = if idempotent { Duration::MAX } else { shared.settings.limits.proven };
+    if let Some(connection) = shared.pool.take(address, max_idle).await {
+        return Ok(connection);
+    }
+    Leg::dial(address, shared.settings.limits.connect.min(left)).await
+}
--- a/src/node/traffic/serve.rs
+++ b/src/node/traffic/serve.rs
@@ -1,4 +1,4 @@
-//! Takes one request off a caller's connection and says what becomes of it.
+//! Routes one request from a caller's connection, or refuses it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -32,19 +32,18 @@
 
 use super::DIRECTORY_PATH;
 use super::Shared;
-use super::allowances::Passed;
+use super::attempts::caller_gone;
 use super::dispatch;
 use super::job::Job;
-use super::tries::caller_gone;
+use super::rate_limiter::Charge;
 
-/// When to come back to an entry that has no configuration yet: half a second passes between
-/// the start of a whole fleet and its first leader, and a caller that is sent away for longer
-/// has no time left for an answer.
-const STARTING: Duration = Duration::from_millis(300);
-/// Time that a caller is taken to have where it names none, before rules say otherwise.
-const BUDGET: Duration = Duration::from_secs(2);
+/// Retry-after while this entry has no configuration. A starting fleet needs half a second to
+/// elect its first leader, and a caller told to wait longer would have no time left for an answer.
+const STARTUP_RETRY_AFTER: Duration = Duration::from_millis(300);
+/// Time budget of a caller that names none, before rules apply.
+const DEFAULT_BUDGET: Duration = Duration::from_secs(2);
 
-/// Headers of a request, as rules ask for them.
+/// Headers of a request, for matching by rules.
 struct Headers<'a>(&'a Request);
 
 impl rule::Headers for Headers<'_> {
@@ -63,21 +62,21 @@
     shared.metrics.count("request");
     if request.path() == DIRECTORY_PATH {
         let response = list_entries(shared, &request, peer);
-        return decline(&request, response, outlet).await;
+        return respond_unread(&request, response, outlet).await;
     }
-    shared.note_arrival();
-    shared.note_bytes(request.body.len().unwrap_or_default());
-    let came = shared.now();
-    if !wait_for_rules(shared, &request, outlet, peer).await {
+    shared.count_arrival();
+    shared.count_bytes(request.body.len().unwrap_or_default());
+    let received_at = shared.now();
+    if !wait_for_configuration(shared, &request, outlet, peer).await {
         return;
     }
     let view = shared.view.load_full();
-    let close = !request.body.is_empty();
-    match take(shared, &view, request, peer, came).await {
+    let has_body = !request.body.is_empty();
+    match accept(shared, &view, request, peer, received_at).await {
         Ok(job) => dispatch::dispatch(shared, &view, job, outlet).await,
         Err(refusal) => {
             shared.metrics.count("request.refused");
-            if close {
+            if has_body {
                 outlet.close_after();
             }
             send(shared.boundary.refuse(&refusal), outlet).await;
@@ -85,9 +84,9 @@
     }
 }
 
-/// Waits for the first configuration, as long as it is worth while; whether the caller is
-/// still there.
-async fn wait_for_rules(
+/// Waits for the first configuration, for as long as the caller has time. Returns whether the
+/// caller is still connected.
+async fn wait_for_configuration(
     shared: &Shared,
     request: &Request,
     outlet: &Outlet,
@@ -96,7 +95,7 @@
     if shared.view.load().serves() {
         return true;
     }
-    let budget = shared.boundary.call(request, peer.ip()).budget.unwrap_or(BUDGET);
+    let budget = shared.boundary.call(request, peer.ip()).budget.unwrap_or(DEFAULT_BUDGET);
     let longest = Start::patience(shared.now(), budget);
     let ready = shared.wait_until_ready(longest).fuse();
     let gone = caller_gone(!request.body.is_empty(), outlet).fuse();
@@ -107,8 +106,8 @@
     }
 }
 
-/// Answers without a look at the body, which ends the connection where there is one.
-async fn decline(request: &Request, response: Response, outlet: &mut Outlet) {
+/// Answers without reading the body; a connection with an unread body is closed.
+async fn respond_unread(request: &Request, response: Response, outlet: &mut Outlet) {
     if !request.body.is_empty() {
         outlet.close_after();
     }
@@ -117,90 +116,94 @@
 
 async fn send(response: Response, outlet: &mut Outlet) {
     if let Err(error) = outlet.send(response).await {
-        tracing::debug!(target: "hemlockfield::exchange", "caller is gone: {error}");
+        tracing::debug!(target: "hemlockfield::exchange", "caller disconnected: {error}");
     }
 }
 
 fn list_entries(shared: &Shared, request: &Request, peer: SocketAddr) -> Response {
     let named = request.query("caller");
-    let caller = named.unwrap_or_else(|| shared.caller_at(peer.ip()));
+    let caller = named.unwrap_or_else(|| shared.unnamed_caller(peer.ip()));
     match serde_json::to_string(&shared.entries(&caller)) {
         Ok(text) => Response::json(200, text),
         Err(error) => exchange::refuse(500, Outcome::NotRun, &error.to_string(), None),
     }
 }
 
-/// What the rules say of a request.
-struct Decided {
+/// Result of routing a request by the rules.
+struct Routing {
     call: Call,
-    proven: Option<TeamId>,
+    verified_team: Option<TeamId>,
     rule: RuleId,
     service: ServiceId,
     team: Option<Team>,
     terms: Terms,
 }
 
-impl Decided {
-    /// Time that the caller has, and that the rule leaves it.
+impl Routing {
+    /// The caller's time budget, capped by the rule's deadline.
     fn budget(&self) -> Duration {
-        let most = self.terms.deadline;
-        self.call.budget.map_or(most, |budget| budget.min(most))
+        let max = self.terms.deadline;
+        self.call.budget.map_or(max, |budget| budget.min(max))
     }
 }
 
-async fn take(
+async fn accept(
     shared: &Shared,
     view: &View,
     request: Request,
     peer: SocketAddr,
-    came: Moment,
+    received_at: Moment,
 ) -> Result<Job, Refusal> {
-    let decided = decide(shared, view, &request, peer);
-    if let Err(refusal) = &decided {
+    let routing = route(shared, view, &request, peer);
+    if let Err(refusal) = &routing {
         let id = shared.boundary.call(&request, peer.ip()).id;
         let path = request.path();
         let number = view.number;
         let Refusal { reason, status, .. } = refusal;
         tracing::info!(target: "hemlockfield::request", id = id.as_deref(), number, path, status, "{reason}");
     }
-    let decided = decided?;
-    let passed = pass(shared, view, &decided).await;
-    if let Err(Refusal { reason, status, .. }) = &passed {
-        let (id, number) = (decided.call.id.as_deref(), view.number);
-        let rule = &decided.rule;
+    let routing = routing?;
+    let charge = charge_team(shared, view, &routing).await;
+    if let Err(Refusal { reason, status, .. }) = &charge {
+        let (id, number) = (routing.call.id.as_deref(), view.number);
+        let rule = &routing.rule;
         tracing::info!(target: "hemlockfield::request", id, number, %rule, status, "{reason}");
     }
-    let passed = passed?;
-    let made = make(shared, request, decided, came).await;
-    match (made, passed) {
-        (Ok(job), passed) => Ok(Job { passed, ..job }),
-        (Err(refusal), passed) => {
-            passed.into_iter().for_each(Passed::give_back);
+    let charge = charge?;
+    let built = build_job(shared, request, routing, received_at).await;
+    match (built, charge) {
+        (Ok(job), charge) => Ok(Job { charge, ..job }),
+        (Err(refusal), charge) => {
+            charge.into_iter().for_each(Charge::refund);
             Err(refusal)
         }
     }
 }
 
-/// Lets a request pass as far as its team may ask.
-async fn pass(shared: &Shared, view: &View, decided: &Decided) -> Result<Option<Passed>, Refusal> {
-    let Some(team) = &decided.team else { return Ok(None) };
+/// Counts a request against its team's rate limit.
+async fn charge_team(
+    shared: &Shared,
+    view: &View,
+    routing: &Routing,
+) -> Result<Option<Charge>, Refusal> {
+    let Some(team) = &routing.team else { return Ok(None) };
     let number = view.number.unwrap_or_default();
-    shared.allowances.pass(shared, team, number, decided.budget()).await
+    shared.rate_limiter.acquire(shared, team, number, routing.budget()).await
 }
 
-fn decide(
+fn route(
     shared: &Shared,
     view: &View,
     request: &Request,
     peer: SocketAddr,
-) -> Result<Decided, Refusal> {
+) -> Result<Routing, Refusal> {
     let Some(rules) = view.rules.as_ref().filter(|_| view.serves()) else {
         let text = "this entry has no configuration yet; use another";
-        return Err(Refusal::not_run(503, text, STARTING));
+        return Err(Refusal::not_run(503, text, STARTUP_RETRY_AFTER));
     };
     let call = shared.boundary.call(request, peer.ip());
     let asker = rules.teams().asker(call.key.as_ref());
-    let asked = rule::Request {
+    let rule_request = rule::Request {
         caller: &call.caller,
         headers: &Headers(request),
         host: &request.host(),
@@ -208,12 +211,12 @@
         path: request.path(),
         team: asker.team().map(|team| &team.name),
     };
-    let decided = rules.decide(&asked, view);
+    let decided = rules.decide(&rule_request, view);
     if asker == Asker::Unknown && rules.needs_key(decided) {
-        return Err(Refusal::new(401, Outcome::NotRun, "no known API key came with the request"));
+        return Err(Refusal::new(401, Outcome::NotRun, "the request carries no known API key"));
     }
     let Some(decided) = decided else {
-        return Err(Refusal::new(404, Outcome::NotRun, "no rule holds for this request"));
+        return Err(Refusal::new(404, Outcome::NotRun, "no rule matches this request"));
     };
     let (split, mut terms) = match &decided.then {
         Action::Refuse { message, status } => {
@@ -221,7 +224,7 @@
         }
         Action::Route { split, terms } => (split, terms.clone()),
     };
-    if let Some(refusal) = objection(request, &terms) {
+    if let Some(refusal) = terms_violation(request, &terms) {
         return Err(refusal);
     }
     let service = split.choose(rand::rng().random_range(0.0..1.0)).clone();
@@ -229,13 +232,13 @@
     if let Some(class) = team.and_then(|team| team.class.clone()) {
         terms.class = class;
     }
-    let proven = asker.team().map(|team| team.name.clone());
+    let verified_team = asker.team().map(|team| team.name.clone());
     let team = team.cloned();
-    Ok(Decided { call, proven, rule: decided.name.clone(), service, team, terms })
+    Ok(Routing { call, verified_team, rule: decided.name.clone(), service, team, terms })
 }
 
-/// Why a rule's terms don't allow the request, if they don't.
-fn objection(request: &Request, terms: &Terms) -> Option<Refusal> {
+/// Why a request violates its rule's terms, if it does.
+fn terms_violation(request: &Request, terms: &Terms) -> Option<Refusal> {
     let size = request.body.len().unwrap_or_default();
     if size > terms.body {
         let error = exchange::Error::BodySize { limit: terms.body, size };
@@ -245,18 +248,18 @@
     if request.headers.contains_key(header.as_str()) || is_safe(&request.method) {
         return None;
     }
-    let text = format!("header `{header}` is missing: this request runs at most once, by its key");
+    let text = format!("header `{header}` is missing: the rule requires an idempotency key");
     Some(Refusal::new(428, Outcome::NotRun, text))
 }
 
-async fn make(
+async fn build_job(
     shared: &Shared,
     mut request: Request,
-    decided: Decided,
-    came: Moment,
+    routing: Routing,
+    received_at: Moment,
 ) -> Result<Job, Refusal> {
-    let deadline = came + decided.budget();
-    let Decided { call, proven, rule, service, team, terms } = decided;
+    let deadline = received_at + routing.budget();
+    let Routing { call, verified_team, rule, service, team, terms } = routing;
     let key = terms.key.as_ref().and_then(|header| request.header(header.as_str()));
     let key = key.map(Into::into);
     let limits = &shared.settings.limits;
@@ -264,17 +267,17 @@
     let payload =
         payload.map_err(|failure| Refusal::new(400, Outcome::NotRun, failure.to_string()))?;
     clean_request(&mut request);
-    let (ticket, own) = shared.next_request();
+    let (ticket, generated_id) = shared.next_request();
     Ok(Job {
         caller: call.caller,
         deadline,
         headers: request.headers,
-        id: call.id.unwrap_or(own),
+        id: call.id.unwrap_or(generated_id),
         key,
         method: request.method,
-        passed: None,
+        charge: None,
         payload,
-        proven,
+        verified_team,
         rule,
         service,
         steps: String::new(),
@@ -285,7 +288,7 @@
     })
 }
 
-/// Whether HTTP itself says that a method changes nothing.
+/// Whether HTTP defines the method as safe (read-only).
 fn is_safe(method: &Method) -> bool {
     matches!(*method, Method::GET | Method::HEAD | Method::OPTIONS)
 }
--- a/src/node/traffic/service.rs
+++ b/src/node/traffic/service.rs
@@ -29,21 +29,21 @@
 
 use super::queue::Queue;
 
-/// Turns of all entries together, over the slots of all upstreams. Callers spread over the
-/// entries unevenly by chance, and an entry must not refuse what the others have room for;
-/// when all are full, two requests for each slot wait at its upstream, half of what its own
-/// queue takes. Mean worth of four days of the smaller site with four seeds: 0.483 at 1.5
-/// times, 0.502 at 2, 0.527 at 3, 0.512 at 5.
+/// Ratio of concurrent requests admitted by all entries together to the slots of all upstreams.
+/// Callers spread unevenly over entries, and an entry must not refuse what upstreams have room
+/// for. If all entries are full, two requests per slot wait at each upstream, half of what its own
+/// queue holds. Mean value of the served requests: 0.483 at 1.5, 0.502 at 2, 0.527 at 3, 0.512 at
+/// 5.
 const OVERCOMMIT: f64 = 3.0;
-/// Least turns of an entry: with fewer, one long request holds up all others.
-const SLOTS_MIN: usize = 4;
+/// Least slots of an entry: with fewer, one long request blocks all others.
+const MIN_SLOTS: usize = 4;
 
-/// One service, as the traffic threads of this process share it.
+/// State of one service, shared by the traffic threads of this process.
 pub(in crate::node) struct Service {
     /// Whether the whole fleet starts for the first time.
     is_first: bool,
     pub(in crate::node) name: ServiceId,
-    picker: Mutex<Choice>,
+    selector: Mutex<Selector>,
     policy: Mutex<Policy>,
     pub(in crate::node) queue: Queue,
     retry: settings::Retry,
@@ -62,11 +62,11 @@
         Self {
             is_first: settings.first_start,
             name,
-            picker: Mutex::new(Choice {
+            selector: Mutex::new(Selector {
                 members: Vec::new(),
                 picker,
                 slots: 0,
-                tried: BTreeSet::new(),
+                sent_trials: BTreeSet::new(),
                 version: 0,
             }),
             policy: Mutex::new(policy),
@@ -82,75 +82,77 @@
         avoid: &[UpstreamId],
         is_long: bool,
     ) -> Option<Pick> {
-        self.choice(now, view).picker.pick(now, &Ask { avoid, is_long })
+        self.selector(now, view).picker.pick(now, &Ask { avoid, is_long })
     }
 
-    /// A place at an upstream that is to be tried, each trial once; `repeatable` where the
-    /// request can be sent again elsewhere.
+    /// Picks an upstream that is due for a trial request, once per trial. `is_repeatable` tells
+    /// whether the request can be sent again elsewhere.
     pub(super) fn pick_trial(
         &self,
         now: Moment,
         view: &view::Service,
-        repeatable: bool,
+        is_repeatable: bool,
     ) -> Option<Pick> {
         if view.trials.is_empty() {
             return None;
         }
-        let mut choice = self.choice(now, view);
-        let is_new = |trial: &&Trial| !choice.tried.contains(&trial.number);
-        let takes = |trial: &&Trial| repeatable || trial.by_any;
-        let trial = view.trials.iter().filter(takes).find(is_new)?;
-        choice.tried.insert(trial.number);
-        choice.picker.pick_only(now, &trial.upstream, false)
+        let mut selector = self.selector(now, view);
+        let is_unsent = |trial: &&Trial| !selector.sent_trials.contains(&trial.number);
+        let accepts = |trial: &&Trial| is_repeatable || trial.by_any;
+        let trial = view.trials.iter().filter(accepts).find(is_unsent)?;
+        selector.sent_trials.insert(trial.number);
+        selector.picker.pick_only(now, &trial.upstream, false)
     }
 
     pub(super) fn finish(&self, now: Moment, ticket: Ticket, finish: Finish) {
         self.lock().picker.finish(now, ticket, finish);
     }
 
-    /// What may be tried again, and the budget for it.
+    /// The retry policy and its budget, advanced to `now`.
     pub(super) fn policy(&self, now: Moment) -> MutexGuard<'_, Policy> {
         let mut policy = self.policy.lock().unwrap_or_else(PoisonError::into_inner);
         policy.advance(now);
         policy
     }
 
-    /// Requests that wait unusually long for an upstream's first byte.
+    /// Ages of requests that have waited unusually long for an upstream's first byte.
     pub(in crate::node) fn overdue(&self, now: Moment) -> Vec<(UpstreamId, Vec<Duration>)> {
         self.lock().picker.overdue(now)
     }
 
-    /// Lets others run in place of `stuck` requests, which hold an upstream's slot but
-    /// will not give it back soon: without that, one silent upstream fills all turns of
-    /// the service, and callers are refused while the other upstreams idle.
-    pub(super) fn make_up_for(&self, now: Moment, stuck: usize) {
+    /// Admits extra requests in place of `stuck` ones, which hold an upstream's slot and will not
+    /// release it soon. Otherwise one silent upstream fills all slots of the service, and callers
+    /// are refused while the other upstreams are idle.
+    pub(super) fn compensate_stuck(&self, now: Moment, stuck: usize) {
         let slots = self.lock().slots;
         if slots > 0 {
             self.queue.set_slots(now, slots + stuck.min(slots));
         }
     }
 
-    /// Brings queue and picker up to a newer view; whichever request comes first does.
-    pub(super) fn catch_up(&self, now: Moment, view: &view::Service) {
-        drop(self.choice(now, view));
+    /// Updates queue and picker to a newer view; the first request after a change does this.
+    pub(super) fn refresh(&self, now: Moment, view: &view::Service) {
+        drop(self.selector(now, view));
     }
 
-    fn choice(&self, now: Moment, view: &view::Service) -> MutexGuard<'_, Choice> {
-        let mut choice = self.lock();
-        if choice.version < view.version {
-            choice.version = view.version;
-            choice.picker.set_entries(view.entries);
-            if choice.members != view.members {
-                choice.picker.set_members(&view.members);
-                choice.members.clone_from(&view.members);
+    fn selector(&self, now: Moment, view: &view::Service) -> MutexGuard<'_, Selector> {
+        let mut selector = self.lock();
+        if selector.version < view.version {
+            selector.version = view.version;
+            selector.picker.set_entries(view.entries);
+            if selector.members != view.members {
+                selector.picker.set_members(&view.members);
+                selector.members.clone_from(&view.members);
             }
-            choice.picker.refresh(view);
-            choice.tried.retain(|tried| view.trials.iter().any(|trial| trial.number == *tried));
+            selector.picker.refresh(view);
+            selector
+                .sent_trials
+                .retain(|number| view.trials.iter().any(|trial| trial.number == *number));
             self.limit_retries(now, view.sharing);
-            choice.slots = slots(view);
-            self.queue.set_slots(now, choice.slots);
+            selector.slots = slots(view);
+            self.queue.set_slots(now, selector.slots);
         }
-        choice
+        selector
     }
 
     fn limit_retries(&self, now: Moment, sharing: Option<usize>) {
@@ -162,29 +164,29 @@
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Choice> {
-        self.picker.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Selector> {
+        self.selector.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// The picker as of one view.
-struct Choice {
-    /// Upstreams that the picker knows: the view changes often, they seldom.
+/// The picker and the view it was last updated to.
+struct Selector {
+    /// Upstreams known to the picker; compared because they change less often than the view.
     members: Vec<balance::Member>,
     picker: Picker,
-    /// Turns of this entry.
+    /// Slots of this entry.
     slots: usize,
-    /// Trials of the view that were made.
-    tried: BTreeSet<u64>,
+    /// Numbers of the view's trials that were already sent.
+    sent_trials: BTreeSet<u64>,
     /// Version of the view.
     version: u64,
 }
 
-/// This entry's share of the slots of all upstreams that health lets work.
+/// This entry's share of the slots of all upstreams that are not ejected.
 fn slots(view: &view::Service) -> usize {
-    let sound = |member: &&balance::Member| view.weight(&member.upstream) > 0.0;
-    let slots = view.members.iter().filter(sound).map(|member| u64::from(member.slots));
-    let all: u64 = slots.sum();
-    let share = all as f64 * OVERCOMMIT / view.entries.max(1) as f64;
-    (share.ceil() as usize).clamp(SLOTS_MIN, SLOTS_MIN.max(all as usize))
+    let is_usable = |member: &&balance::Member| view.weight(&member.upstream) > 0.0;
+    let slots = view.members.iter().filter(is_usable).map(|member| u64::from(member.slots));
+    let total: u64 = slots.sum();
+    let share = total as f64 * OVERCOMMIT / view.entries.max(1) as f64;
+    (share.ceil() as usize).clamp(MIN_SLOTS, MIN_SLOTS.max(total as usize))
 }
--- a/src/node/traffic/shared.rs
+++ b/src/node/traffic/shared.rs
@@ -39,34 +39,34 @@
 use crate::runtime;
 use crate::settings::Settings;
 
-use super::allowances::Allowances;
+use super::rate_limiter::RateLimiter;
 use super::service::Service;
 
-/// Outcomes that may wait for the control thread's next turn: a tenth of a second at many
-/// times the highest rate of one entry.
-const NOTED_MAX: usize = 10_000;
+/// Observations that may wait for the control thread's next turn: those of a tenth of a second at
+/// many times the highest request rate of one entry.
+const MAX_PENDING_OBSERVATIONS: usize = 10_000;
 
-/// What an upstream did with one request.
+/// How an upstream handled one request.
 #[derive(Debug)]
 pub(in crate::node) struct Noted {
     pub(in crate::node) kind: health::Kind,
     pub(in crate::node) latency: Duration,
     pub(in crate::node) service: ServiceId,
-    /// What it was, if it was a trial.
+    /// Set if the request was a trial.
     pub(in crate::node) trial: Option<Trial>,
     pub(in crate::node) upstream: UpstreamId,
 }
 
-/// A request that was spent on finding out whether an upstream is well.
+/// A request that tested whether an ejected upstream has recovered.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::node) struct Trial {
-    /// Whether it could be sent again elsewhere.
+    /// Whether the request could be sent again elsewhere.
     pub(in crate::node) is_repeatable: bool,
 }
 
-/// What the traffic threads of a process share.
+/// State shared by the traffic threads of a process.
 pub(in crate::node) struct Shared {
-    pub(super) allowances: Arc<Allowances>,
+    pub(super) rate_limiter: Arc<RateLimiter>,
     arrivals: AtomicU32,
     bytes: AtomicU64,
     pub(in crate::node) connections: AtomicUsize,
@@ -74,21 +74,21 @@
     pub(in crate::node) boundary: Arc<dyn Boundary>,
     control: Inbox,
     pub(in crate::node) directory: Mutex<Directory>,
-    /// Closed when the process may stop serving.
+    /// Closed when the process stops serving.
     pub(in crate::node) done: Receiver<()>,
     drain: (Sender<()>, Receiver<()>),
     pub(in crate::node) in_flight: AtomicUsize,
     pub(in crate::node) open_claims: AtomicUsize,
-    /// Whether connections end with the exchange that they carry.
+    /// Whether each connection closes after its current request.
     pub(in crate::node) closing: AtomicBool,
     leaving: Mutex<Option<Moment>>,
-    look: (Sender<()>, Receiver<()>),
+    poll_request: (Sender<()>, Receiver<()>),
     lost_outcomes: AtomicU64,
     pub(in crate::node) metrics: Metrics,
     next_request: AtomicU64,
     outcomes: Mutex<Vec<Noted>>,
     pub(super) pool: Pool,
-    /// Closed when the process has a configuration to serve by.
+    /// Closed once the process has a configuration to serve.
     ready: (Sender<()>, Receiver<()>),
     recorder: Recorder,
     services: Mutex<BTreeMap<ServiceId, Arc<Service>>>,
@@ -108,9 +108,9 @@
         recorder: Recorder,
     ) -> Self {
         let directory = Directory::new(settings.node.region.clone(), settings.directory.lifetime);
-        let allowances = Allowances::new(settings.node.id.clone(), settings.quota);
+        let rate_limiter = RateLimiter::new(settings.node.id.clone(), settings.quota);
         Self {
-            allowances: Arc::new(allowances),
+            rate_limiter: Arc::new(rate_limiter),
             boundary,
             closed: bounded(1),
             closing: AtomicBool::new(false),
@@ -123,7 +123,7 @@
             bytes: AtomicU64::new(0),
             in_flight: AtomicUsize::new(0),
             leaving: Mutex::default(),
-            look: bounded(1),
+            poll_request: bounded(1),
             lost_outcomes: AtomicU64::new(0),
             metrics,
             open_claims: AtomicUsize::new(0),
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Has callers served by this view from now on.
+    /// Serves callers by this view from now on.
     pub(in crate::node) fn set_view(&self, view: View) {
         let serves = view.serves();
         self.view.store(Arc::new(view));
@@ -148,81 +148,82 @@
         }
     }
 
-    /// Waits until there is a configuration to serve by, at most for `longest`.
+    /// Waits at most `longest` for the first configuration.
     pub(super) async fn wait_until_ready(&self, longest: Duration) {
         timeout(longest, self.ready.1.recv()).await.ok();
     }
 
-    /// Time since the process started, as control counts it.
+    /// Time since the process started, on the control thread's clock.
     pub(in crate::node) fn now(&self) -> Moment {
         self.started.elapsed()
     }
 
-    /// Tells the control thread; what it can't take now is dropped and counted, since
-    /// traffic never waits for control.
+    /// Sends to the control thread. If its inbox is full, the input is dropped and counted,
+    /// because traffic never waits for control.
     pub(in crate::node) fn tell(&self, input: Input) {
         if self.control.try_send(input).is_err() {
             self.lost_outcomes.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// Tells the control thread what it must not miss: where it can't take it now, a task
-    /// waits with it. Without the end of a claim the key would stay in progress until its
-    /// limit, and a leaving process would wait for it. As many wait at most as there are
+    /// Sends to the control thread an input that must not be lost. If the inbox is full, a task
+    /// waits to deliver it. Without the end of its claim, a key would stay in progress until its
+    /// limit, and a leaving process would wait for it. There are at most as many such tasks as
     /// keyed requests in flight.
-    pub(super) fn tell_surely(&self, input: Input) {
+    pub(super) fn tell_reliably(&self, input: Input) {
         let Err(Refused::Full(input)) = self.control.try_send(input) else { return };
         let control = self.control.clone();
         runtime::spawn(async move {
             if !control.send(*input).await {
-                tracing::debug!(target: "hemlockfield::node", "control has ended");
+                tracing::debug!(target: "hemlockfield::node", "the control thread has ended");
             }
         });
     }
 
-    /// Notes what an upstream did. The control thread reads that at its next turn; a failure
-    /// gives it one at once, because the next request may go to the same upstream.
-    pub(in crate::node) fn note(&self, noted: Noted) {
-        let urgent = noted.trial.is_some() || noted.kind.is_failure();
+    /// Records how an upstream handled a request, for the control thread to read at its next
+    /// turn. A failure or a trial wakes it at once, because the next request may go to the same
+    /// upstream.
+    pub(in crate::node) fn note(&self, observation: Noted) {
+        let is_urgent = observation.trial.is_some() || observation.kind.is_failure();
         let mut outcomes = self.outcomes.lock().unwrap_or_else(PoisonError::into_inner);
-        let full = outcomes.len() >= NOTED_MAX;
-        if full {
+        let is_full = outcomes.len() >= MAX_PENDING_OBSERVATIONS;
+        if is_full {
             self.lost_outcomes.fetch_add(1, Ordering::Relaxed);
         } else {
-            outcomes.push(noted);
+            outcomes.push(observation);
         }
         drop(outcomes);
-        if urgent {
+        if is_urgent {
             self.tell(Input::Wake);
         }
     }
 
-    /// Counts a request of a caller.
-    pub(super) fn note_arrival(&self) {
+    /// Counts a request from a caller.
+    pub(super) fn count_arrival(&self) {
         self.arrivals.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts bytes of a request or an answer that go through.
-    pub(super) fn note_bytes(&self, bytes: u64) {
+    /// Counts body bytes of a request or an answer.
+    pub(super) fn count_bytes(&self, bytes: u64) {
         self.bytes.fetch_add(bytes, Ordering::Relaxed);
     }
 
-    /// Requests of callers since the last time, and bytes that went through.
+    /// Takes the requests and body bytes counted since the last call.
     pub(in crate::node) fn take_carried(&self) -> (u32, u64) {
         (self.arrivals.swap(0, Ordering::Relaxed), self.bytes.swap(0, Ordering::Relaxed))
     }
 
-    /// Takes what was noted.
+    /// Takes the recorded observations.
     pub(in crate::node) fn take_outcomes(&self) -> Vec<Noted> {
         std::mem::take(&mut *self.outcomes.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Inputs that control could not take.
+    /// Inputs and observations that were dropped.
     pub(in crate::node) fn lost(&self) -> u64 {
         self.lost_outcomes.load(Ordering::Relaxed)
     }
 
-    /// A service's queue and picker, made at its first request.
+    /// State of a service, created at its first request.
     pub(super) fn service(&self, name: &ServiceId) -> Arc<Service> {
         let mut services = self.services.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(service) = services.get(name) {
@@ -233,74 +234,74 @@
         service
     }
 
-    /// All services that had a request.
+    /// All services that have had a request.
     pub(in crate::node) fn services(&self) -> Vec<Arc<Service>> {
         let services = self.services.lock().unwrap_or_else(PoisonError::into_inner);
         services.values().cloned().collect()
     }
 
-    /// Entries for a caller to use.
+    /// The entries that a caller should use.
     pub(in crate::node) fn entries(&self, caller: &str) -> Answer {
         let view = self.view.load();
         let mut directory = self.directory.lock().unwrap_or_else(PoisonError::into_inner);
         directory.answer(self.now(), caller, &view.entries)
     }
 
-    /// Longest that leaving may take.
+    /// Longest time that leaving may take.
     pub(in crate::node) fn limit(&self) -> Duration {
         self.settings.shutdown.limit
     }
 
-    /// Asks the process to leave.
+    /// Starts to drain the process.
     pub(in crate::node) fn request_drain(&self) {
         let mut leaving = self.leaving.lock().unwrap_or_else(PoisonError::into_inner);
         leaving.get_or_insert(self.now());
         drop(leaving);
-        self.allowances.leave(self.now());
+        self.rate_limiter.leave(self.now());
         if self.settings.shutdown.notice.is_some() {
             self.closing.store(true, Ordering::Release);
         }
         self.drain.0.close();
     }
 
-    /// Has the queues looked at before long.
-    pub(super) fn look_soon(&self) {
-        self.look.0.try_send(()).ok();
+    /// Requests that the queues are polled soon.
+    pub(super) fn request_poll(&self) {
+        self.poll_request.0.try_send(()).ok();
     }
 
-    /// Waits until the queues are to be looked at, at most for `longest`.
-    pub(super) async fn wait_for_look(&self, longest: Duration) {
-        timeout(longest, self.look.1.recv()).await.ok();
+    /// Waits until the queues must be polled, at most `longest`.
+    pub(super) async fn wait_for_poll(&self, longest: Duration) {
+        timeout(longest, self.poll_request.1.recv()).await.ok();
     }
 
-    /// Waits until the process is asked to leave.
+    /// Waits until a drain is requested.
     pub(in crate::node) async fn drain_requested(&self) {
         self.drain.1.recv().await.ok();
     }
 
-    /// Waits until connections may end.
+    /// Waits until idle connections may close.
     pub(super) async fn closed(&self) {
         self.closed.1.recv().await.ok();
     }
 
-    /// Waits until no caller may come any more, then until nothing is in flight, and the
-    /// outcomes of claims are with control.
+    /// Waits until no caller can still use this entry, then until no request is in flight and
+    /// control has the outcome of every claim.
     pub(in crate::node) async fn drained(&self) {
-        while !self.is_forgotten() {
-            task::sleep(Self::LOOK).await;
+        while !self.is_unlisted() {
+            task::sleep(Self::DRAIN_POLL_INTERVAL).await;
         }
         self.closing.store(true, Ordering::Release);
         self.closed.0.close();
         while self.in_flight.load(Ordering::Acquire) > 0 {
-            task::sleep(Self::LOOK).await;
+            task::sleep(Self::DRAIN_POLL_INTERVAL).await;
         }
         while self.open_claims.load(Ordering::Acquire) > 0 {
-            task::sleep(Self::LOOK).await;
+            task::sleep(Self::DRAIN_POLL_INTERVAL).await;
         }
     }
 
-    /// Whether no list that callers were given may still name this entry.
-    fn is_forgotten(&self) -> bool {
+    /// Whether every list of entries that names this entry has expired.
+    fn is_unlisted(&self) -> bool {
         if self.settings.listen.callers.is_none() {
             return true;
         }
@@ -311,23 +312,23 @@
         directory.safe_to_stop(self.now())
     }
 
-    /// How long this process has been leaving.
+    /// Time since the drain was requested.
     fn leaving_for(&self) -> Option<Duration> {
         let since = *self.leaving.lock().unwrap_or_else(PoisonError::into_inner);
         since.map(|since| self.now().saturating_sub(since))
     }
 
-    /// Number and name of a new request.
+    /// Number and id for a new request.
     pub(super) fn next_request(&self) -> (u64, RequestId) {
         let number = self.next_request.fetch_add(1, Ordering::Relaxed);
         (number, format_compact!("{}-{number:x}", self.settings.node.id))
     }
 
-    /// How a caller without a name is counted.
-    pub(super) fn caller_at(&self, peer: IpAddr) -> CompactString {
+    /// Identity of a caller that gives no name.
+    pub(super) fn unnamed_caller(&self, peer: IpAddr) -> CompactString {
         peer.to_compact_string()
     }
 
-    /// Pause between two looks at what is still in flight.
-    pub(in crate::node) const LOOK: Duration = Duration::from_millis(10);
+    /// Interval of polling for the end of requests in flight.
+    pub(in crate::node) const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 }
