--- a/tests/suite/entry.rs
+++ b/tests/suite/entry.rs
@@ -1,8 +1,8 @@
-//! One process that is control and entry, with scripted upstreams behind it.
+//! One process with the roles control and entry, and scripted upstreams.
 
 mod answers;
+mod fixture;
 mod keys;
 mod limits;
 mod refusals;
-mod single;
 mod uploads;
--- a/tests/suite/entry/single.rs
+++ b/tests/suite/entry/fixture.rs
@@ -1,4 +1,4 @@
-//! A whole system in one process, and raw callers and upstreams around it.
+//! A process with control and entry, raw callers, and scripted upstreams.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,7 +15,8 @@
 use hemlockfield::settings::Settings;
 use tempfile::TempDir;
 
-/// Rules of these tests: lookups, sign-offs with and without a key, uploads.
+/// Default rules: idempotent lookups, requests that run at most once with and without an
+/// idempotency key, and uploads.
 const RULES: &str = "
 services:
   hull-register: {floor: 50%, sensitivity: 0.5}
@@ -45,48 +46,48 @@
     then: {route: {service: hull-register}, terms: {deadline: 2s, idempotent: true}}
 ";
 
-/// What a scripted upstream does with each connection.
+/// How a scripted upstream handles each connection.
 #[derive(Clone, Copy)]
 pub(super) enum Script {
-    /// Answers a request, read whole, with its body's length.
-    Count,
-    /// Answers before it has read the body, and then reads no more.
-    Early,
-    /// Reads a request's head and closes.
+    /// Reads the whole request and answers with the length of its body.
+    AnswerLength,
+    /// Answers with 413 before reading the body, and never reads it.
+    AnswerEarly,
+    /// Reads the head and closes the connection.
     HangUp,
-    /// Reads a request's head and says nothing more; notes when the caller is gone.
+    /// Reads the head, never answers, and records when the other end closes the connection.
     Hold,
-    /// Answers once so many requests are there at the same time.
-    Together(usize),
-    /// Reads a request's head, then writes this and closes.
+    /// Answers once it has received this many requests.
+    AnswerTogether(usize),
+    /// Reads the head, writes these bytes and closes the connection.
     Write(&'static str),
 }
 
-/// What scripted upstreams have seen.
+/// What all scripted upstreams have received.
 #[derive(Default)]
-pub(super) struct Seen {
-    /// Bytes of bodies, by connection.
+pub(super) struct Received {
+    /// Body bytes received, by connection.
     pub(super) bodies: Vec<usize>,
     /// Connections that the other end closed.
     pub(super) closed: usize,
-    /// Heads of requests.
+    /// Request heads.
     pub(super) heads: Vec<String>,
 }
 
-pub(super) struct Single {
+pub(super) struct Fixture {
     _folder: TempDir,
     pub(super) node: Node,
-    pub(super) seen: Arc<Mutex<Seen>>,
+    pub(super) received: Arc<Mutex<Received>>,
 }
 
-impl Single {
-    /// Starts the process and an upstream for each script.
+impl Fixture {
+    /// Starts the process with the default rules, and one upstream for each script.
     pub(super) async fn start(scripts: &[Script]) -> Self {
-        Self::start_by(RULES, scripts).await
+        Self::start_with_rules(RULES, scripts).await
     }
 
-    /// The same by other rules.
-    pub(super) async fn start_by(rules: &str, scripts: &[Script]) -> Self {
+    /// Starts the process with these rules, and one upstream for each script.
+    pub(super) async fn start_with_rules(rules: &str, scripts: &[Script]) -> Self {
         let folder = TempDir::new().unwrap();
         let text = format!(
             "node: {{id: only, region: regensburg, failure_domain: halle-nord}}\n\
@@ -102,18 +103,18 @@
         settings.listen.links = any;
         let node = Node::start(settings, true).await.unwrap();
         while !node.submit(Version::new(1, "first".into(), rules)).await {}
-        let seen = Arc::new(Mutex::new(Seen::default()));
+        let received = Arc::new(Mutex::new(Received::default()));
         for (at, script) in scripts.iter().enumerate() {
-            let address = upstream(*script, Arc::clone(&seen)).await;
+            let address = upstream(*script, Arc::clone(&received)).await;
             announce(node.operators(), address, &format!("hull-{at}")).await;
         }
         while node.upstreams("hull-register") < scripts.len() {
             task::sleep(Duration::from_millis(10)).await;
         }
-        Self { _folder: folder, node, seen }
+        Self { _folder: folder, node, received }
     }
 
-    /// Puts other rules in force, and waits until they are.
+    /// Submits new rules and waits until they are in force.
     pub(super) async fn configure(&self, number: u64, rules: &str) {
         let version = Version::new(number, format!("submission-{number}").into(), rules);
         while !self.node.submit(version.clone()).await {}
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Sends raw bytes as a caller, and reads until the entry closes.
+    /// Sends raw bytes as a caller and reads until the entry closes the connection.
     pub(super) async fn send(&self, bytes: &[u8]) -> String {
         let mut stream = self.connect().await;
         stream.write_all(bytes).await.ok();
@@ -146,15 +147,15 @@
         TcpStream::connect(self.node.callers().unwrap()).await.unwrap()
     }
 
-    pub(super) fn heads(&self) -> usize {
-        self.seen.lock().unwrap().heads.len()
+    pub(super) fn request_count(&self) -> usize {
+        self.received.lock().unwrap().heads.len()
     }
 }
 
 pub(super) async fn read_all(stream: &mut TcpStream) -> String {
-    let mut heard = Vec::new();
-    stream.read_to_end(&mut heard).await.ok();
-    String::from_utf8_lossy(&heard).into_owned()
+    let mut answer = Vec::new();
+    stream.read_to_end(&mut answer).await.ok();
+    String::from_utf8_lossy(&answer).into_owned()
 }
 
 async fn announce(operators: SocketAddr, address: SocketAddr, name: &str) {
@@ -173,28 +174,28 @@
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
 }
 
-async fn upstream(script: Script, seen: Arc<Mutex<Seen>>) -> SocketAddr {
+async fn upstream(script: Script, received: Arc<Mutex<Received>>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     task::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            task::spawn(play(stream, script, Arc::clone(&seen)));
+            task::spawn(run_script(stream, script, Arc::clone(&received)));
         }
     });
     address
 }
 
-async fn play(mut stream: TcpStream, script: Script, seen: Arc<Mutex<Seen>>) {
+async fn run_script(mut stream: TcpStream, script: Script, received: Arc<Mutex<Received>>) {
     let Some(head) = read_head(&mut stream).await else { return };
     if head.starts_with("GET /health ") {
         stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n").await.ok();
         return;
     }
-    seen.lock().unwrap().heads.push(head.clone());
+    received.lock().unwrap().heads.push(head.clone());
     match script {
-        Script::Count => {
+        Script::AnswerLength => {
             let (length, whole) = read_body(&mut stream, &head).await;
-            seen.lock().unwrap().bodies.push(length);
+            received.lock().unwrap().bodies.push(length);
             if whole {
                 let body = length.to_string();
                 let answer =
@@ -202,7 +203,7 @@
                 stream.write_all(answer.as_bytes()).await.ok();
             }
         }
-        Script::Early => {
+        Script::AnswerEarly => {
             let answer = b"HTTP/1.1 413 Payload Too Large\r\ncontent-length: 4\r\n\r\nmuch";
             stream.write_all(answer).await.ok();
             task::sleep(Duration::from_secs(60)).await;
@@ -211,10 +212,10 @@
         Script::Hold => {
             let mut byte = [0];
             while matches!(stream.read(&mut byte).await, Ok(1)) {}
-            seen.lock().unwrap().closed += 1;
+            received.lock().unwrap().closed += 1;
         }
-        Script::Together(count) => {
-            while seen.lock().unwrap().heads.len() < count {
+        Script::AnswerTogether(count) => {
+            while received.lock().unwrap().heads.len() < count {
                 task::sleep(Duration::from_millis(2)).await;
             }
             stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok").await.ok();
@@ -224,18 +225,18 @@
 }
 
 async fn read_head(stream: &mut TcpStream) -> Option<String> {
-    let mut seen = Vec::new();
+    let mut received = Vec::new();
     let mut byte = [0];
-    while !seen.ends_with(b"\r\n\r\n") {
+    while !received.ends_with(b"\r\n\r\n") {
         match stream.read(&mut byte).await {
-            Ok(1) => seen.push(byte[0]),
+            Ok(1) => received.push(byte[0]),
             _ => return None,
         }
     }
-    Some(String::from_utf8_lossy(&seen).into_owned())
+    Some(String::from_utf8_lossy(&received).into_owned())
 }
 
-/// Bytes of the body that came, and whether that was all of it.
+/// Returns the number of body bytes received and whether the body was complete.
 async fn read_body(stream: &mut TcpStream, head: &str) -> (usize, bool) {
     let length = head.lines().find_map(|line| line.strip_prefix("content-length: "));
     let declared: usize = length.map_or(0, |length| length.parse().unwrap());
--- a/tests/suite/entry/limits.rs
+++ b/tests/suite/entry/limits.rs
@@ -1,11 +1,11 @@
-//! Teams that ask for as much as they may, and for more.
+//! Rate limits of teams.
 
 use async_std::task::block_on;
 
-use super::single::Script;
-use super::single::Single;
+use super::fixture::Fixture;
+use super::fixture::Script;
 
-/// Five requests in any five seconds, at the most.
+/// Rules that limit a team to `burst` requests, and one more in any five seconds.
 fn rules(burst: u32) -> String {
     format!(
         "
@@ -20,51 +20,54 @@
     )
 }
 
-async fn status(single: &Single, caller: &str) -> String {
+async fn get(fixture: &Fixture, caller: &str) -> String {
     let text = format!(
         "GET /hulls/1 HTTP/1.1\r\nhost: a\r\nconnection: close\r\nx-caller: {caller}\r\n\r\n"
     );
-    single.send(text.as_bytes()).await
+    fixture.send(text.as_bytes()).await
 }
 
-// A team sends more than it may. What is within the limit is served, the first request too, for
-// which the entry has to ask control; the rest is refused as not run, with a time at which the
-// oldest one counts no more. Nobody else is refused.
+// A team exceeds its limit. Requests within the limit are served, including the first one, for
+// which the entry must request quota from control. The others are refused as not run, with the time
+// until the oldest counted request leaves the window. Other callers are not affected.
 #[test]
 fn get_above_limit() {
     block_on(async {
-        let single = Single::start_by(&rules(4), &[Script::Count]).await;
+        let fixture = Fixture::start_with_rules(&rules(4), &[Script::AnswerLength]).await;
         let mut served = 0;
         for _ in 0..12 {
-            let heard = status(&single, "surveyor-huber").await;
-            if heard.starts_with("HTTP/1.1 200 ") {
+            let answer = get(&fixture, "surveyor-huber").await;
+            if answer.starts_with("HTTP/1.1 200 ") {
                 served += 1;
                 continue;
             }
-            assert!(heard.starts_with("HTTP/1.1 429 "), "{heard}");
-            assert!(heard.contains("x-hemlockfield-outcome: not-run"), "{heard}");
-            let after = heard.split("x-retry-after-ms: ").nth(1).expect("a time");
+            assert!(answer.starts_with("HTTP/1.1 429 "), "{answer}");
+            assert!(answer.contains("x-hemlockfield-outcome: not-run"), "{answer}");
+            let after = answer
+                .split("x-retry-after-ms: ")
+                .nth(1)
+                .expect("the answer has no x-retry-after-ms header");
             let after: u64 = after.split('\r').next().unwrap().parse().unwrap();
             assert!((100..=5_500).contains(&after), "{after}");
         }
         assert_eq!(served, 5);
-        assert_eq!(single.heads(), 5);
-        let heard = status(&single, "surveyor-maier").await;
-        assert!(heard.starts_with("HTTP/1.1 200 "), "{heard}");
+        assert_eq!(fixture.request_count(), 5);
+        let answer = get(&fixture, "surveyor-maier").await;
+        assert!(answer.starts_with("HTTP/1.1 200 "), "{answer}");
     });
 }
 
-// Every upstream sheds what a team sends, and documents that it did not run: that uses nothing
-// of the team's limit.
+// Upstreams refuse a team's requests and declare that they did not run. Such requests do not count
+// against the team's limit.
 #[test]
 fn get_shed_is_given_back() {
-    const SHED: &str =
+    const NOT_RUN_ANSWER: &str =
         "HTTP/1.1 503 Service Unavailable\r\nx-not-run: true\r\ncontent-length: 0\r\n\r\n";
     block_on(async {
-        let single = Single::start_by(&rules(1), &[Script::Write(SHED)]).await;
+        let fixture = Fixture::start_with_rules(&rules(1), &[Script::Write(NOT_RUN_ANSWER)]).await;
         for _ in 0..6 {
-            let heard = status(&single, "surveyor-huber").await;
-            assert!(heard.starts_with("HTTP/1.1 503 "), "{heard}");
+            let answer = get(&fixture, "surveyor-huber").await;
+            assert!(answer.starts_with("HTTP/1.1 503 "), "{answer}");
         }
     });
 }
