--- a/src/load.rs
+++ b/src/load.rs
@@ -1,8 +1,8 @@
-//! Open-loop load generator with figures free of coordinated omission.
+//! Open-loop load generator that avoids coordinated omission.
 //!
-//! Requests start at times drawn beforehand, whether or not earlier ones have ended, and
-//! latencies count from those times. Each answer is compared, byte for byte, with what
-//! its own request must get; what ran is reconciled with what callers were told.
+//! Requests start at scheduled times, whether or not earlier ones have ended, and latencies count
+//! from those times. Each answer is compared byte for byte with the expected one, and the runs at
+//! the upstreams are reconciled with the outcomes that callers saw.
 
 mod caller;
 mod error;
@@ -17,5 +17,5 @@
 pub use plan::Plan;
 pub use report::Report;
 pub use run::run;
+pub use sample::Outcome;
 pub use sample::Sample;
-pub use sample::Told;
--- a/src/load/caller.rs
+++ b/src/load/caller.rs
@@ -21,18 +21,18 @@
 use crate::upstream;
 
 use super::Kind;
-use super::Told;
-
-/// Longest until a connection to an entry is open.
-const CONNECT: Duration = Duration::from_millis(500);
-/// How much longer than its budget a caller waits for an answer, for the way back.
-const GRACE: Duration = Duration::from_millis(500);
-/// Times that a caller sends a request in all, where it may send it again.
-const SENDS: u32 = 3;
-/// Longest that a caller waits before it sends again.
-const WAIT_MAX: Duration = Duration::from_secs(1);
-
-/// One caller: its name, its connections and the entries it was told to use.
+use super::Outcome;
+
+/// Time limit for connecting to an entry.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time that a caller waits beyond its budget, for the answer to arrive.
+const ANSWER_GRACE: Duration = Duration::from_millis(500);
+/// Most times that a request is sent, where it may be resent.
+const MAX_SENDS: u32 = 3;
+/// Longest wait before a resend.
+const MAX_RETRY_WAIT: Duration = Duration::from_secs(1);
+
+/// One caller: its name, its connections and its list of entries.
 pub(super) struct Caller {
     client: Mutex<directory::Client>,
     directory: bool,
@@ -41,8 +41,8 @@
     started: Instant,
 }
 
-/// One request as a caller sends it.
-pub(super) struct Ask<'a> {
+/// One request for a caller to send.
+pub(super) struct Spec<'a> {
     pub(super) budget: Duration,
     pub(super) identity: CompactString,
     pub(super) kind: &'a Kind,
@@ -50,10 +50,10 @@
     pub(super) upload: Vec<u8>,
 }
 
-/// What came of one sending.
-struct Heard {
+/// Result of sending a request once.
+struct Reply {
     after: Duration,
-    told: Told,
+    outcome: Outcome,
 }
 
 impl Caller {
@@ -67,109 +67,118 @@
         }
     }
 
-    /// Sends a request, and again where that is safe; tells the end and the sendings.
-    pub(super) async fn send(&self, ask: &Ask<'_>) -> (Told, u32) {
+    /// Sends a request, and resends it where that is safe. Returns the last outcome and the number
+    /// of sends.
+    pub(super) async fn send(&self, spec: &Spec<'_>) -> (Outcome, u32) {
         let mut sends = 0;
         loop {
             sends += 1;
-            let heard = self.send_once(ask).await;
-            let keyed_and_lost =
-                ask.kind.keyed && matches!(heard.told, Told::Nothing | Told::Unknown | Told::Cut);
-            let again = matches!(heard.told, Told::NotRun | Told::Failed)
-                || (!ask.kind.keyed && heard.told == Told::Nothing)
-                || keyed_and_lost;
-            if !again || !ask.resend || sends >= SENDS {
-                return (heard.told, sends);
+            let reply = self.send_once(spec).await;
+            let is_keyed_and_lost = spec.kind.keyed
+                && matches!(reply.outcome, Outcome::Nothing | Outcome::Unknown | Outcome::Cut);
+            let is_resendable = matches!(reply.outcome, Outcome::NotRun | Outcome::Failed)
+                || (!spec.kind.keyed && reply.outcome == Outcome::Nothing)
+                || is_keyed_and_lost;
+            if !is_resendable || !spec.resend || sends >= MAX_SENDS {
+                return (reply.outcome, sends);
             }
-            async_std::task::sleep(heard.after.min(WAIT_MAX)).await;
+            async_std::task::sleep(reply.after.min(MAX_RETRY_WAIT)).await;
         }
     }
 
-    async fn send_once(&self, ask: &Ask<'_>) -> Heard {
-        let Some(entry) = self.entry().await else { return nothing() };
-        let request = self.request(ask);
-        let limits =
-            Limits { connect: CONNECT, first_byte: ask.budget + GRACE, idle: ask.budget + GRACE };
-        let leg = match self.pool.take(entry, Duration::MAX).await {
-            Some(leg) => leg,
-            None => match Leg::dial(entry, CONNECT).await {
-                Ok(leg) => leg,
+    async fn send_once(&self, spec: &Spec<'_>) -> Reply {
+        let Some(entry) = self.entry().await else { return no_reply() };
+        let request = self.request(spec);
+        let limits = Limits {
+            connect: CONNECT_TIMEOUT,
+            first_byte: spec.budget + ANSWER_GRACE,
+            idle: spec.budget + ANSWER_GRACE,
+        };
+        let connection = match self.pool.take(entry, Duration::MAX).await {
+            Some(connection) => connection,
+            None => match Leg::dial(entry, CONNECT_TIMEOUT).await {
+                Ok(connection) => connection,
                 Err(_) => {
                     self.client().failed(self.started.elapsed(), entry);
-                    return nothing();
+                    return no_reply();
                 }
             },
         };
-        match timeout(ask.budget + GRACE, self.exchange(leg, entry, request, limits, ask)).await {
-            Ok(heard) => heard,
+        match timeout(
+            spec.budget + ANSWER_GRACE,
+            self.exchange(connection, entry, request, limits, spec),
+        )
+        .await
+        {
+            Ok(reply) => reply,
             Err(_) => {
                 self.client().failed(self.started.elapsed(), entry);
-                nothing()
+                no_reply()
             }
         }
     }
 
     async fn exchange(
         &self,
-        leg: Leg,
+        connection: Leg,
         entry: SocketAddr,
         request: Request,
         limits: Limits,
-        ask: &Ask<'_>,
-    ) -> Heard {
-        let mut answer = match leg.ask(request, limits).await {
+        spec: &Spec<'_>,
+    ) -> Reply {
+        let mut answer = match connection.ask(request, limits).await {
             Ok(answer) => answer,
-            Err(Failure::Cut(_)) => return Heard { after: Duration::ZERO, told: Told::Cut },
+            Err(Failure::Cut(_)) => return Reply { after: Duration::ZERO, outcome: Outcome::Cut },
             Err(_) => {
                 self.client().failed(self.started.elapsed(), entry);
-                return nothing();
+                return no_reply();
             }
         };
-        let read = std::mem::take(&mut answer.response.body).read_all().await;
+        let body = std::mem::take(&mut answer.response.body).read_all().await;
         let after = retry_after(&answer.response);
-        let told = match told_by(&answer.response) {
-            Some(told) => told,
-            None => match read {
-                Err(_) => Told::Cut,
+        let outcome = match declared_outcome(&answer.response) {
+            Some(outcome) => outcome,
+            None => match body {
+                Err(_) => Outcome::Cut,
                 Ok(body)
-                    if body == upstream::body_for(&ask.identity, &ask.upload, ask.kind.down) =>
+                    if body == upstream::body_for(&spec.identity, &spec.upload, spec.kind.down) =>
                 {
-                    Told::Answer
+                    Outcome::Answer
                 }
-                Ok(_) => Told::Wrong,
+                Ok(_) => Outcome::Wrong,
             },
         };
-        if let Some(leg) = answer.release() {
-            self.pool.put(entry, leg);
+        if let Some(connection) = answer.release() {
+            self.pool.put(entry, connection);
         }
-        Heard { after, told }
+        Reply { after, outcome }
     }
 
-    fn request(&self, ask: &Ask<'_>) -> Request {
-        let mut request = Request::new(ask.kind.method.clone(), &ask.kind.path);
-        let budget = ask.budget.as_millis().to_string();
-        let size = ask.kind.down.to_string();
+    fn request(&self, spec: &Spec<'_>) -> Request {
+        let mut request = Request::new(spec.kind.method.clone(), &spec.kind.path);
+        let budget = spec.budget.as_millis().to_string();
+        let size = spec.kind.down.to_string();
         let name = HeaderName::from_static;
-        request.set_header(header::HOST, &ask.kind.host);
+        request.set_header(header::HOST, &spec.kind.host);
         request.set_header(name(exchange::CALLER_HEADER), &self.name);
         request.set_header(name(exchange::BUDGET_HEADER), budget);
-        request.set_header(name(upstream::IDENTITY_HEADER), &ask.identity);
+        request.set_header(name(upstream::IDENTITY_HEADER), &spec.identity);
         request.set_header(name(upstream::SIZE_HEADER), size);
-        if ask.kind.keyed {
-            request.set_header(name(upstream::KEY_HEADER), &ask.identity);
+        if spec.kind.keyed {
+            request.set_header(name(upstream::KEY_HEADER), &spec.identity);
         }
-        if !ask.upload.is_empty() {
-            request.body = ask.upload.clone().into();
+        if !spec.upload.is_empty() {
+            request.body = spec.upload.clone().into();
         }
         request
     }
 
-    /// The entry to use, after asking one of them where the list has run out.
+    /// The entry to use. Fetches a new list of entries first if the current one has expired.
     async fn entry(&self) -> Option<SocketAddr> {
         let now = self.started.elapsed();
-        let ask = if self.directory { self.client().ask(now) } else { None };
-        if let Some(entry) = ask {
-            match self.list(entry).await {
+        let source = if self.directory { self.client().ask(now) } else { None };
+        if let Some(entry) = source {
+            match self.fetch_entries(entry).await {
                 Some(answer) => self.client().learn(self.started.elapsed(), answer),
                 None => self.client().unanswered(self.started.elapsed()),
             }
@@ -177,13 +186,14 @@
         self.client().entry()
     }
 
-    async fn list(&self, entry: SocketAddr) -> Option<directory::Answer> {
+    async fn fetch_entries(&self, entry: SocketAddr) -> Option<directory::Answer> {
         let path = crate::node::DIRECTORY_PATH;
         let mut request = Request::new(Method::GET, &format!("{path}?caller={}", self.name));
         request.set_header(header::HOST, entry.to_string());
-        let limits = Limits { connect: CONNECT, first_byte: CONNECT, idle: CONNECT };
-        let leg = Leg::dial(entry, CONNECT).await.ok()?;
-        let mut answer = leg.ask(request, limits).await.ok()?;
+        let limits =
+            Limits { connect: CONNECT_TIMEOUT, first_byte: CONNECT_TIMEOUT, idle: CONNECT_TIMEOUT };
+        let connection = Leg::dial(entry, CONNECT_TIMEOUT).await.ok()?;
+        let mut answer = connection.ask(request, limits).await.ok()?;
         serde_json::from_str(&answer.response.body_text().await.ok()?).ok()
     }
 
@@ -192,18 +202,18 @@
     }
 }
 
-fn nothing() -> Heard {
-    Heard { after: Duration::ZERO, told: Told::Nothing }
+fn no_reply() -> Reply {
+    Reply { after: Duration::ZERO, outcome: Outcome::Nothing }
 }
 
-fn told_by(response: &Response) -> Option<Told> {
+fn declared_outcome(response: &Response) -> Option<Outcome> {
     match response.header(exchange::OUTCOME_HEADER) {
-        Some("not-run") => Some(Told::NotRun),
-        Some("unknown" | "in-progress") => Some(Told::Unknown),
-        Some("already-run") => Some(Told::Answer),
-        Some(_) => Some(Told::Failed),
+        Some("not-run") => Some(Outcome::NotRun),
+        Some("unknown" | "in-progress") => Some(Outcome::Unknown),
+        Some("already-run") => Some(Outcome::Answer),
+        Some(_) => Some(Outcome::Failed),
         None if response.is_success() => None,
-        None => Some(Told::Failed),
+        None => Some(Outcome::Failed),
     }
 }
 
--- a/src/load/error.rs
+++ b/src/load/error.rs
@@ -1,18 +1,20 @@
 use thiserror::Error as ThisError;
 
-/// Why a load can't be run.
+/// Reason why a load can't run.
 #[derive(Debug, ThisError)]
 pub enum Error {
-    /// Kind of request that can't be read.
-    #[error("`{0}` is not a kind of request; write `NAME:WEIGHT:METHOD:HOST/PATH[:UP[:DOWN]]`")]
+    /// The text is not a valid kind of request.
+    #[error(
+        "`{0}` is not a valid kind of request; expected `NAME:WEIGHT:METHOD:HOST/PATH[:UP[:DOWN]]`"
+    )]
     Kind(String),
-    /// No entry to ask.
-    #[error("no entry is given")]
+    /// The plan names no entry.
+    #[error("a load needs the address of at least one entry")]
     NoEntry,
-    /// Nothing to send.
+    /// The plan sends nothing.
     #[error("a load needs a rate above `0` and at least one kind of request")]
     NoLoad,
-    /// Histogram that can't be made.
-    #[error("can't keep latencies: {0}")]
+    /// A latency histogram could not be created.
+    #[error("can't create the latency histogram: {0}")]
     Histogram(#[from] hdrhistogram::CreationError),
 }
--- a/src/load/kind.rs
+++ b/src/load/kind.rs
@@ -5,24 +5,24 @@
 
 use super::Error;
 
-/// One kind of request in a load's mix.
+/// One kind of request in the mix of a load.
 #[derive(Clone, Debug)]
 pub struct Kind {
-    /// Bytes of the answer's body.
+    /// Size of the answer's body in bytes.
     pub down: usize,
-    /// Whether each request has an idempotency key, and must run at most once.
+    /// Whether each request carries an idempotency key and must run at most once.
     pub keyed: bool,
-    /// Host asked for.
+    /// Host header of the request.
     pub host: CompactString,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Name in reports.
+    /// Name of the kind in reports.
     pub name: CompactString,
-    /// Path asked for.
+    /// Path of the request.
     pub path: CompactString,
-    /// Bytes of the request's body.
+    /// Size of the request's body in bytes.
     pub up: usize,
-    /// Share among the kinds, relative to the others' weights.
+    /// Share of this kind, relative to the weights of the others.
     pub weight: u32,
 }
 
@@ -30,23 +30,23 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
-        let wrong = || Error::Kind(text.to_owned());
+        let invalid = || Error::Kind(text.to_owned());
         let parts: Vec<&str> = text.split(':').collect();
-        let [name, weight, method, place, sizes @ ..] = parts.as_slice() else {
-            return Err(wrong());
+        let [name, weight, method, url, sizes @ ..] = parts.as_slice() else {
+            return Err(invalid());
         };
-        let (host, path) = place.split_once('/').ok_or_else(wrong)?;
-        let size = |at: usize| sizes.get(at).map_or(Ok(0), |size| size.parse());
-        let method = method.parse().map_err(|_| wrong())?;
+        let (host, path) = url.split_once('/').ok_or_else(invalid)?;
+        let size = |index: usize| sizes.get(index).map_or(Ok(0), |size| size.parse());
+        let method = method.parse().map_err(|_| invalid())?;
         Ok(Self {
-            down: size(1).map_err(|_| wrong())?,
+            down: size(1).map_err(|_| invalid())?,
             host: host.into(),
             keyed: method == Method::POST,
             method,
             name: (*name).into(),
             path: format!("/{path}").into(),
-            up: size(0).map_err(|_| wrong())?,
-            weight: weight.parse().map_err(|_| wrong())?,
+            up: size(0).map_err(|_| invalid())?,
+            weight: weight.parse().map_err(|_| invalid())?,
         })
     }
 }
--- a/src/load/plan.rs
+++ b/src/load/plan.rs
@@ -8,64 +8,64 @@
 use super::Error;
 use super::Kind;
 
-/// A load, fixed beforehand by its seed.
+/// A load whose requests are determined by its seed.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Time that each request has.
+    /// Time budget of each request.
     pub budget: Duration,
-    /// Callers, each with its own connections and its own list of entries.
+    /// Number of callers, each with its own connections and list of entries.
     pub callers: usize,
-    /// Whether callers ask which entries to use; otherwise they use `entries` in turn.
+    /// Whether callers fetch the list of entries to use; otherwise they use `entries` in turn.
     pub directory: bool,
-    /// For how long requests start.
+    /// Time during which requests start.
     pub duration: Duration,
-    /// Callers' addresses of entries to ask first.
+    /// Addresses for callers of the entries to use first.
     pub entries: Vec<SocketAddr>,
-    /// What is sent.
+    /// Mix of requests.
     pub kinds: Vec<Kind>,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Whether a caller that was told `not-run`, or lost the answer of a request with a
-    /// key, sends it once more.
+    /// Whether callers resend a request where that is safe: after `not-run` or a failure, and
+    /// after a lost answer.
     pub resend: bool,
-    /// Seed of arrivals, callers and kinds.
+    /// Seed of the arrival times, and of the choice of callers and kinds.
     pub seed: u64,
 }
 
-/// One request that is to start at `at`.
+/// One request, scheduled to start at `at`.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Start {
+pub(super) struct Arrival {
     pub(super) at: Duration,
     pub(super) caller: usize,
     pub(super) kind: usize,
 }
 
 impl Plan {
-    /// The requests, in order, with exponentially distributed gaps.
-    pub(super) fn starts(&self) -> Result<Vec<Start>, Error> {
+    /// The requests in order of time, with exponentially distributed gaps.
+    pub(super) fn arrivals(&self) -> Result<Vec<Arrival>, Error> {
         let total: u32 = self.kinds.iter().map(|kind| kind.weight).sum();
         if self.rate <= 0.0 || total == 0 || self.callers == 0 {
             return Err(Error::NoLoad);
         }
         let mut random = ChaCha8Rng::seed_from_u64(self.seed);
         let mut at = 0.0;
-        let mut starts = Vec::new();
+        let mut arrivals = Vec::new();
         loop {
             let gap: f64 = random.random_range(f64::MIN_POSITIVE..1.0);
             at -= gap.ln() / self.rate;
             if at >= self.duration.as_secs_f64() {
-                return Ok(starts);
+                return Ok(arrivals);
             }
             let caller = random.random_range(0..self.callers);
-            let kind = self.draw(random.random_range(0..total));
-            starts.push(Start { at: Duration::from_secs_f64(at), caller, kind });
+            let kind = self.choose_kind(random.random_range(0..total));
+            arrivals.push(Arrival { at: Duration::from_secs_f64(at), caller, kind });
         }
     }
 
-    fn draw(&self, mut ticket: u32) -> usize {
-        for (at, kind) in self.kinds.iter().enumerate() {
+    fn choose_kind(&self, mut ticket: u32) -> usize {
+        for (index, kind) in self.kinds.iter().enumerate() {
             if ticket < kind.weight {
-                return at;
+                return index;
             }
             ticket -= kind.weight;
         }
--- a/src/load/run.rs
+++ b/src/load/run.rs
@@ -14,39 +14,40 @@
 use super::Plan;
 use super::Report;
 use super::Sample;
-use super::caller::Ask;
 use super::caller::Caller;
-use super::plan::Start;
+use super::caller::Spec;
+use super::plan::Arrival;
 
-/// Runs a load to its end and tells what callers received. Entries and upstreams are
-/// told apart by `tag`, so that two loads on the same upstreams don't share keys.
+/// Runs a load to its end and reports its outcomes. Caller names and idempotency keys start with
+/// `tag`, so that two loads on the same upstreams don't share keys.
 pub async fn run(plan: &Plan, tag: &str, progress: &ProgressBar) -> Result<Report, Error> {
     if plan.entries.is_empty() {
         return Err(Error::NoEntry);
     }
-    let starts = plan.starts()?;
-    progress.set_length(starts.len() as u64);
-    let callers: Vec<Arc<Caller>> = (0..plan.callers).map(|at| caller(plan, tag, at)).collect();
-    let samples = Arc::new(Mutex::new(Vec::with_capacity(starts.len())));
-    let began = Instant::now();
-    let mut tasks = Vec::with_capacity(starts.len());
-    for (at, start) in starts.into_iter().enumerate() {
-        if let Some(wait) = start.at.checked_sub(began.elapsed()) {
+    let arrivals = plan.arrivals()?;
+    progress.set_length(arrivals.len() as u64);
+    let callers: Vec<Arc<Caller>> =
+        (0..plan.callers).map(|index| new_caller(plan, tag, index)).collect();
+    let samples = Arc::new(Mutex::new(Vec::with_capacity(arrivals.len())));
+    let started = Instant::now();
+    let mut tasks = Vec::with_capacity(arrivals.len());
+    for (index, arrival) in arrivals.into_iter().enumerate() {
+        if let Some(wait) = arrival.at.checked_sub(started.elapsed()) {
             task::sleep(wait).await;
         }
-        let request = One {
-            began,
-            caller: Arc::clone(&callers[start.caller]),
-            identity: format!("{tag}-{at}").into(),
-            kind: plan.kinds[start.kind].clone(),
+        let job = Job {
+            started,
+            caller: Arc::clone(&callers[arrival.caller]),
+            identity: format!("{tag}-{index}").into(),
+            kind: plan.kinds[arrival.kind].clone(),
             plan: plan.clone(),
-            seed: plan.seed.wrapping_add(at as u64),
-            start,
+            seed: plan.seed.wrapping_add(index as u64),
+            arrival,
         };
         let samples = Arc::clone(&samples);
         let progress = progress.clone();
         tasks.push(task::spawn(async move {
-            let sample = request.send().await;
+            let sample = job.send().await;
             samples.lock().unwrap_or_else(PoisonError::into_inner).push(sample);
             progress.inc(1);
         }));
@@ -56,42 +57,42 @@
     Report::new(plan.kinds.clone(), samples)
 }
 
-struct One {
-    began: Instant,
+struct Job {
+    started: Instant,
     caller: Arc<Caller>,
     identity: compact_str::CompactString,
     kind: Kind,
     plan: Plan,
     seed: u64,
-    start: Start,
+    arrival: Arrival,
 }
 
-impl One {
+impl Job {
     async fn send(self) -> Sample {
         let mut upload = vec![0; self.kind.up];
         ChaCha8Rng::seed_from_u64(self.seed).fill_bytes(&mut upload);
-        let ask = Ask {
+        let spec = Spec {
             budget: self.plan.budget,
             identity: self.identity,
             kind: &self.kind,
             resend: self.plan.resend,
             upload,
         };
-        let (told, attempts) = self.caller.send(&ask).await;
+        let (outcome, attempts) = self.caller.send(&spec).await;
         Sample {
             attempts,
-            key: self.kind.keyed.then_some(ask.identity),
-            kind: self.start.kind,
-            latency: self.began.elapsed().saturating_sub(self.start.at),
-            start: self.start.at,
-            told,
+            key: self.kind.keyed.then_some(spec.identity),
+            kind: self.arrival.kind,
+            latency: self.started.elapsed().saturating_sub(self.arrival.at),
+            start: self.arrival.at,
+            outcome,
         }
     }
 }
 
-fn caller(plan: &Plan, tag: &str, at: usize) -> Arc<Caller> {
+fn new_caller(plan: &Plan, tag: &str, index: usize) -> Arc<Caller> {
     let mut entries = plan.entries.clone();
     let count = entries.len();
-    entries.rotate_left(at % count);
-    Arc::new(Caller::new(&format!("{tag}-caller-{at}"), entries, plan.directory))
+    entries.rotate_left(index % count);
+    Arc::new(Caller::new(&format!("{tag}-caller-{index}"), entries, plan.directory))
 }
--- a/src/load/sample.rs
+++ b/src/load/sample.rs
@@ -2,38 +2,38 @@
 
 use compact_str::CompactString;
 
-/// What a caller was told of one request.
+/// Outcome of one request, as its caller saw it.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum Told {
-    /// Its own answer, whole.
+pub enum Outcome {
+    /// The complete answer to this request, or word that it already ran.
     Answer,
-    /// An answer that visibly broke off.
+    /// An answer that was visibly cut off.
     Cut,
-    /// That it failed, and may be sent again.
+    /// The request failed and may be resent.
     Failed,
-    /// Nothing: the connection failed, or time ran out.
+    /// No answer: the connection failed or the time ran out.
     Nothing,
-    /// That it was not run.
+    /// The request was not run.
     NotRun,
-    /// That it may or may not have run.
+    /// The request may or may not have run.
     Unknown,
-    /// Somebody else's answer, or half of one that looked whole.
+    /// The body of another request, or a truncated body that looked complete.
     Wrong,
 }
 
-/// What became of one request.
+/// Result of one request.
 #[derive(Clone, Debug)]
 pub struct Sample {
-    /// Times it was sent.
+    /// Number of times that the request was sent.
     pub attempts: u32,
     /// Its idempotency key.
     pub key: Option<CompactString>,
-    /// Place of its kind in the plan.
+    /// Index of its kind in the plan.
     pub kind: usize,
-    /// From when it was to start until the end.
+    /// Time from the scheduled start to the end.
     pub latency: Duration,
-    /// When it was to start.
+    /// Scheduled start, from the start of the load.
     pub start: Duration,
-    /// What the caller was told last.
-    pub told: Told,
+    /// Outcome of the last send.
+    pub outcome: Outcome,
 }
