--- a/src/node/thread.rs
+++ b/src/node/thread.rs
@@ -35,7 +35,7 @@
 use super::input::Claimed;
 use super::machine::Machine;
 use super::probe::probe;
-use super::traffic::Noted;
+use super::traffic::Observation;
 use super::traffic::Shared;
 use super::traffic::Trial;
 
@@ -106,7 +106,7 @@
                 Ok(None) => (),
                 Err(()) => return,
             }
-            self.take_outcomes(&mut batch);
+            self.take_observations(&mut batch);
             let now = self.now();
             if now >= tick_at {
                 self.step(core::Input::Tick, &mut batch);
@@ -139,12 +139,14 @@
         false
     }
 
-    fn take_outcomes(&mut self, batch: &mut Batch) {
+    fn take_observations(&mut self, batch: &mut Batch) {
         let (arrivals, bytes) = self.shared.take_carried();
         if arrivals > 0 || bytes > 0 {
             self.step(core::Input::Carried(arrivals, bytes), batch);
         }
-        for Noted { kind, latency, service, trial, upstream } in self.shared.take_outcomes() {
+        for Observation { kind, latency, service, trial, upstream } in
+            self.shared.take_observations()
+        {
             let input = match trial {
                 Some(Trial { is_repeatable }) => {
                     core::Input::Tried { is_repeatable, kind, latency, service, upstream }
--- a/src/node/traffic.rs
+++ b/src/node/traffic.rs
@@ -20,7 +20,7 @@
 pub(super) use listener::listen;
 pub(super) use queue::poll_queues;
 pub(super) use rate_limiter::renew_quota;
-pub(super) use shared::Noted;
+pub(super) use shared::Observation;
 pub(super) use shared::Shared;
 pub(super) use shared::Trial;
 
--- a/src/node/traffic/hedge.rs
+++ b/src/node/traffic/hedge.rs
@@ -11,7 +11,7 @@
 use crate::id::UpstreamId;
 use crate::node::view;
 
-use super::Noted;
+use super::Observation;
 use super::Shared;
 use super::attempt::Attempt;
 use super::job::Job;
@@ -84,5 +84,5 @@
 fn report_late_primary(shared: &Shared, job: &Job, upstream: UpstreamId, waited: Duration) {
     let service = job.service.clone();
     let kind = health::Kind::Success;
-    shared.note(Noted { kind, latency: waited, service, trial: None, upstream });
+    shared.observe(Observation { kind, latency: waited, service, trial: None, upstream });
 }
--- a/src/node/traffic/reservation.rs
+++ b/src/node/traffic/reservation.rs
@@ -8,7 +8,7 @@
 use crate::id::UpstreamId;
 use crate::node::view;
 
-use super::Noted;
+use super::Observation;
 use super::Shared;
 use super::Trial;
 use super::service::Service;
@@ -78,7 +78,7 @@
         }
         let service = self.service.name.clone();
         let upstream = self.upstream.clone();
-        self.shared.note(Noted { kind, latency, service, trial: self.trial, upstream });
+        self.shared.observe(Observation { kind, latency, service, trial: self.trial, upstream });
     }
 
     fn give_back(&mut self, kind: health::Kind, latency: Duration) {
--- a/src/node/traffic/shared.rs
+++ b/src/node/traffic/shared.rs
@@ -48,7 +48,7 @@
 
 /// How an upstream handled one request.
 #[derive(Debug)]
-pub(in crate::node) struct Noted {
+pub(in crate::node) struct Observation {
     pub(in crate::node) kind: health::Kind,
     pub(in crate::node) latency: Duration,
     pub(in crate::node) service: ServiceId,
@@ -86,7 +86,7 @@
     lost_outcomes: AtomicU64,
     pub(in crate::node) metrics: Metrics,
     next_request: AtomicU64,
-    outcomes: Mutex<Vec<Noted>>,
+    observations: Mutex<Vec<Observation>>,
     pub(super) pool: Pool,
     /// Closed once the process has a configuration to serve.
     ready: (Sender<()>, Receiver<()>),
@@ -128,7 +128,7 @@
             metrics,
             open_claims: AtomicUsize::new(0),
             next_request: AtomicU64::new(crate::node::incarnation()),
-            outcomes: Mutex::default(),
+            observations: Mutex::default(),
             pool: Pool::new(settings.limits.upstream_idle),
             ready: bounded(1),
             recorder,
@@ -183,16 +183,16 @@
     /// Records how an upstream handled a request, for the control thread to read at its next
     /// turn. A failure or a trial wakes it at once, because the next request may go to the same
     /// upstream.
-    pub(in crate::node) fn note(&self, observation: Noted) {
+    pub(in crate::node) fn observe(&self, observation: Observation) {
         let is_urgent = observation.trial.is_some() || observation.kind.is_failure();
-        let mut outcomes = self.outcomes.lock().unwrap_or_else(PoisonError::into_inner);
-        let is_full = outcomes.len() >= MAX_PENDING_OBSERVATIONS;
+        let mut observations = self.observations.lock().unwrap_or_else(PoisonError::into_inner);
+        let is_full = observations.len() >= MAX_PENDING_OBSERVATIONS;
         if is_full {
             self.lost_outcomes.fetch_add(1, Ordering::Relaxed);
         } else {
-            outcomes.push(observation);
+            observations.push(observation);
         }
-        drop(outcomes);
+        drop(observations);
         if is_urgent {
             self.tell(Input::Wake);
         }
@@ -214,8 +214,8 @@
     }
 
     /// Takes the recorded observations.
-    pub(in crate::node) fn take_outcomes(&self) -> Vec<Noted> {
-        std::mem::take(&mut *self.outcomes.lock().unwrap_or_else(PoisonError::into_inner))
+    pub(in crate::node) fn take_observations(&self) -> Vec<Observation> {
+        std::mem::take(&mut *self.observations.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     /// Inputs and observations that were dropped.
