--- a/src/node/traffic/claims.rs
+++ b/src/node/traffic/claims.rs
@@ -53,7 +53,7 @@
         let left = job.left(shared.now());
         let request = claim::Request { digest: job.digest(), limit: left + CLAIM_GRACE, slot };
         let (sender, receiver) = bounded(1);
-        shared.tell(Input::Claim(job.ticket, request, left, sender));
+        shared.try_notify(Input::Claim(job.ticket, request, left, sender));
         let claim = Self { ended: false, shared, ticket: job.ticket };
         let claimed = timeout(left + CONTROL_REPLY_MARGIN, receiver.recv()).await;
         match claimed {
@@ -76,13 +76,13 @@
     /// Ends the claim of a request that ran, or may have run.
     pub(super) fn end(mut self, outcome: Outcome) {
         self.ended = true;
-        self.shared.tell_reliably(Input::ClaimEnd(self.ticket, Some(outcome)));
+        self.shared.notify(Input::ClaimEnd(self.ticket, Some(outcome)));
     }
 
     /// Frees the key of a request that provably did not run.
     pub(super) fn abandon(mut self) {
         self.ended = true;
-        self.shared.tell_reliably(Input::ClaimEnd(self.ticket, None));
+        self.shared.notify(Input::ClaimEnd(self.ticket, None));
     }
 
     fn disarm(mut self) {
@@ -94,7 +94,7 @@
     /// A job that is dropped before its end, for example by a panic, leaves its outcome unknown.
     fn drop(&mut self) {
         if !self.ended {
-            self.shared.tell_reliably(Input::ClaimEnd(self.ticket, Some(Outcome::Unknown)));
+            self.shared.notify(Input::ClaimEnd(self.ticket, Some(Outcome::Unknown)));
         }
     }
 }
--- a/src/node/traffic/queue.rs
+++ b/src/node/traffic/queue.rs
@@ -234,6 +234,6 @@
     let stuck = overdue.iter().map(|(_, ages)| ages.len()).sum();
     service.compensate_stuck(shared.now(), stuck);
     for (upstream, ages) in overdue {
-        shared.tell(node::Input::Overdue(service.name.clone(), upstream, ages));
+        shared.try_notify(node::Input::Overdue(service.name.clone(), upstream, ages));
     }
 }
--- a/src/node/traffic/rate_limiter.rs
+++ b/src/node/traffic/rate_limiter.rs
@@ -153,7 +153,7 @@
             continue;
         };
         let (sender, receiver) = bounded(1);
-        shared.tell(Input::Quota(ask, sender));
+        shared.try_notify(Input::Quota(ask, sender));
         let Ok(Ok(grant)) = timeout(Meter::AGAIN, receiver.recv()).await else { continue };
         rate_limiter.meter().grant(shared.now(), &grant);
         for waiter in std::mem::take(&mut *rate_limiter.waiters()) {
--- a/src/node/traffic/relay.rs
+++ b/src/node/traffic/relay.rs
@@ -35,7 +35,7 @@
     }
     if is_draining(&response) {
         let (service, upstream) = (job.service.clone(), attempt.upstream());
-        shared.tell(Input::Probed { draining: Some(true), healthy: true, service, upstream });
+        shared.try_notify(Input::Probed { draining: Some(true), healthy: true, service, upstream });
     }
     let failed = response.status >= 500;
     outlet.send(response).await.ok();
--- a/src/node/traffic/shared.rs
+++ b/src/node/traffic/shared.rs
@@ -160,7 +160,7 @@
 
     /// Sends to the control thread. If its inbox is full, the input is dropped and counted,
     /// because traffic never waits for control.
-    pub(in crate::node) fn tell(&self, input: Input) {
+    pub(in crate::node) fn try_notify(&self, input: Input) {
         if self.control.try_send(input).is_err() {
             self.lost_outcomes.fetch_add(1, Ordering::Relaxed);
         }
@@ -170,7 +170,7 @@
     /// waits to deliver it. Without the end of its claim, a key would stay in progress until its
     /// limit, and a leaving process would wait for it. There are at most as many such tasks as
     /// keyed requests in flight.
-    pub(super) fn tell_reliably(&self, input: Input) {
+    pub(super) fn notify(&self, input: Input) {
         let Err(Refused::Full(input)) = self.control.try_send(input) else { return };
         let control = self.control.clone();
         runtime::spawn(async move {
@@ -194,7 +194,7 @@
         }
         drop(observations);
         if is_urgent {
-            self.tell(Input::Wake);
+            self.try_notify(Input::Wake);
         }
     }
 
