--- a/src/node/doors.rs
+++ b/src/node/doors.rs
@@ -14,7 +14,7 @@
 
 use super::Inbox;
 use super::Input;
-use super::traffic::Shared;
+use super::traffic::Proxy;
 use crate::boundary::Done;
 use crate::boundary::Order;
 use crate::catalog::Action;
@@ -39,11 +39,11 @@
 const PAUSE: Duration = Duration::from_millis(50);
 
 /// Serves one door.
-pub(super) async fn serve(listener: TcpListener, inbox: Inbox, shared: Arc<Shared>) {
+pub(super) async fn serve(listener: TcpListener, inbox: Inbox, proxy: Arc<Proxy>) {
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
-                runtime::spawn(connection(stream, peer, inbox.clone(), Arc::clone(&shared)));
+                runtime::spawn(connection(stream, peer, inbox.clone(), Arc::clone(&proxy)));
             }
             Err(error) => {
                 tracing::warn!(target: "hemlockfield::node", "can't accept: {error}");
@@ -53,10 +53,10 @@
     }
 }
 
-async fn connection(stream: TcpStream, peer: SocketAddr, inbox: Inbox, shared: Arc<Shared>) {
+async fn connection(stream: TcpStream, peer: SocketAddr, inbox: Inbox, proxy: Arc<Proxy>) {
     let mut inlet = Inlet::new(stream, peer);
     while let Some((request, mut outlet)) = inlet.next(IDLE).await {
-        order(request, &mut outlet, &inbox, &shared).await;
+        order(request, &mut outlet, &inbox, &proxy).await;
         if outlet.is_closing() {
             inlet.linger().await;
             return;
@@ -64,41 +64,41 @@
     }
 }
 
-async fn order(mut request: Request, outlet: &mut Outlet, inbox: &Inbox, shared: &Shared) {
+async fn order(mut request: Request, outlet: &mut Outlet, inbox: &Inbox, proxy: &Proxy) {
     let body = match Payload::take(&mut request, ORDER_MAX, ORDER_MAX, IDLE).await {
         Ok(Payload::Held(body)) => body,
         Ok(Payload::Stream(Some(mut exact), _)) => match exact.read_all().await {
             Ok(body) => body,
-            Err(error) => return refuse(400, &error.to_string(), outlet, shared).await,
+            Err(error) => return refuse(400, &error.to_string(), outlet, proxy).await,
         },
         Ok(_) => bytes::Bytes::new(),
-        Err(failure) => return refuse(400, &failure.to_string(), outlet, shared).await,
+        Err(failure) => return refuse(400, &failure.to_string(), outlet, proxy).await,
     };
-    let response = match shared.boundary.order(&request, &body) {
-        Ok(order) => shared.boundary.done(carry_out(order, inbox, shared).await),
-        Err(refusal) => shared.boundary.refuse(&refusal),
+    let response = match proxy.boundary.order(&request, &body) {
+        Ok(order) => proxy.boundary.done(carry_out(order, inbox, proxy).await),
+        Err(refusal) => proxy.boundary.refuse(&refusal),
     };
     if let Err(error) = outlet.send(response).await {
         tracing::debug!(target: "hemlockfield::node", "who asked is gone: {error}");
     }
 }
 
-async fn refuse(status: u16, reason: &str, outlet: &mut Outlet, shared: &Shared) {
+async fn refuse(status: u16, reason: &str, outlet: &mut Outlet, proxy: &Proxy) {
     outlet.close_after();
     let refusal = Refusal::new(status, Outcome::NotRun, reason);
-    if let Err(error) = outlet.send(shared.boundary.refuse(&refusal)).await {
+    if let Err(error) = outlet.send(proxy.boundary.refuse(&refusal)).await {
         tracing::debug!(target: "hemlockfield::node", "who asked is gone: {error}");
     }
 }
 
-async fn carry_out(order: Order, inbox: &Inbox, shared: &Shared) -> Done {
+async fn carry_out(order: Order, inbox: &Inbox, proxy: &Proxy) -> Done {
     match order {
         Order::Announce(change) => announce(Action::Announce(*change), inbox).await,
         Order::Leave(upstream) => announce(Action::Leave(upstream), inbox).await,
-        Order::List(domain) => list(&domain, shared),
+        Order::List(domain) => list(&domain, proxy),
         Order::Read => read(inbox).await,
         Order::Ready => {
-            let view = shared.view.load();
+            let view = proxy.view.load();
             Done::Readiness(view.serves() && !view.leaving)
         }
         Order::Submit(version) => submit(version, inbox).await,
@@ -114,13 +114,13 @@
     }
 }
 
-fn list(domain: &str, shared: &Shared) -> Done {
-    let view = shared.view.load();
+fn list(domain: &str, proxy: &Proxy) -> Done {
+    let view = proxy.view.load();
     let entries = directory::nearby(domain, &view.entries);
-    if shared.now() < feed::WARM_UP || entries.is_empty() {
+    if proxy.now() < feed::WARM_UP || entries.is_empty() {
         return Done::Busy("no entries are known yet".into());
     }
-    Done::Entries(entries, shared.settings.directory.lifetime)
+    Done::Entries(entries, proxy.settings.directory.lifetime)
 }
 
 async fn read(inbox: &Inbox) -> Done {
--- a/src/node/metrics_door.rs
+++ b/src/node/metrics_door.rs
@@ -7,21 +7,21 @@
 use tide::Response;
 use tide::StatusCode;
 
-use super::traffic::Shared;
+use super::traffic::Proxy;
 
 /// Path at which metrics are fetched.
 const PATH: &str = "/metrics";
 
 /// Serves the metrics of this process until it ends.
-pub(super) async fn serve(listener: TcpListener, shared: Arc<Shared>) {
-    let mut app = tide::with_state(shared);
+pub(super) async fn serve(listener: TcpListener, proxy: Arc<Proxy>) {
+    let mut app = tide::with_state(proxy);
     app.at(PATH).get(text);
     if let Err(error) = app.listen(listener).await {
         tracing::error!(target: "hemlockfield::node", "metrics are no longer served: {error}");
     }
 }
 
-async fn text(request: Request<Arc<Shared>>) -> tide::Result {
+async fn text(request: Request<Arc<Proxy>>) -> tide::Result {
     match request.state().metrics.text() {
         Ok(text) => Ok(Response::builder(StatusCode::Ok).body(text).build()),
         Err(error) => {
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -36,7 +36,7 @@
 use super::thread::Tickets;
 use super::thread::wall;
 use super::traffic;
-use super::traffic::Shared;
+use super::traffic::Proxy;
 
 /// A running process.
 pub struct Node {
@@ -44,7 +44,7 @@
     control: Inbox,
     ended: Receiver<()>,
     operators: Option<SocketAddr>,
-    shared: Arc<Shared>,
+    proxy: Arc<Proxy>,
     stop: Sender<()>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
@@ -53,7 +53,7 @@
 #[derive(Clone)]
 pub struct Leaving {
     control: Inbox,
-    shared: Arc<Shared>,
+    proxy: Arc<Proxy>,
     stop: Sender<()>,
 }
 
@@ -79,7 +79,7 @@
         let recorder = replay::Recorder::open(settings.record.as_ref())?;
         let measured = bind(settings.metrics.as_ref().and_then(|metrics| metrics.listen)).await?;
         let boundary = make::boundary(&settings);
-        let shared = Arc::new(Shared::new(
+        let proxy = Arc::new(Proxy::new(
             settings.clone(),
             started,
             Arc::clone(&boundary),
@@ -105,7 +105,7 @@
             log,
             machine,
             opener,
-            shared: Arc::clone(&shared),
+            proxy: Arc::clone(&proxy),
             started,
             tickets: Tickets::default(),
         };
@@ -118,7 +118,7 @@
             })
             .map_err(Error::Thread)?;
         if let Some(listener) = operators {
-            let state = Operators { control: control.clone(), shared: Arc::clone(&shared) };
+            let state = Operators { control: control.clone(), proxy: Arc::clone(&proxy) };
             runtime::spawn(async move {
                 if let Err(error) = operators::app(state).listen(listener).await {
                     tracing::error!(target: "hemlockfield::node", "operators' side ended: {error}");
@@ -126,22 +126,22 @@
             });
         }
         if let Some(listener) = measured {
-            runtime::spawn(metrics_door::serve(listener, Arc::clone(&shared)));
+            runtime::spawn(metrics_door::serve(listener, Arc::clone(&proxy)));
         }
         for listener in doors {
-            runtime::spawn(doors::serve(listener, control.clone(), Arc::clone(&shared)));
+            runtime::spawn(doors::serve(listener, control.clone(), Arc::clone(&proxy)));
         }
         if let Some(listener) = callers {
-            runtime::spawn(traffic::listen(listener, Arc::clone(&shared)));
-            runtime::spawn(traffic::poll_queues(Arc::clone(&shared)));
-            runtime::spawn(traffic::renew_quota(Arc::clone(&shared)));
+            runtime::spawn(traffic::listen(listener, Arc::clone(&proxy)));
+            runtime::spawn(traffic::poll_queues(Arc::clone(&proxy)));
+            runtime::spawn(traffic::renew_quota(Arc::clone(&proxy)));
         }
         Ok(Self {
             callers: callers_at,
             control,
             ended,
             operators: operators_at,
-            shared,
+            proxy,
             stop,
             thread: Some(thread),
         })
@@ -159,7 +159,7 @@
 
     /// Number of the configuration in force here.
     pub fn configuration(&self) -> Option<ConfigNumber> {
-        self.shared.view.load().number
+        self.proxy.view.load().number
     }
 
     /// Submits a configuration; tells whether it was accepted.
@@ -174,14 +174,14 @@
 
     /// Upstreams of a service that get new work from here.
     pub fn upstreams(&self, service: &str) -> usize {
-        self.shared.view.load().services.get(service).map_or(0, |found| found.members.len())
+        self.proxy.view.load().services.get(service).map_or(0, |found| found.members.len())
     }
 
     /// What makes this process leave.
     pub fn leaving(&self) -> Leaving {
         Leaving {
             control: self.control.clone(),
-            shared: Arc::clone(&self.shared),
+            proxy: Arc::clone(&self.proxy),
             stop: self.stop.clone(),
         }
     }
@@ -190,20 +190,20 @@
     /// Without it, leaving would end at the settings' limit only, however idle the entry.
     fn leave(&self) {
         let mut directory =
-            self.shared.directory.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        directory.leave(self.shared.now());
+            self.proxy.directory.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        directory.leave(self.proxy.now());
     }
 
     /// Waits until the process has left; gives the requests that were cut.
     pub async fn stopped(mut self) -> usize {
-        let limit = self.shared.limit();
-        self.shared.drain_requested().await;
+        let limit = self.proxy.limit();
+        self.proxy.drain_requested().await;
         self.leave();
-        let left = async_std::future::timeout(limit, self.shared.drained());
-        let ended = self.shared.done.recv();
+        let left = async_std::future::timeout(limit, self.proxy.drained());
+        let ended = self.proxy.done.recv();
         futures::pin_mut!(left, ended);
         futures::future::select(left, ended).await;
-        let cut = self.shared.in_flight.load(Ordering::Acquire);
+        let cut = self.proxy.in_flight.load(Ordering::Acquire);
         if cut > 0 {
             tracing::warn!(target: "hemlockfield::node", cut, "requests in flight are cut");
         }
@@ -225,7 +225,7 @@
         if self.control.try_send(Input::Drain).is_err() {
             tracing::warn!(target: "hemlockfield::node", "control is not told of the leaving");
         }
-        self.shared.request_drain();
+        self.proxy.request_drain();
     }
 
     /// Takes over what settings may change while the process runs: its seeds.
@@ -237,7 +237,7 @@
 
     /// Ends at once.
     pub fn end_now(&self) {
-        self.shared.request_drain();
+        self.proxy.request_drain();
         self.stop.close();
     }
 }
--- a/src/node/operators.rs
+++ b/src/node/operators.rs
@@ -22,7 +22,7 @@
 
 use super::Inbox;
 use super::Input;
-use super::traffic::Shared;
+use super::traffic::Proxy;
 
 /// Largest configuration, in bytes: 4,200 routes and 37,000 teams are about 1.5 MB.
 const DOCUMENT_MAX: usize = 8 * 1024 * 1024;
@@ -33,7 +33,7 @@
 #[derive(Clone)]
 pub(super) struct Operators {
     pub(super) control: Inbox,
-    pub(super) shared: Arc<Shared>,
+    pub(super) proxy: Arc<Proxy>,
 }
 
 #[derive(Deserialize)]
@@ -119,7 +119,7 @@
 
 async fn drain(request: Request<Operators>) -> tide::Result {
     tell(request.state(), Input::Drain).await?;
-    request.state().shared.request_drain();
+    request.state().proxy.request_drain();
     Ok(text_of(StatusCode::Ok, "leaving"))
 }
 
@@ -165,7 +165,7 @@
 
 async fn entries(request: Request<Operators>) -> tide::Result {
     let caller: Caller = request.query()?;
-    let answer = request.state().shared.entries(&caller.caller.unwrap_or_default());
+    let answer = request.state().proxy.entries(&caller.caller.unwrap_or_default());
     Ok(json(StatusCode::Ok, serde_json::to_string(&answer)?))
 }
 
--- a/src/node/status.rs
+++ b/src/node/status.rs
@@ -16,7 +16,7 @@
 use crate::quorum;
 
 use super::Carrier;
-use super::traffic::Shared;
+use super::traffic::Proxy;
 
 /// What a process knows, for operators.
 #[derive(Clone, Debug, Serialize)]
@@ -90,15 +90,15 @@
 }
 
 impl Status {
-    pub(super) fn of(report: Report, shared: &Shared, carrier: &dyn Carrier) -> Self {
-        let queues = shared.services().into_iter();
+    pub(super) fn of(report: Report, proxy: &Proxy, carrier: &dyn Carrier) -> Self {
+        let queues = proxy.services().into_iter();
         Self {
             id: report.id,
             configuration: report.configuration,
             standing: report.standing,
-            in_flight: shared.in_flight.load(std::sync::atomic::Ordering::Relaxed),
+            in_flight: proxy.in_flight.load(std::sync::atomic::Ordering::Relaxed),
             open_claims: report.open_claims,
-            lost_outcomes: shared.lost(),
+            lost_outcomes: proxy.lost(),
             links: carrier.status(),
             members: report.members,
             services: report.services,
--- a/src/node/thread.rs
+++ b/src/node/thread.rs
@@ -36,7 +36,7 @@
 use super::machine::Machine;
 use super::probe::probe;
 use super::traffic::Observation;
-use super::traffic::Shared;
+use super::traffic::Proxy;
 use super::traffic::Trial;
 
 /// Inputs that are taken before the disk is synced once for all of them.
@@ -71,7 +71,7 @@
     pub(super) log: Option<Log>,
     pub(super) machine: Box<dyn Machine>,
     pub(super) opener: Option<Opener>,
-    pub(super) shared: Arc<Shared>,
+    pub(super) proxy: Arc<Proxy>,
     pub(super) started: Instant,
     pub(super) tickets: Tickets,
 }
@@ -140,12 +140,12 @@
     }
 
     fn take_observations(&mut self, batch: &mut Batch) {
-        let (arrivals, bytes) = self.shared.take_carried();
+        let (arrivals, bytes) = self.proxy.take_carried();
         if arrivals > 0 || bytes > 0 {
             self.step(core::Input::Carried(arrivals, bytes), batch);
         }
         for Observation { kind, latency, service, trial, upstream } in
-            self.shared.take_observations()
+            self.proxy.take_observations()
         {
             let input = match trial {
                 Some(Trial { is_repeatable }) => {
@@ -318,7 +318,7 @@
     fn record(&self, event: Event) {
         log_event(&event);
         if let Some(by) = event.detail.get("by") {
-            self.shared.metrics.count(&format!("{}.{by}", event.kind.name()));
+            self.proxy.metrics.count(&format!("{}.{by}", event.kind.name()));
         }
         let Event { vm: _, kind, .. } = event.clone();
         self.journal.record(wall(), kind, |stamped| Event { stamp: stamped.stamp, ..event });
@@ -327,17 +327,17 @@
     /// Gives the traffic threads a new view where something has changed; tells what the
     /// making of it took.
     fn publish(&mut self, now: Moment) -> Duration {
-        if let Some(view) = self.machine.view(now, &self.shared.view.load()) {
-            self.shared.set_view(view);
+        if let Some(view) = self.machine.view(now, &self.proxy.view.load()) {
+            self.proxy.set_view(view);
         }
         let cost = self.now().saturating_sub(now);
-        self.shared.open_claims.store(self.machine.open_claims(), Ordering::Release);
+        self.proxy.open_claims.store(self.machine.open_claims(), Ordering::Release);
         self.carrier.keep(&self.machine.neighbours());
         cost
     }
 
     fn status(&self) -> Status {
-        Status::of(self.machine.report(self.now()), &self.shared, self.carrier.as_ref())
+        Status::of(self.machine.report(self.now()), &self.proxy, self.carrier.as_ref())
     }
 
     fn now(&self) -> Moment {
--- a/src/node/traffic.rs
+++ b/src/node/traffic.rs
@@ -8,6 +8,7 @@
 mod hedge;
 mod job;
 mod listener;
+mod proxy;
 mod queue;
 mod rate_limiter;
 mod relay;
@@ -15,14 +16,13 @@
 mod round_trip;
 mod serve;
 mod service;
-mod shared;
 
 pub(super) use listener::listen;
+pub(super) use proxy::Observation;
+pub(super) use proxy::Proxy;
+pub(super) use proxy::Trial;
 pub(super) use queue::poll_queues;
 pub(super) use rate_limiter::renew_quota;
-pub(super) use shared::Observation;
-pub(super) use shared::Shared;
-pub(super) use shared::Trial;
 
 /// Path at which every entry tells callers which entries to use.
 pub const DIRECTORY_PATH: &str = "/.well-known/hemlockfield/entries";
--- a/src/node/traffic/attempt.rs
+++ b/src/node/traffic/attempt.rs
@@ -11,7 +11,7 @@
 use crate::retry;
 use crate::rule;
 
-use super::Shared;
+use super::Proxy;
 use super::reservation::Reservation;
 use super::round_trip::RoundTrip;
 
@@ -29,14 +29,14 @@
 
 impl<'a> Attempt<'a> {
     pub(super) async fn run(
-        shared: &Shared,
+        proxy: &Proxy,
         request: Request,
         reservation: Reservation<'a>,
         idempotent: bool,
         left: Duration,
     ) -> Self {
         let round_trip =
-            RoundTrip::run(shared, request, reservation.address, idempotent, left).await;
+            RoundTrip::run(proxy, request, reservation.address, idempotent, left).await;
         Self { round_trip, is_misdirected: false, reservation }
     }
 
--- a/src/node/traffic/attempts.rs
+++ b/src/node/traffic/attempts.rs
@@ -12,7 +12,7 @@
 use crate::retry;
 use crate::retry::Decision;
 
-use super::Shared;
+use super::Proxy;
 use super::attempt::Attempt;
 use super::hedge::hedged_attempt;
 use super::job::Job;
@@ -31,7 +31,7 @@
 
 /// Attempts a job at upstreams until one answers or the retry policy stops.
 pub(super) async fn run_attempts<'a>(
-    shared: &'a Shared,
+    proxy: &'a Proxy,
     service: &'a Service,
     upstreams: &view::Service,
     view: &View,
@@ -43,16 +43,16 @@
     let mut may_have_run = false;
     let mut tries = 0;
     let mut sends = 0;
-    service.policy(shared.now()).first();
+    service.policy(proxy.now()).first();
     loop {
         // If every other upstream is busy or already failed, retry one that failed before.
         let is_long = job.terms.long;
-        let can_risk = job.is_resendable() && service.policy(shared.now()).can_risk();
-        let take_trial = || Reservation::take_trial(shared, service, upstreams, can_risk);
+        let can_risk = job.is_resendable() && service.policy(proxy.now()).can_risk();
+        let take_trial = || Reservation::take_trial(proxy, service, upstreams, can_risk);
         let trial = (tries == 0).then(take_trial).flatten();
         let reservation = trial
-            .or_else(|| Reservation::take(shared, service, upstreams, &avoid, is_long))
-            .or_else(|| Reservation::take(shared, service, upstreams, &[], is_long));
+            .or_else(|| Reservation::take(proxy, service, upstreams, &avoid, is_long))
+            .or_else(|| Reservation::take(proxy, service, upstreams, &[], is_long));
         let Some(reservation) = reservation else {
             let answer = failure_answer(may_have_run, job);
             let unavailable = || (format!("no upstream of `{}` is available", job.service), 503);
@@ -63,7 +63,7 @@
         let is_stream = job.payload.is_stream();
         let mut attempt = {
             let hedged =
-                hedged_attempt(shared, service, upstreams, job, reservation, &mut sends).fuse();
+                hedged_attempt(proxy, service, upstreams, job, reservation, &mut sends).fuse();
             let gone = caller_gone(is_stream, outlet).fuse();
             pin_mut!(hedged, gone);
             select! {
@@ -72,12 +72,12 @@
             }
         };
         let rule_service = view.rules.as_ref().and_then(|rules| rules.service(&job.service));
-        let outcome = attempt.outcome(shared.boundary.as_ref(), rule_service);
+        let outcome = attempt.outcome(proxy.boundary.as_ref(), rule_service);
         job.record_step(&attempt.upstream(), outcome, attempt.latency());
         sends += u32::from(attempt.is_sent());
         let Some(outcome) = outcome else {
             return attempt.into_answer().map_or_else(missing_answer, |(attempt, answer)| {
-                service.policy(shared.now()).note(attempt.latency());
+                service.policy(proxy.now()).note(attempt.latency());
                 Completion::Answer(Box::new((attempt, answer)))
             });
         };
@@ -87,7 +87,7 @@
             idempotent: job.is_idempotent() && job.terms.retry,
             limit: job.terms.attempts,
             outcome,
-            remaining: job.left(shared.now()),
+            remaining: job.left(proxy.now()),
             sends,
             sent: attempt.is_sent(),
             tries,
@@ -101,11 +101,11 @@
                 status: 400,
             };
         }
-        let decision = service.policy(shared.now()).decide(&failed);
+        let decision = service.policy(proxy.now()).decide(&failed);
         match decision {
             Decision::Again { after } => {
                 let kind = if failed.sent { "retry.sent" } else { "retry.unsent" };
-                shared.metrics.count(kind);
+                proxy.metrics.count(kind);
                 avoid.push(attempt.upstream());
                 last_failure = Some((attempt.reason(), status_of(outcome)));
                 attempt.fail(outcome, job.terms.long);
--- a/src/node/traffic/claims.rs
+++ b/src/node/traffic/claims.rs
@@ -18,7 +18,7 @@
 use crate::node::Input;
 use crate::node::input::Claimed;
 
-use super::Shared;
+use super::Proxy;
 use super::job::Job;
 
 /// Marks an answer that was recorded for an earlier send of the same request.
@@ -36,7 +36,7 @@
 /// A granted claim. It must be ended or abandoned; when dropped, it ends with an unknown outcome.
 pub(super) struct Claim<'a> {
     ended: bool,
-    shared: &'a Shared,
+    proxy: &'a Proxy,
     ticket: u64,
 }
 
@@ -44,17 +44,17 @@
     /// Claims the job's idempotency key; `None` for a job without one. `Err` holds the answer for
     /// a caller whose request must not be dispatched.
     pub(super) async fn acquire(
-        shared: &'a Shared,
+        proxy: &'a Proxy,
         job: &Job,
     ) -> Result<Option<Self>, Box<Response>> {
         let Some(key) = &job.key else { return Ok(None) };
         let scope = job.team.clone().unwrap_or_else(|| job.caller.clone());
         let slot = Slot { caller: scope, key: key.clone(), service: job.service.clone() };
-        let left = job.left(shared.now());
+        let left = job.left(proxy.now());
         let request = claim::Request { digest: job.digest(), limit: left + CLAIM_GRACE, slot };
         let (sender, receiver) = bounded(1);
-        shared.try_notify(Input::Claim(job.ticket, request, left, sender));
-        let claim = Self { ended: false, shared, ticket: job.ticket };
+        proxy.try_notify(Input::Claim(job.ticket, request, left, sender));
+        let claim = Self { ended: false, proxy, ticket: job.ticket };
         let claimed = timeout(left + CONTROL_REPLY_MARGIN, receiver.recv()).await;
         match claimed {
             Ok(Ok(Claimed::Granted)) => Ok(Some(claim)),
@@ -76,13 +76,13 @@
     /// Ends the claim of a request that ran, or may have run.
     pub(super) fn end(mut self, outcome: Outcome) {
         self.ended = true;
-        self.shared.notify(Input::ClaimEnd(self.ticket, Some(outcome)));
+        self.proxy.notify(Input::ClaimEnd(self.ticket, Some(outcome)));
     }
 
     /// Frees the key of a request that provably did not run.
     pub(super) fn abandon(mut self) {
         self.ended = true;
-        self.shared.notify(Input::ClaimEnd(self.ticket, None));
+        self.proxy.notify(Input::ClaimEnd(self.ticket, None));
     }
 
     fn disarm(mut self) {
@@ -94,7 +94,7 @@
     /// A job that is dropped before its end, for example by a panic, leaves its outcome unknown.
     fn drop(&mut self) {
         if !self.ended {
-            self.shared.notify(Input::ClaimEnd(self.ticket, Some(Outcome::Unknown)));
+            self.proxy.notify(Input::ClaimEnd(self.ticket, Some(Outcome::Unknown)));
         }
     }
 }
--- a/src/node/traffic/dispatch.rs
+++ b/src/node/traffic/dispatch.rs
@@ -14,7 +14,7 @@
 use crate::node::View;
 use crate::retry;
 
-use super::Shared;
+use super::Proxy;
 use super::attempts::Completion;
 use super::attempts::caller_gone;
 use super::attempts::run_attempts;
@@ -29,14 +29,14 @@
 const NO_UPSTREAM_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// Runs a job and answers its caller.
-pub(super) async fn dispatch(shared: &Shared, view: &View, mut job: Job, outlet: &mut Outlet) {
-    let service = shared.service(&job.service);
+pub(super) async fn dispatch(proxy: &Proxy, view: &View, mut job: Job, outlet: &mut Outlet) {
+    let service = proxy.service(&job.service);
     let upstreams = view.services.get(&job.service).cloned().unwrap_or_default();
     if upstreams.members.is_empty() {
         let text = format!("service `{}` has no upstreams", job.service);
         job.refund();
         send_local_reply(
-            shared,
+            proxy,
             &job,
             outlet,
             &Refusal::not_run(503, text, NO_UPSTREAM_RETRY_AFTER),
@@ -44,8 +44,8 @@
         .await;
         return;
     }
-    service.refresh(shared.now(), &upstreams);
-    let claim = match Claim::acquire(shared, &job).await {
+    service.refresh(proxy.now(), &upstreams);
+    let claim = match Claim::acquire(proxy, &job).await {
         Ok(claim) => claim,
         Err(response) => {
             job.refund();
@@ -58,7 +58,7 @@
     };
     let classes = view.rules.as_ref().map(|rules| rules.classes()).unwrap_or_default();
     let (decision, permit) = {
-        let enter = service.queue.enter(shared, classes, arrival(&job)).fuse();
+        let enter = service.queue.enter(proxy, classes, arrival(&job)).fuse();
         let gone = caller_gone(job.payload.is_stream(), outlet).fuse();
         pin_mut!(enter, gone);
         select! {
@@ -73,23 +73,23 @@
     if let Decision::Refuse(reason, after) = decision {
         job.refund();
         claim.into_iter().for_each(Claim::abandon);
-        shared.metrics.count("request.refused");
+        proxy.metrics.count("request.refused");
         let text = format!("service `{}` does not admit the request: {reason}", job.service);
-        return send_local_reply(shared, &job, outlet, &Refusal::not_run(503, text, after)).await;
+        return send_local_reply(proxy, &job, outlet, &Refusal::not_run(503, text, after)).await;
     }
-    let started = shared.now();
-    let completion = run_attempts(shared, &service, &upstreams, view, &mut job, outlet).await;
-    shared.metrics.time("request.upstream", shared.now().saturating_sub(started));
+    let started = proxy.now();
+    let completion = run_attempts(proxy, &service, &upstreams, view, &mut job, outlet).await;
+    proxy.metrics.time("request.upstream", proxy.now().saturating_sub(started));
     match completion {
         Completion::Answer(answered) => {
             let (attempt, answer) = *answered;
             permit.finish(admission::Outcome::Served);
-            job.log(shared, view, "answered", answer.response.status);
-            relay_answer(shared, &job, attempt, answer, claim, outlet).await;
+            job.log(proxy, view, "answered", answer.response.status);
+            relay_answer(proxy, &job, attempt, answer, claim, outlet).await;
         }
         Completion::CallerGone { may_have_run } => {
             permit.finish(admission::Outcome::Failed);
-            job.log(shared, view, "caller disconnected", 0);
+            job.log(proxy, view, "caller disconnected", 0);
             claim.into_iter().for_each(|claim| settle_claim(claim, may_have_run));
         }
         Completion::LocalReply { answer, reason, status } => {
@@ -102,7 +102,7 @@
             permit.finish(outcome);
             claim.into_iter().for_each(|claim| settle_claim(claim, !is_not_run));
             let refusal = refusal_for(answer, reason, status);
-            send_local_reply(shared, &job, outlet, &refusal).await;
+            send_local_reply(proxy, &job, outlet, &refusal).await;
         }
     }
 }
@@ -116,10 +116,10 @@
 }
 
 /// Answers the caller with a refusal by this entry.
-async fn send_local_reply(shared: &Shared, job: &Job, outlet: &mut Outlet, refusal: &Refusal) {
+async fn send_local_reply(proxy: &Proxy, job: &Job, outlet: &mut Outlet, refusal: &Refusal) {
     close_upload(job, outlet);
-    job.log(shared, &shared.view.load(), &refusal.reason, refusal.status);
-    if let Err(error) = outlet.send(shared.boundary.refuse(refusal)).await {
+    job.log(proxy, &proxy.view.load(), &refusal.reason, refusal.status);
+    if let Err(error) = outlet.send(proxy.boundary.refuse(refusal)).await {
         tracing::debug!(target: "hemlockfield::exchange", "caller disconnected: {error}");
     }
 }
--- a/src/node/traffic/hedge.rs
+++ b/src/node/traffic/hedge.rs
@@ -12,7 +12,7 @@
 use crate::node::view;
 
 use super::Observation;
-use super::Shared;
+use super::Proxy;
 use super::attempt::Attempt;
 use super::job::Job;
 use super::reservation::Reservation;
@@ -22,22 +22,22 @@
 /// the request to a second upstream as well. The first usable answer wins and the other send is
 /// cancelled.
 pub(super) async fn hedged_attempt<'a>(
-    shared: &'a Shared,
+    proxy: &'a Proxy,
     service: &'a Service,
     upstreams: &view::Service,
     job: &mut Job,
     reservation: Reservation<'a>,
     sends: &mut u32,
 ) -> Attempt<'a> {
-    let now = shared.now();
+    let now = proxy.now();
     let started = now;
     let may_send_again = *sends + 1 < job.terms.attempts;
     let may_hedge =
         may_send_again && job.terms.hedge && job.is_idempotent() && !job.payload.is_stream();
-    let after = if may_hedge { service.policy(shared.now()).hedge_after() } else { None };
-    let request = job.request(now, shared.boundary.as_ref(), &reservation.upstream);
+    let after = if may_hedge { service.policy(proxy.now()).hedge_after() } else { None };
+    let request = job.request(now, proxy.boundary.as_ref(), &reservation.upstream);
     let primary = reservation.upstream.clone();
-    let first = Attempt::run(shared, request, reservation, job.is_idempotent(), job.left(now));
+    let first = Attempt::run(proxy, request, reservation, job.is_idempotent(), job.left(now));
     let Some(after) = after else { return first.await };
     let first = first.fuse();
     pin_mut!(first);
@@ -47,31 +47,31 @@
         attempt = first => return attempt,
         () = delay => (),
     }
-    let now = shared.now();
+    let now = proxy.now();
     let left = job.left(now);
-    if !service.policy(shared.now()).hedge(left) {
+    if !service.policy(proxy.now()).hedge(left) {
         return first.await;
     }
     let Some(reservation) =
-        Reservation::take(shared, service, upstreams, std::slice::from_ref(&primary), false)
+        Reservation::take(proxy, service, upstreams, std::slice::from_ref(&primary), false)
     else {
-        service.policy(shared.now()).hedged(false);
+        service.policy(proxy.now()).hedged(false);
         return first.await;
     };
-    let request = job.request(now, shared.boundary.as_ref(), &reservation.upstream);
+    let request = job.request(now, proxy.boundary.as_ref(), &reservation.upstream);
     *sends += 1;
-    shared.metrics.count("retry.hedge");
-    let second = Attempt::run(shared, request, reservation, true, left).fuse();
+    proxy.metrics.count("retry.hedge");
+    let second = Attempt::run(proxy, request, reservation, true, left).fuse();
     pin_mut!(second);
     let (attempt, hedge_won) = select! {
         attempt = first => (attempt, false),
         attempt = second => (attempt, true),
     };
-    service.policy(shared.now()).hedged(hedge_won && attempt.is_success(shared.boundary.as_ref()));
-    if hedge_won && attempt.is_success(shared.boundary.as_ref()) {
-        report_late_primary(shared, job, primary, shared.now().saturating_sub(started));
+    service.policy(proxy.now()).hedged(hedge_won && attempt.is_success(proxy.boundary.as_ref()));
+    if hedge_won && attempt.is_success(proxy.boundary.as_ref()) {
+        report_late_primary(proxy, job, primary, proxy.now().saturating_sub(started));
     }
-    if attempt.is_success(shared.boundary.as_ref()) {
+    if attempt.is_success(proxy.boundary.as_ref()) {
         return attempt;
     }
     if hedge_won { first.await } else { second.await }
@@ -81,8 +81,8 @@
 /// report, the cancelled send would leave no trace and a silent upstream would go undetected
 /// wherever requests are hedged. The report counts as a success with this latency, a lower bound,
 /// and not as a failure: one request in twenty is slow at any upstream.
-fn report_late_primary(shared: &Shared, job: &Job, upstream: UpstreamId, waited: Duration) {
+fn report_late_primary(proxy: &Proxy, job: &Job, upstream: UpstreamId, waited: Duration) {
     let service = job.service.clone();
     let kind = health::Kind::Success;
-    shared.observe(Observation { kind, latency: waited, service, trial: None, upstream });
+    proxy.observe(Observation { kind, latency: waited, service, trial: None, upstream });
 }
--- a/src/node/traffic/job.rs
+++ b/src/node/traffic/job.rs
@@ -22,7 +22,7 @@
 use crate::retry;
 use crate::rule::Terms;
 
-use super::Shared;
+use super::Proxy;
 use super::rate_limiter::Charge;
 
 /// One request while the entry handles it.
@@ -89,8 +89,8 @@
     }
 
     /// Logs the request: the rule and configuration that decided it, the attempts, and the answer.
-    pub(super) fn log(&self, shared: &Shared, view: &View, message: &str, status: u16) {
-        let left = self.left(shared.now()).as_millis() as u64;
+    pub(super) fn log(&self, proxy: &Proxy, view: &View, message: &str, status: u16) {
+        let left = self.left(proxy.now()).as_millis() as u64;
         tracing::info!(
             target: "hemlockfield::request",
             id = %self.id,
--- a/src/node/traffic/listener.rs
+++ b/src/node/traffic/listener.rs
@@ -16,19 +16,19 @@
 use crate::exchange::Inlet;
 use crate::runtime;
 
-use super::Shared;
+use super::Proxy;
 use super::serve;
 
 /// Pause after a failed accept, for example when file descriptors have run out.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Accepts connections of callers until the process stops serving.
-pub(in crate::node) async fn listen(listener: TcpListener, shared: Arc<Shared>) {
+pub(in crate::node) async fn listen(listener: TcpListener, proxy: Arc<Proxy>) {
     loop {
         let accepted = {
             let accept = listener.accept().fuse();
-            let done = shared.done.recv().fuse();
-            let closed = shared.closed().fuse();
+            let done = proxy.done.recv().fuse();
+            let closed = proxy.closed().fuse();
             pin_mut!(accept, closed, done);
             select! {
                 accepted = accept => accepted,
@@ -38,7 +38,7 @@
         };
         match accepted {
             Ok((stream, peer)) => {
-                runtime::spawn(serve_isolated(stream, peer, Arc::clone(&shared)));
+                runtime::spawn(serve_isolated(stream, peer, Arc::clone(&proxy)));
             }
             Err(error) => {
                 tracing::warn!(target: "hemlockfield::exchange", "can't accept a connection: {error}");
@@ -49,35 +49,35 @@
 }
 
 /// Serves one connection. A panic in it must not affect other connections.
-async fn serve_isolated(stream: TcpStream, peer: SocketAddr, shared: Arc<Shared>) {
-    let open = shared.connections.fetch_add(1, Ordering::AcqRel);
+async fn serve_isolated(stream: TcpStream, peer: SocketAddr, proxy: Arc<Proxy>) {
+    let open = proxy.connections.fetch_add(1, Ordering::AcqRel);
     let inlet = Inlet::new(stream, peer);
-    let served = if open < shared.settings.limits.connections {
-        AssertUnwindSafe(serve_connection(inlet, &shared)).catch_unwind().await
+    let served = if open < proxy.settings.limits.connections {
+        AssertUnwindSafe(serve_connection(inlet, &proxy)).catch_unwind().await
     } else {
         AssertUnwindSafe(reject_connection(inlet)).catch_unwind().await
     };
     if served.is_err() {
-        shared.metrics.count("exchange.panicked");
+        proxy.metrics.count("exchange.panicked");
         tracing::error!(target: "hemlockfield::exchange", "task of the connection from `{peer}` panicked");
     }
-    shared.connections.fetch_sub(1, Ordering::AcqRel);
+    proxy.connections.fetch_sub(1, Ordering::AcqRel);
 }
 
 async fn reject_connection(mut inlet: Inlet) {
     inlet.reject(&Error::Connections).await;
 }
 
-async fn serve_connection(mut inlet: Inlet, shared: &Arc<Shared>) {
-    let limits = &shared.settings.limits;
+async fn serve_connection(mut inlet: Inlet, proxy: &Arc<Proxy>) {
+    let limits = &proxy.settings.limits;
     loop {
-        let rule_limits = shared.view.load().rules.as_ref().map(|rules| rules.limits());
+        let rule_limits = proxy.view.load().rules.as_ref().map(|rules| rules.limits());
         let rule_limits = rule_limits.unwrap_or_default();
         inlet.set_head_max(rule_limits.head.unwrap_or(limits.head as usize));
         let readable = {
             let readable =
                 timeout(rule_limits.idle.unwrap_or(limits.idle), inlet.readable()).fuse();
-            let closing = shared.closed().fuse();
+            let closing = proxy.closed().fuse();
             pin_mut!(readable, closing);
             select! {
                 readable = readable => readable.is_ok(),
@@ -87,16 +87,16 @@
         if !readable {
             return;
         }
-        let _in_flight = InFlight::new(shared);
+        let _in_flight = InFlight::new(proxy);
         let Some((request, mut outlet)) =
             inlet.next(rule_limits.head_time.unwrap_or(limits.head_time)).await
         else {
             return;
         };
-        if shared.closing.load(Ordering::Acquire) {
+        if proxy.closing.load(Ordering::Acquire) {
             outlet.close_after();
         }
-        serve::serve(shared, request, &mut outlet, inlet.peer()).await;
+        serve::serve(proxy, request, &mut outlet, inlet.peer()).await;
         if outlet.is_closing() {
             inlet.linger().await;
             return;
@@ -105,12 +105,12 @@
 }
 
 /// Counts a request as in flight until dropped.
-struct InFlight<'a>(&'a Shared);
+struct InFlight<'a>(&'a Proxy);
 
 impl<'a> InFlight<'a> {
-    fn new(shared: &'a Shared) -> Self {
-        shared.in_flight.fetch_add(1, Ordering::AcqRel);
-        Self(shared)
+    fn new(proxy: &'a Proxy) -> Self {
+        proxy.in_flight.fetch_add(1, Ordering::AcqRel);
+        Self(proxy)
     }
 }
 
--- a/src/node/traffic/shared.rs
+++ b/src/node/traffic/proxy.rs
@@ -64,8 +64,8 @@
     pub(in crate::node) is_repeatable: bool,
 }
 
-/// State shared by the traffic threads of a process.
-pub(in crate::node) struct Shared {
+/// State of the proxy in one process, shared by its traffic threads.
+pub(in crate::node) struct Proxy {
     pub(super) rate_limiter: Arc<RateLimiter>,
     arrivals: AtomicU32,
     bytes: AtomicU64,
@@ -97,7 +97,7 @@
     pub(in crate::node) view: ArcSwap<View>,
 }
 
-impl Shared {
+impl Proxy {
     pub(in crate::node) fn new(
         settings: Settings,
         started: Instant,
--- a/src/node/traffic/queue.rs
+++ b/src/node/traffic/queue.rs
@@ -25,7 +25,7 @@
 use crate::replay::Tape;
 use crate::rule::Class;
 
-use super::Shared;
+use super::Proxy;
 
 /// Interval of polling while requests wait: the shortest wait that a gate distinguishes.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
@@ -63,7 +63,7 @@
 pub(super) struct Permit<'a> {
     ended: bool,
     queue: &'a Queue,
-    shared: &'a Shared,
+    proxy: &'a Proxy,
     ticket: u64,
 }
 
@@ -80,20 +80,20 @@
     /// Waits for the admission decision. If this future is dropped, the request leaves the queue.
     pub(super) async fn enter<'a>(
         &'a self,
-        shared: &'a Shared,
+        proxy: &'a Proxy,
         classes: &[Class],
         arrival: Arrival,
     ) -> (Decision, Permit<'a>) {
         let (sender, receiver) = bounded(1);
-        let permit = Permit { ended: false, queue: self, shared, ticket: arrival.ticket };
+        let permit = Permit { ended: false, queue: self, proxy, ticket: arrival.ticket };
         {
             let mut state = self.lock();
-            let now = shared.now();
+            let now = proxy.now();
             state.set_classes(now, classes, self.seed);
             state.waiting.insert(arrival.ticket, (arrival.clone(), sender));
             state.handle(now, Input::Arrive(arrival));
             if !state.waiting.is_empty() {
-                shared.request_poll();
+                proxy.request_poll();
             }
         }
         let decision = receiver.recv().await;
@@ -170,7 +170,7 @@
         }
         self.ended = true;
         let mut state = self.queue.lock();
-        let now = self.shared.now();
+        let now = self.proxy.now();
         let ticket = self.ticket;
         let input = match state.waiting.remove(&ticket) {
             Some(_) => Input::Cancel { ticket },
@@ -188,35 +188,35 @@
 
 /// Polls all queues until the process stops, and reports to control the requests that have waited
 /// unusually long for an upstream.
-pub(in crate::node) async fn poll_queues(shared: Arc<Shared>) {
+pub(in crate::node) async fn poll_queues(proxy: Arc<Proxy>) {
     let mut overdue_at = Moment::ZERO;
     let mut gauges_at = Moment::ZERO;
-    while !shared.done.is_closed() {
-        shared.wait_for_poll(IDLE_POLL_INTERVAL).await;
-        let services = shared.services();
+    while !proxy.done.is_closed() {
+        proxy.wait_for_poll(IDLE_POLL_INTERVAL).await;
+        let services = proxy.services();
         if services.iter().any(|service| service.queue.len() > 0) {
             task::sleep(POLL_INTERVAL).await;
-            shared.request_poll();
+            proxy.request_poll();
         }
-        let now = shared.now();
+        let now = proxy.now();
         services.iter().for_each(|service| service.queue.tick(now));
         if now >= overdue_at {
             overdue_at = now + health::Setup::TICK;
-            services.iter().for_each(|service| report_overdue(&shared, service));
+            services.iter().for_each(|service| report_overdue(&proxy, service));
         }
         if now >= gauges_at {
             gauges_at = now + GAUGE_INTERVAL;
-            let in_flight = shared.in_flight.load(Ordering::Relaxed);
-            shared.metrics.gauge("request.in_flight", in_flight as u64);
-            report_gauges(&shared);
+            let in_flight = proxy.in_flight.load(Ordering::Relaxed);
+            proxy.metrics.gauge("request.in_flight", in_flight as u64);
+            report_gauges(&proxy);
         }
     }
 }
 
 /// Reports gauges of the state that this entry acts on: entries that share the retry budget,
 /// ejected upstreams, and upstreams used only as a last resort.
-fn report_gauges(shared: &Shared) {
-    let view = shared.view.load();
+fn report_gauges(proxy: &Proxy) {
+    let view = proxy.view.load();
     let services = || view.services.values();
     let is_out = |weight: &&f64| **weight <= 0.0;
     let out = services().map(|service| service.weights.values().filter(is_out).count()).sum();
@@ -225,15 +225,15 @@
     let levels = [("retry.entries", entries), ("upstream.out", out), ("upstream.last", last)];
     for (kind, level) in levels {
         let level: usize = level;
-        shared.metrics.gauge(kind, level as u64);
+        proxy.metrics.gauge(kind, level as u64);
     }
 }
 
-fn report_overdue(shared: &Shared, service: &super::service::Service) {
-    let overdue = service.overdue(shared.now());
+fn report_overdue(proxy: &Proxy, service: &super::service::Service) {
+    let overdue = service.overdue(proxy.now());
     let stuck = overdue.iter().map(|(_, ages)| ages.len()).sum();
-    service.compensate_stuck(shared.now(), stuck);
+    service.compensate_stuck(proxy.now(), stuck);
     for (upstream, ages) in overdue {
-        shared.try_notify(node::Input::Overdue(service.name.clone(), upstream, ages));
+        proxy.try_notify(node::Input::Overdue(service.name.clone(), upstream, ages));
     }
 }
--- a/src/node/traffic/rate_limiter.rs
+++ b/src/node/traffic/rate_limiter.rs
@@ -22,7 +22,7 @@
 use crate::quota::Terms;
 use crate::team::Team;
 
-use super::Shared;
+use super::Proxy;
 
 /// Longest wait between checks, so that the loop notices when the process stops.
 const MAX_WAIT: Duration = Duration::from_secs(5);
@@ -57,7 +57,7 @@
     /// control has to grant more quota first. `None` for a team without a limit.
     pub(super) async fn acquire(
         self: &Arc<Self>,
-        shared: &Shared,
+        proxy: &Proxy,
         team: &Team,
         number: ConfigNumber,
         budget: Duration,
@@ -65,9 +65,9 @@
         let Some(limit) = team.limit else { return Ok(None) };
         let most = self.terms.most(limit);
         let subject = Subject::Team(team.name.clone());
-        let wait_until = shared.now() + Meter::patience(budget);
+        let wait_until = proxy.now() + Meter::patience(budget);
         loop {
-            let now = shared.now();
+            let now = proxy.now();
             let (taken, answered) = self.take(now, &subject, number, most);
             match taken {
                 Take::Passed(at) => {
@@ -142,10 +142,10 @@
 }
 
 /// Requests quota from control whenever that is due, until the process stops.
-pub(in crate::node) async fn renew_quota(shared: Arc<Shared>) {
-    let rate_limiter = Arc::clone(&shared.rate_limiter);
-    while !shared.done.is_closed() {
-        let now = shared.now();
+pub(in crate::node) async fn renew_quota(proxy: Arc<Proxy>) {
+    let rate_limiter = Arc::clone(&proxy.rate_limiter);
+    while !proxy.done.is_closed() {
+        let now = proxy.now();
         let ask = rate_limiter.meter().next(now);
         let Some(ask) = ask else {
             let due = rate_limiter.meter().wake().saturating_sub(now);
@@ -153,9 +153,9 @@
             continue;
         };
         let (sender, receiver) = bounded(1);
-        shared.try_notify(Input::Quota(ask, sender));
+        proxy.try_notify(Input::Quota(ask, sender));
         let Ok(Ok(grant)) = timeout(Meter::AGAIN, receiver.recv()).await else { continue };
-        rate_limiter.meter().grant(shared.now(), &grant);
+        rate_limiter.meter().grant(proxy.now(), &grant);
         for waiter in std::mem::take(&mut *rate_limiter.waiters()) {
             waiter.try_send(()).ok();
         }
--- a/src/node/traffic/relay.rs
+++ b/src/node/traffic/relay.rs
@@ -9,7 +9,7 @@
 use crate::node::Input;
 use crate::node::probe::is_draining;
 
-use super::Shared;
+use super::Proxy;
 use super::attempt::Attempt;
 use super::claims;
 use super::claims::Claim;
@@ -18,7 +18,7 @@
 /// Relays an answer. The upstream's success is recorded, and its connection reused, only after the
 /// whole answer has passed through.
 pub(super) async fn relay_answer(
-    shared: &Shared,
+    proxy: &Proxy,
     job: &Job,
     attempt: Attempt<'_>,
     mut answer: Answer,
@@ -26,7 +26,7 @@
     outlet: &mut Outlet,
 ) {
     let mut response = std::mem::replace(&mut answer.response, Response::new(200));
-    shared.count_bytes(response.body.len().unwrap_or_default());
+    proxy.count_bytes(response.body.len().unwrap_or_default());
     if let Some(claim) = claim {
         claim.end(claim_outcome(&mut response).await);
     }
@@ -35,7 +35,7 @@
     }
     if is_draining(&response) {
         let (service, upstream) = (job.service.clone(), attempt.upstream());
-        shared.try_notify(Input::Probed { draining: Some(true), healthy: true, service, upstream });
+        proxy.try_notify(Input::Probed { draining: Some(true), healthy: true, service, upstream });
     }
     let failed = response.status >= 500;
     outlet.send(response).await.ok();
@@ -47,7 +47,7 @@
     let address = attempt.address();
     attempt.finish(kind, job.terms.long);
     if let Some(connection) = answer.release() {
-        shared.pool.put(address, connection);
+        proxy.pool.put(address, connection);
     }
 }
 
--- a/src/node/traffic/reservation.rs
+++ b/src/node/traffic/reservation.rs
@@ -9,7 +9,7 @@
 use crate::node::view;
 
 use super::Observation;
-use super::Shared;
+use super::Proxy;
 use super::Trial;
 use super::service::Service;
 
@@ -18,7 +18,7 @@
     pub(super) address: SocketAddr,
     ended: bool,
     service: &'a Service,
-    shared: &'a Shared,
+    proxy: &'a Proxy,
     ticket: Ticket,
     trial: Option<Trial>,
     pub(super) upstream: UpstreamId,
@@ -27,31 +27,31 @@
 impl<'a> Reservation<'a> {
     /// Reserves a slot at a usable upstream; `None` if there is none.
     pub(super) fn take(
-        shared: &'a Shared,
+        proxy: &'a Proxy,
         service: &'a Service,
         view: &view::Service,
         avoid: &[UpstreamId],
         long: bool,
     ) -> Option<Self> {
-        let pick = service.pick(shared.now(), view, avoid, long)?;
-        Self::at(shared, service, view, pick)
+        let pick = service.pick(proxy.now(), view, avoid, long)?;
+        Self::at(proxy, service, view, pick)
     }
 
     /// Reserves a slot at an upstream that is due for a trial request.
     pub(super) fn take_trial(
-        shared: &'a Shared,
+        proxy: &'a Proxy,
         service: &'a Service,
         view: &view::Service,
         is_repeatable: bool,
     ) -> Option<Self> {
-        let pick = service.pick_trial(shared.now(), view, is_repeatable)?;
-        let mut reservation = Self::at(shared, service, view, pick)?;
+        let pick = service.pick_trial(proxy.now(), view, is_repeatable)?;
+        let mut reservation = Self::at(proxy, service, view, pick)?;
         reservation.trial = Some(Trial { is_repeatable });
         Some(reservation)
     }
 
     fn at(
-        shared: &'a Shared,
+        proxy: &'a Proxy,
         service: &'a Service,
         view: &view::Service,
         pick: Pick,
@@ -61,7 +61,7 @@
             address: address.unwrap_or_else(|| SocketAddr::from(([0, 0, 0, 0], 0))),
             ended: false,
             service,
-            shared,
+            proxy,
             ticket: pick.ticket,
             trial: None,
             upstream: pick.upstream,
@@ -78,14 +78,14 @@
         }
         let service = self.service.name.clone();
         let upstream = self.upstream.clone();
-        self.shared.observe(Observation { kind, latency, service, trial: self.trial, upstream });
+        self.proxy.observe(Observation { kind, latency, service, trial: self.trial, upstream });
     }
 
     fn give_back(&mut self, kind: health::Kind, latency: Duration) {
         if !self.ended {
             self.ended = true;
             let finish = Finish { kind, latency, report: None };
-            self.service.finish(self.shared.now(), self.ticket, finish);
+            self.service.finish(self.proxy.now(), self.ticket, finish);
         }
     }
 }
--- a/src/node/traffic/round_trip.rs
+++ b/src/node/traffic/round_trip.rs
@@ -10,7 +10,7 @@
 use crate::exchange::Limits;
 use crate::exchange::Request;
 
-use super::Shared;
+use super::Proxy;
 
 /// Longest wait between two bytes of an answer body.
 const BODY_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
@@ -26,29 +26,29 @@
     /// Sends a request to the upstream at `address`, with `left` time for all of it. Dropping the
     /// future closes the connection, which cancels the work.
     pub(super) async fn run(
-        shared: &Shared,
+        proxy: &Proxy,
         request: Request,
         address: SocketAddr,
         idempotent: bool,
         left: Duration,
     ) -> Self {
         let started = Instant::now();
-        let sending = send(shared, request, address, idempotent, left);
+        let sending = send(proxy, request, address, idempotent, left);
         let result = timeout(left, sending).await.unwrap_or(Err(Failure::Expired(left)));
         Self { result, latency: started.elapsed() }
     }
 }
 
 async fn send(
-    shared: &Shared,
+    proxy: &Proxy,
     request: Request,
     address: SocketAddr,
     idempotent: bool,
     left: Duration,
 ) -> Result<Answer, Failure> {
-    let connection = acquire_connection(shared, address, idempotent, left).await?;
-    let first_byte = shared.settings.limits.first_byte.min(left);
-    let connect = shared.settings.limits.connect;
+    let connection = acquire_connection(proxy, address, idempotent, left).await?;
+    let first_byte = proxy.settings.limits.first_byte.min(left);
+    let connect = proxy.settings.limits.connect;
     connection.ask(request, Limits { connect, first_byte, idle: BODY_IDLE_TIMEOUT }).await
 }
 
@@ -57,14 +57,14 @@
 /// connection that was idle for longer: a request sent on it is lost, and nobody can tell whether
 /// it ran.
 async fn acquire_connection(
-    shared: &Shared,
+    proxy: &Proxy,
     address: SocketAddr,
     idempotent: bool,
     left: Duration,
 ) -> Result<Leg, Failure> {
-    let max_idle = if idempotent { Duration::MAX } else { shared.settings.limits.proven };
-    if let Some(connection) = shared.pool.take(address, max_idle).await {
+    let max_idle = if idempotent { Duration::MAX } else { proxy.settings.limits.proven };
+    if let Some(connection) = proxy.pool.take(address, max_idle).await {
         return Ok(connection);
     }
-    Leg::dial(address, shared.settings.limits.connect.min(left)).await
+    Leg::dial(address, proxy.settings.limits.connect.min(left)).await
 }
--- a/src/node/traffic/serve.rs
+++ b/src/node/traffic/serve.rs
@@ -31,7 +31,7 @@
 use crate::team::Team;
 
 use super::DIRECTORY_PATH;
-use super::Shared;
+use super::Proxy;
 use super::attempts::caller_gone;
 use super::dispatch;
 use super::job::Job;
@@ -53,33 +53,28 @@
 }
 
 /// Serves one request.
-pub(super) async fn serve(
-    shared: &Shared,
-    request: Request,
-    outlet: &mut Outlet,
-    peer: SocketAddr,
-) {
-    shared.metrics.count("request");
+pub(super) async fn serve(proxy: &Proxy, request: Request, outlet: &mut Outlet, peer: SocketAddr) {
+    proxy.metrics.count("request");
     if request.path() == DIRECTORY_PATH {
-        let response = list_entries(shared, &request, peer);
+        let response = list_entries(proxy, &request, peer);
         return respond_unread(&request, response, outlet).await;
     }
-    shared.count_arrival();
-    shared.count_bytes(request.body.len().unwrap_or_default());
-    let received_at = shared.now();
-    if !wait_for_configuration(shared, &request, outlet, peer).await {
+    proxy.count_arrival();
+    proxy.count_bytes(request.body.len().unwrap_or_default());
+    let received_at = proxy.now();
+    if !wait_for_configuration(proxy, &request, outlet, peer).await {
         return;
     }
-    let view = shared.view.load_full();
+    let view = proxy.view.load_full();
     let has_body = !request.body.is_empty();
-    match accept(shared, &view, request, peer, received_at).await {
-        Ok(job) => dispatch::dispatch(shared, &view, job, outlet).await,
+    match accept(proxy, &view, request, peer, received_at).await {
+        Ok(job) => dispatch::dispatch(proxy, &view, job, outlet).await,
         Err(refusal) => {
-            shared.metrics.count("request.refused");
+            proxy.metrics.count("request.refused");
             if has_body {
                 outlet.close_after();
             }
-            send(shared.boundary.refuse(&refusal), outlet).await;
+            send(proxy.boundary.refuse(&refusal), outlet).await;
         }
     }
 }
@@ -87,17 +82,17 @@
 /// Waits for the first configuration, for as long as the caller has time. Returns whether the
 /// caller is still connected.
 async fn wait_for_configuration(
-    shared: &Shared,
+    proxy: &Proxy,
     request: &Request,
     outlet: &Outlet,
     peer: SocketAddr,
 ) -> bool {
-    if shared.view.load().serves() {
+    if proxy.view.load().serves() {
         return true;
     }
-    let budget = shared.boundary.call(request, peer.ip()).budget.unwrap_or(DEFAULT_BUDGET);
-    let longest = Start::patience(shared.now(), budget);
-    let ready = shared.wait_until_ready(longest).fuse();
+    let budget = proxy.boundary.call(request, peer.ip()).budget.unwrap_or(DEFAULT_BUDGET);
+    let longest = Start::patience(proxy.now(), budget);
+    let ready = proxy.wait_until_ready(longest).fuse();
     let gone = caller_gone(!request.body.is_empty(), outlet).fuse();
     pin_mut!(gone, ready);
     select! {
@@ -120,10 +115,10 @@
     }
 }
 
-fn list_entries(shared: &Shared, request: &Request, peer: SocketAddr) -> Response {
+fn list_entries(proxy: &Proxy, request: &Request, peer: SocketAddr) -> Response {
     let named = request.query("caller");
-    let caller = named.unwrap_or_else(|| shared.unnamed_caller(peer.ip()));
-    match serde_json::to_string(&shared.entries(&caller)) {
+    let caller = named.unwrap_or_else(|| proxy.unnamed_caller(peer.ip()));
+    match serde_json::to_string(&proxy.entries(&caller)) {
         Ok(text) => Response::json(200, text),
         Err(error) => exchange::refuse(500, Outcome::NotRun, &error.to_string(), None),
     }
@@ -148,29 +143,29 @@
 }
 
 async fn accept(
-    shared: &Shared,
+    proxy: &Proxy,
     view: &View,
     request: Request,
     peer: SocketAddr,
     received_at: Moment,
 ) -> Result<Job, Refusal> {
-    let routing = route(shared, view, &request, peer);
+    let routing = route(proxy, view, &request, peer);
     if let Err(refusal) = &routing {
-        let id = shared.boundary.call(&request, peer.ip()).id;
+        let id = proxy.boundary.call(&request, peer.ip()).id;
         let path = request.path();
         let number = view.number;
         let Refusal { reason, status, .. } = refusal;
         tracing::info!(target: "hemlockfield::request", id = id.as_deref(), number, path, status, "{reason}");
     }
     let routing = routing?;
-    let charge = charge_team(shared, view, &routing).await;
+    let charge = charge_team(proxy, view, &routing).await;
     if let Err(Refusal { reason, status, .. }) = &charge {
         let (id, number) = (routing.call.id.as_deref(), view.number);
         let rule = &routing.rule;
         tracing::info!(target: "hemlockfield::request", id, number, %rule, status, "{reason}");
     }
     let charge = charge?;
-    let built = build_job(shared, request, routing, received_at).await;
+    let built = build_job(proxy, request, routing, received_at).await;
     match (built, charge) {
         (Ok(job), charge) => Ok(Job { charge, ..job }),
         (Err(refusal), charge) => {
@@ -182,17 +177,17 @@
 
 /// Counts a request against its team's rate limit.
 async fn charge_team(
-    shared: &Shared,
+    proxy: &Proxy,
     view: &View,
     routing: &Routing,
 ) -> Result<Option<Charge>, Refusal> {
     let Some(team) = &routing.team else { return Ok(None) };
     let number = view.number.unwrap_or_default();
-    shared.rate_limiter.acquire(shared, team, number, routing.budget()).await
+    proxy.rate_limiter.acquire(proxy, team, number, routing.budget()).await
 }
 
 fn route(
-    shared: &Shared,
+    proxy: &Proxy,
     view: &View,
     request: &Request,
     peer: SocketAddr,
@@ -201,7 +196,7 @@
         let text = "this entry has no configuration yet; use another";
         return Err(Refusal::not_run(503, text, STARTUP_RETRY_AFTER));
     };
-    let call = shared.boundary.call(request, peer.ip());
+    let call = proxy.boundary.call(request, peer.ip());
     let asker = rules.teams().asker(call.key.as_ref());
     let rule_request = rule::Request {
         caller: &call.caller,
@@ -253,7 +248,7 @@
 }
 
 async fn build_job(
-    shared: &Shared,
+    proxy: &Proxy,
     mut request: Request,
     routing: Routing,
     received_at: Moment,
@@ -262,12 +257,12 @@
     let Routing { call, verified_team, rule, service, team, terms } = routing;
     let key = terms.key.as_ref().and_then(|header| request.header(header.as_str()));
     let key = key.map(Into::into);
-    let limits = &shared.settings.limits;
+    let limits = &proxy.settings.limits;
     let payload = Payload::take(&mut request, terms.body, limits.body_buffer, limits.idle).await;
     let payload =
         payload.map_err(|failure| Refusal::new(400, Outcome::NotRun, failure.to_string()))?;
     clean_request(&mut request);
-    let (ticket, generated_id) = shared.next_request();
+    let (ticket, generated_id) = proxy.next_request();
     Ok(Job {
         caller: call.caller,
         deadline,
