--- a/src/node/traffic/proxy.rs
+++ b/src/node/traffic/proxy.rs
@@ -279,7 +279,7 @@
         self.drain.1.recv().await.ok();
     }
 
-    /// Waits until idle connections may close.
+    /// Waits until connections may close.
     pub(super) async fn closed(&self) {
         self.closed.1.recv().await.ok();
     }
--- a/src/node/traffic/serve.rs
+++ b/src/node/traffic/serve.rs
@@ -79,8 +79,8 @@
     }
 }
 
-/// Waits for the first configuration, for as long as the caller has time. Returns whether the
-/// caller is still connected.
+/// Waits for the first configuration, as long as the request could still be served in time.
+/// Returns whether the caller is still connected.
 async fn wait_for_configuration(
     proxy: &Proxy,
     request: &Request,
--- a/src/node/traffic/service.rs
+++ b/src/node/traffic/service.rs
@@ -32,8 +32,7 @@
 /// Ratio of concurrent requests admitted by all entries together to the slots of all upstreams.
 /// Callers spread unevenly over entries, and an entry must not refuse what upstreams have room
 /// for. If all entries are full, two requests per slot wait at each upstream, half of what its own
-/// queue holds. Mean value of the served requests: 0.483 at 1.5, 0.502 at 2, 0.527 at 3, 0.512 at
-/// 5.
+/// queue holds. Mean value served: 0.483 at a ratio of 1.5, 0.502 at 2, 0.527 at 3, 0.512 at 5.
 const OVERCOMMIT: f64 = 3.0;
 /// Least slots of an entry: with fewer, one long request blocks all others.
 const MIN_SLOTS: usize = 4;
