--- a/src/node/traffic/listener.rs
+++ b/src/node/traffic/listener.rs
@@ -16,19 +16,19 @@
 use crate::exchange::RequestReader;
 use crate::runtime;
 
-use super::Shared;
+use super::Proxy;
 use super::serve;
 
-/// Pause after a failed accept, as when file descriptors have run out.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Pause after a failed accept, for example when file descriptors have run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Accepts callers until the process may stop serving.
-pub(in crate::node) async fn listen(listener: TcpListener, shared: Arc<Shared>) {
+/// Accepts connections of callers until the process stops serving.
+pub(in crate::node) async fn listen(listener: TcpListener, proxy: Arc<Proxy>) {
     loop {
         let accepted = {
             let accept = listener.accept().fuse();
-            let done = shared.done.recv().fuse();
-            let closed = shared.closed().fuse();
+            let done = proxy.done.recv().fuse();
+            let closed = proxy.closed().fuse();
             pin_mut!(accept, closed, done);
             select! {
                 accepted = accept => accepted,
@@ -38,45 +38,46 @@
         };
         match accepted {
             Ok((stream, peer)) => {
-                runtime::spawn(guarded(stream, peer, Arc::clone(&shared)));
+                runtime::spawn(serve_isolated(stream, peer, Arc::clone(&proxy)));
             }
             Err(error) => {
-                tracing::warn!(target: "hemlockfield::exchange", "can't accept: {error}");
-                task::sleep(PAUSE).await;
+                tracing::warn!(target: "hemlockfield::exchange", "can't accept a connection: {error}");
+                task::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Serves one connection. A fault of ours in one must not take others with it.
-async fn guarded(stream: TcpStream, peer: SocketAddr, shared: Arc<Shared>) {
-    let open = shared.connections.fetch_add(1, Ordering::AcqRel);
+/// Serves one connection. A panic in it must not affect other connections.
+async fn serve_isolated(stream: TcpStream, peer: SocketAddr, proxy: Arc<Proxy>) {
+    let open = proxy.connections.fetch_add(1, Ordering::AcqRel);
     let reader = RequestReader::new(stream, peer);
-    let served = if open < shared.settings.limits.connections {
-        AssertUnwindSafe(connection(reader, &shared)).catch_unwind().await
+    let served = if open < proxy.settings.limits.connections {
+        AssertUnwindSafe(serve_connection(reader, &proxy)).catch_unwind().await
     } else {
-        AssertUnwindSafe(too_many(reader)).catch_unwind().await
+        AssertUnwindSafe(reject_connection(reader)).catch_unwind().await
     };
     if served.is_err() {
-        shared.metrics.count("exchange.panicked");
-        tracing::error!(target: "hemlockfield::exchange", "connection of `{peer}` panicked");
+        proxy.metrics.count("exchange.panicked");
+        tracing::error!(target: "hemlockfield::exchange", "task of the connection from `{peer}` panicked");
     }
-    shared.connections.fetch_sub(1, Ordering::AcqRel);
+    proxy.connections.fetch_sub(1, Ordering::AcqRel);
 }
 
-async fn too_many(mut reader: RequestReader) {
+async fn reject_connection(mut reader: RequestReader) {
     reader.reject(&Error::Connections).await;
 }
 
-async fn connection(mut reader: RequestReader, shared: &Arc<Shared>) {
-    let limits = &shared.settings.limits;
+async fn serve_connection(mut reader: RequestReader, proxy: &Arc<Proxy>) {
+    let limits = &proxy.settings.limits;
     loop {
-        let told = shared.view.load().rules.as_ref().map(|rules| rules.limits());
-        let told = told.unwrap_or_default();
-        reader.set_max_head_bytes(told.head.unwrap_or(limits.head as usize));
+        let rule_limits = proxy.view.load().rules.as_ref().map(|rules| rules.limits());
+        let rule_limits = rule_limits.unwrap_or_default();
+        reader.set_max_head_bytes(rule_limits.head.unwrap_or(limits.head as usize));
         let readable = {
-            let readable = timeout(told.idle.unwrap_or(limits.idle), reader.readable()).fuse();
-            let closing = shared.closed().fuse();
+            let readable =
+                timeout(rule_limits.idle.unwrap_or(limits.idle), reader.readable()).fuse();
+            let closing = proxy.closed().fuse();
             pin_mut!(readable, closing);
             select! {
                 readable = readable => readable.is_ok(),
@@ -86,16 +87,16 @@
         if !readable {
             return;
         }
-        let _in_flight = InFlight::new(shared);
+        let _in_flight = InFlight::new(proxy);
         let Some((request, mut writer)) =
-            reader.next(told.head_time.unwrap_or(limits.head_time)).await
+            reader.next(rule_limits.head_time.unwrap_or(limits.head_time)).await
         else {
             return;
         };
-        if shared.closing.load(Ordering::Acquire) {
+        if proxy.closing.load(Ordering::Acquire) {
             writer.close_after();
         }
-        serve::serve(shared, request, &mut writer, reader.peer()).await;
+        serve::serve(proxy, request, &mut writer, reader.peer()).await;
         if writer.is_closing() {
             reader.linger().await;
             return;
@@ -103,13 +104,13 @@
     }
 }
 
-/// Counts a request as in flight until it is dropped.
-struct InFlight<'a>(&'a Shared);
+/// Counts a request as in flight until dropped.
+struct InFlight<'a>(&'a Proxy);
 
 impl<'a> InFlight<'a> {
-    fn new(shared: &'a Shared) -> Self {
-        shared.in_flight.fetch_add(1, Ordering::AcqRel);
-        Self(shared)
+    fn new(proxy: &'a Proxy) -> Self {
+        proxy.in_flight.fetch_add(1, Ordering::AcqRel);
+        Self(proxy)
     }
 }
 
--- a/src/node/traffic/place.rs
+++ b/src/node/traffic/reservation.rs
@@ -8,69 +8,69 @@
 use crate::id::UpstreamId;
 use crate::node::view;
 
-use super::Noted;
-use super::Shared;
+use super::Observation;
+use super::Proxy;
 use super::Trial;
 use super::service::Service;
 
-/// A request's place at an upstream; given back, at the latest when it is dropped.
-pub(super) struct Place<'a> {
+/// A reserved slot at an upstream, released at the latest when dropped.
+pub(super) struct Reservation<'a> {
     pub(super) address: SocketAddr,
     ended: bool,
     service: &'a Service,
-    shared: &'a Shared,
+    proxy: &'a Proxy,
     ticket: Ticket,
     trial: Option<Trial>,
     pub(super) upstream: UpstreamId,
 }
 
-impl<'a> Place<'a> {
-    /// Takes a place at an upstream that can serve, if one is free.
+impl<'a> Reservation<'a> {
+    /// Reserves a slot at a usable upstream; `None` if there is none.
     pub(super) fn take(
-        shared: &'a Shared,
+        proxy: &'a Proxy,
         service: &'a Service,
         view: &view::Service,
         avoid: &[UpstreamId],
         long: bool,
     ) -> Option<Self> {
-        let pick = service.pick(shared.now(), view, avoid, long)?;
-        Self::at(shared, service, view, pick)
+        let pick = service.pick(proxy.now(), view, avoid, long)?;
+        Self::at(proxy, service, view, pick)
     }
 
-    /// A place at an upstream that is to be tried.
+    /// Reserves a slot at an upstream that is due for a trial request.
     pub(super) fn take_trial(
-        shared: &'a Shared,
+        proxy: &'a Proxy,
         service: &'a Service,
         view: &view::Service,
         is_repeatable: bool,
     ) -> Option<Self> {
-        let pick = service.pick_trial(shared.now(), view, is_repeatable)?;
-        let mut place = Self::at(shared, service, view, pick)?;
-        place.trial = Some(Trial { is_repeatable });
-        Some(place)
+        let pick = service.pick_trial(proxy.now(), view, is_repeatable)?;
+        let mut reservation = Self::at(proxy, service, view, pick)?;
+        reservation.trial = Some(Trial { is_repeatable });
+        Some(reservation)
     }
 
     fn at(
-        shared: &'a Shared,
+        proxy: &'a Proxy,
         service: &'a Service,
         view: &view::Service,
         pick: Pick,
     ) -> Option<Self> {
         let address = view.addresses.get(&pick.upstream).copied();
-        let place = Self {
+        let reservation = Self {
             address: address.unwrap_or_else(|| SocketAddr::from(([0, 0, 0, 0], 0))),
             ended: false,
             service,
-            shared,
+            proxy,
             ticket: pick.ticket,
             trial: None,
             upstream: pick.upstream,
         };
-        address.map(|_| place)
+        address.map(|_| reservation)
     }
 
-    /// Gives the place back, and tells the judge what it showed of the upstream. A job
-    /// whose length is the caller's doing shows nothing by its latency.
+    /// Releases the slot and reports the outcome to outlier detection. A success of a long job is
+    /// not reported, because its latency depends on the caller's request.
     pub(super) fn end(mut self, kind: health::Kind, latency: Duration, long: bool) {
         self.give_back(kind, latency);
         if kind == health::Kind::Success && long {
@@ -78,20 +78,20 @@
         }
         let service = self.service.name.clone();
         let upstream = self.upstream.clone();
-        self.shared.note(Noted { kind, latency, service, trial: self.trial, upstream });
+        self.proxy.observe(Observation { kind, latency, service, trial: self.trial, upstream });
     }
 
     fn give_back(&mut self, kind: health::Kind, latency: Duration) {
         if !self.ended {
             self.ended = true;
             let finish = Finish { kind, latency, report: None };
-            self.service.finish(self.shared.now(), self.ticket, finish);
+            self.service.finish(self.proxy.now(), self.ticket, finish);
         }
     }
 }
 
-impl Drop for Place<'_> {
-    /// What was given up midway says nothing about the upstream.
+impl Drop for Reservation<'_> {
+    /// An attempt that was cancelled says nothing about the upstream, so nothing is reported.
     fn drop(&mut self) {
         self.give_back(health::Kind::Timeout, Duration::ZERO);
     }
