--- a/src/exchange/socket.rs
+++ b/src/exchange/socket.rs
@@ -81,7 +81,7 @@
         state.split_to(count)
     }
 
-    /// Takes the next line from the buffer, without its line end, if it is there as a whole.
+    /// Takes the next line from the buffer, without its line end, if all of it is there.
     pub(super) fn take_line(&self) -> Option<Bytes> {
         let mut state = self.lock();
         let end = state.buffer.iter().position(|byte| *byte == b'\n')?;
@@ -159,6 +159,8 @@
         &self.stream
     }
 
+    /// Takes the next head from the buffer if all of it is there. The first `scanned` bytes were
+    /// checked by earlier calls.
     fn take_head(&self, scanned: &mut usize, limit: usize) -> Result<Option<Bytes>, Error> {
         let mut state = self.lock();
         let from = scanned.saturating_sub(HEAD_END.len() - 1);
--- a/src/rule/class.rs
+++ b/src/rule/class.rs
@@ -36,8 +36,8 @@
     pub(super) fn read(tree: &Tree, mistakes: &Mistakes) -> Option<Self> {
         let fields = Fields::open(tree, mistakes, &["name", "wait", "weight"])?;
         let name = fields.required::<CompactString>("name");
-        let max = Duration::from_secs(60);
-        let wait = fields.ranged("wait", DEFAULT_WAIT, &Duration::ZERO, &max);
+        let max_wait = Duration::from_secs(60);
+        let wait = fields.ranged("wait", DEFAULT_WAIT, &Duration::ZERO, &max_wait);
         let weight = fields.ranged("weight", DEFAULT_WEIGHT, &1, &1_000);
         Some(Self { name: name?, wait, weight })
     }
--- a/src/rule/request.rs
+++ b/src/rule/request.rs
@@ -14,7 +14,7 @@
     pub method: &'a str,
     /// Path without query. It must contain no `.` or `..` segment and no escaped slash:
     /// an upstream may interpret such a path as a different one from the path that the
-    /// rule matched.
+    /// rule matched. The exchange refuses escaped slashes before rules are applied.
     pub path: &'a str,
     /// Team that the API key belongs to, if the request has a valid one.
     pub team: Option<&'a TeamId>,
--- a/src/rule/service.rs
+++ b/src/rule/service.rs
@@ -40,7 +40,7 @@
         let allowed =
             ["connections", "floor", "not_run", "probe", "sensitivity", "slots", "warm_up"];
         let fields = Fields::open(tree, mistakes, &allowed)?;
-        let max = Duration::from_secs(3600);
+        let max_warm_up = Duration::from_secs(3600);
         let not_run = fields.tree("not_run").and_then(|tree| NotRunSignal::read(tree, mistakes));
         let probe = fields.tree("probe").and_then(|tree| Probe::read(tree, mistakes));
         Some(Self {
@@ -50,7 +50,7 @@
             probe: probe.unwrap_or_default(),
             sensitivity: fields.or("sensitivity", DEFAULT_SENSITIVITY).0,
             slots: read_count(&fields, "slots"),
-            warm_up: fields.ranged("warm_up", DEFAULT_WARM_UP, &Duration::ZERO, &max),
+            warm_up: fields.ranged("warm_up", DEFAULT_WARM_UP, &Duration::ZERO, &max_warm_up),
         })
     }
 }
--- a/src/rule/split.rs
+++ b/src/rule/split.rs
@@ -47,7 +47,7 @@
 
 impl Split {
     /// Creates a split with a single service.
-    pub fn whole(service: ServiceId) -> Self {
+    pub fn single(service: ServiceId) -> Self {
         Self { parts: vec![Portion { service, weight: 1.0 }] }
     }
 
@@ -81,7 +81,7 @@
     pub(super) fn read(tree: &Tree, mistakes: &Mistakes) -> Option<Self> {
         let fields = Fields::open(tree, mistakes, &["service", "split"])?;
         if fields.tree("split").is_none() {
-            return fields.required::<CompactString>("service").map(Self::whole);
+            return fields.required::<CompactString>("service").map(Self::single);
         }
         if fields.tree("service").is_some() {
             let text = "write `service` or `split`, not both";
