--- a/src/node/traffic/listener.rs
+++ b/src/node/traffic/listener.rs
@@ -41,7 +41,7 @@
                 runtime::spawn(serve_isolated(stream, peer, Arc::clone(&proxy)));
             }
             Err(error) => {
-                tracing::warn!(target: "hemlockfield::exchange", "can't accept a connection: {error}");
+                tracing::warn!(target: "hemlockfield::exchange", "accept failed: {error}");
                 task::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
@@ -59,7 +59,7 @@
     };
     if served.is_err() {
         proxy.metrics.count("exchange.panicked");
-        tracing::error!(target: "hemlockfield::exchange", "task of the connection from `{peer}` panicked");
+        tracing::error!(target: "hemlockfield::exchange", "connection of `{peer}` panicked");
     }
     proxy.connections.fetch_sub(1, Ordering::AcqRel);
 }
--- a/src/node/traffic/proxy.rs
+++ b/src/node/traffic/proxy.rs
@@ -81,8 +81,8 @@
     pub(in crate::node) open_claims: AtomicUsize,
     /// Whether each connection closes after its current request.
     pub(in crate::node) closing: AtomicBool,
-    leaving: Mutex<Option<Moment>>,
-    poll_request: (Sender<()>, Receiver<()>),
+    leaving_since: Mutex<Option<Moment>>,
+    poll_signal: (Sender<()>, Receiver<()>),
     lost_outcomes: AtomicU64,
     pub(in crate::node) metrics: Metrics,
     next_request: AtomicU64,
@@ -122,8 +122,8 @@
             arrivals: AtomicU32::new(0),
             bytes: AtomicU64::new(0),
             in_flight: AtomicUsize::new(0),
-            leaving: Mutex::default(),
-            poll_request: bounded(1),
+            leaving_since: Mutex::default(),
+            poll_signal: bounded(1),
             lost_outcomes: AtomicU64::new(0),
             metrics,
             open_claims: AtomicUsize::new(0),
@@ -254,7 +254,7 @@
 
     /// Starts to drain the process.
     pub(in crate::node) fn request_drain(&self) {
-        let mut leaving = self.leaving.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut leaving = self.leaving_since.lock().unwrap_or_else(PoisonError::into_inner);
         leaving.get_or_insert(self.now());
         drop(leaving);
         self.rate_limiter.leave(self.now());
@@ -266,12 +266,12 @@
 
     /// Requests that the queues are polled soon.
     pub(super) fn request_poll(&self) {
-        self.poll_request.0.try_send(()).ok();
+        self.poll_signal.0.try_send(()).ok();
     }
 
     /// Waits until the queues must be polled, at most `longest`.
     pub(super) async fn wait_for_poll(&self, longest: Duration) {
-        timeout(longest, self.poll_request.1.recv()).await.ok();
+        timeout(longest, self.poll_signal.1.recv()).await.ok();
     }
 
     /// Waits until a drain is requested.
@@ -314,7 +314,7 @@
 
     /// Time since the drain was requested.
     fn leaving_for(&self) -> Option<Duration> {
-        let since = *self.leaving.lock().unwrap_or_else(PoisonError::into_inner);
+        let since = *self.leaving_since.lock().unwrap_or_else(PoisonError::into_inner);
         since.map(|since| self.now().saturating_sub(since))
     }
 
--- a/src/node/traffic/relay.rs
+++ b/src/node/traffic/relay.rs
@@ -65,7 +65,7 @@
             claims::outcome(response, Some(&bytes))
         }
         Err(error) => {
-            tracing::warn!(target: "hemlockfield::claim", "can't keep the answer for resends: {error}");
+            tracing::warn!(target: "hemlockfield::claim", "can't keep the answer: {error}");
             claims::outcome(response, None)
         }
     }
--- a/tests/suite/entry/refusals.rs
+++ b/tests/suite/entry/refusals.rs
@@ -31,8 +31,8 @@
 }
 
 // A caller that lost the answer resends its request with the same idempotency key. It gets the
-// first answer, marked as replayed, and the request runs once. The same key with a different body is
-// refused.
+// first answer, marked as replayed, and the request runs once. The same key with a different body
+// is refused.
 #[test]
 fn post_resent() {
     block_on(async {
