--- a/src/health.rs
+++ b/src/health.rs
@@ -1,26 +1,26 @@
-//! Detection and ejection of gray upstreams, never below the floor.
+//! Detection and ejection of gray upstreams, within a floor on the capacity that stays.
 //!
-//! **Load pattern.** Upstreams fail in part: slow, erring, cutting answers
-//! short, silent, healthy by their own report, or good and bad by turns. Many
-//! entries each see a few requests a second of any one upstream.
+//! **Load pattern.** Upstreams fail partially: slow, returning errors, truncating
+//! answers, silent, healthy by their own report, or flapping. Many entries each
+//! send a few requests a second to any one upstream.
 //!
 //! **Without it.** Counting consecutive errors misses partial errors and all
-//! slowness; a fixed latency threshold ejects the old but sound upstream and
-//! misses the fast one that became ten times slower.
+//! slowness. A fixed latency threshold ejects an upstream that is old but sound,
+//! and misses a fast one that became ten times slower.
 //!
-//! **Grounds.** Every outcome is a step of a sequential test (CUSUM of
-//! log-likelihood ratios, in nats) against the upstream's own past, corrected by
-//! what its peers do at the same moment. Steps add up over entries, so that
-//! [`Digest`]s of a few bytes let entries convict together. Figures and the ways
-//! weighed stand in `docs/design/health.md`.
+//! **How.** Every outcome is a step of a sequential test (CUSUM of log-likelihood
+//! ratios, in nats) against the upstream's own baseline, corrected by what its
+//! peers do at the same moment. Steps add up over entries, so that entries detect
+//! a gray upstream together by exchanging [`Digest`]s of a few bytes. The
+//! alternatives and measurements are in `docs/design/health.md`.
 
-mod aspect;
+mod backoff;
 mod baseline;
-mod case;
+mod counters;
 mod digest;
 mod evidence;
+mod fault;
 mod floor;
-mod hold;
 mod input;
 mod judge;
 mod kind;
@@ -28,9 +28,9 @@
 mod output;
 mod peers;
 mod reason;
-mod recent;
 mod record;
 mod setup;
+mod suspicion;
 mod verdict;
 
 pub use baseline::Baseline;
--- a/src/health/recent.rs
+++ b/src/health/counters.rs
@@ -2,9 +2,9 @@
 
 use crate::clock::Moment;
 
-/// Outcomes of the last seconds, older ones fading out.
+/// Exponentially decaying counters of one upstream's recent outcomes.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Recent {
+pub(crate) struct Counters {
     answers: f64,
     at: Moment,
     excess: f64,
@@ -12,12 +12,12 @@
     outcomes: f64,
 }
 
-impl Recent {
-    /// Time constant: several outcomes at a few a second, and still fresh.
-    const FADE: Duration = Duration::from_secs(2);
+impl Counters {
+    /// Time constant of the decay: covers several outcomes at a few a second.
+    const TIME_CONSTANT: Duration = Duration::from_secs(2);
 
     pub(crate) fn add(&mut self, now: Moment, is_failure: bool, excess: Option<f64>) {
-        self.fade(now);
+        self.decay(now);
         self.outcomes += 1.0;
         if is_failure {
             self.failures += 1.0;
@@ -32,18 +32,18 @@
         self.answers
     }
 
-    /// Mean slowness beyond the own past.
+    /// Mean excess of the latency over the baseline, as a difference of logarithms.
     pub(crate) fn excess(&self) -> f64 {
         self.excess / self.answers.max(f64::EPSILON)
     }
 
-    pub(crate) fn fade(&mut self, now: Moment) {
+    pub(crate) fn decay(&mut self, now: Moment) {
         let passed = now.saturating_sub(self.at).as_secs_f64();
-        let keep = (-passed / Self::FADE.as_secs_f64()).exp();
-        self.answers *= keep;
-        self.excess *= keep;
-        self.failures *= keep;
-        self.outcomes *= keep;
+        let factor = (-passed / Self::TIME_CONSTANT.as_secs_f64()).exp();
+        self.answers *= factor;
+        self.excess *= factor;
+        self.failures *= factor;
+        self.outcomes *= factor;
         self.at = self.at.max(now);
     }
 
--- a/src/health/digest.rs
+++ b/src/health/digest.rs
@@ -4,26 +4,26 @@
 use crate::id::NodeId;
 use crate::id::UpstreamId;
 
-/// One entry's recent evidence on upstreams that somebody suspects.
+/// One entry's recent evidence on upstreams that some entry suspects.
 ///
-/// Sums are signed, and entries that see the upstream well send theirs too, or
-/// else only the unlucky would speak and a sound upstream be convicted by them.
+/// Sums are signed. Entries that get good answers from the upstream send theirs
+/// too: if only entries with failures reported, they would eject a sound upstream.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Digest {
-    /// Entry that saw it.
+    /// Entry that collected the evidence.
     pub from: NodeId,
-    /// One for each upstream in question.
+    /// One for each upstream.
     pub items: Vec<Item>,
 }
 
-/// Evidence on one upstream, in quarters of a nat, which travel as a byte or two
-/// each; positive speaks against it.
+/// Evidence on one upstream, in quarters of a nat, which take one or two bytes
+/// each when encoded. Positive values are evidence against the upstream.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Item {
-    /// Whether the sender puts the upstream in question, which asks the others for
-    /// theirs. The home entry may do so without having seen the upstream itself.
+    /// Whether the sender suspects the upstream and asks the others for their
+    /// evidence. The home entry may do so without having used the upstream itself.
     pub asks: bool,
-    /// Signed sums by aspect (failing, silent, slow) and by window, as in
+    /// Signed sums by fault (failing, silent, slow) and by window, in the order of
     /// [`crate::health::Evidence::WINDOWS`].
     pub sums: [[i16; 5]; 3],
     /// Upstream.
@@ -31,6 +31,6 @@
 }
 
 impl Item {
-    /// Units in a nat: fine enough that one success shows.
+    /// Units in a nat: fine enough that one success isn't rounded to zero.
     pub const UNITS: f64 = 4.0;
 }
--- a/src/health/evidence.rs
+++ b/src/health/evidence.rs
@@ -2,54 +2,54 @@
 
 use crate::clock::Moment;
 
-/// Running evidence against one upstream in one respect.
+/// Accumulated evidence that one upstream has one fault.
 ///
-/// A CUSUM for this entry alone, and signed sums over a few windows, which add
-/// up over entries.
+/// Holds a CUSUM for this entry alone, and signed sums over a few windows, which
+/// can be added up over entries.
 #[derive(Clone, Debug)]
 pub struct Evidence {
     buckets: [f32; Self::BUCKETS],
     /// Bucket of the last outcome, if any.
     last: Option<u64>,
     newest: u64,
-    sum: f64,
+    cusum: f64,
 }
 
 impl Evidence {
-    /// Buckets kept.
+    /// Number of buckets in the ring.
     const BUCKETS: usize = 64;
-    /// Most that the CUSUM holds, in nats: lets an upstream that recovered under
-    /// the floor lose its evidence within a few dozen successes.
-    const CEILING: f64 = 30.0;
+    /// Upper bound of the CUSUM, in nats. An upstream that the floor kept in
+    /// service and that recovers clears its evidence within a few dozen successes.
+    const MAX_CUSUM: f64 = 30.0;
     /// Length of a bucket.
-    const LENGTH: Duration = Duration::from_millis(250);
-    /// Windows, in buckets: the shortest finds a total failure at once, the
-    /// longest a partial one at a low rate.
+    const BUCKET_LENGTH: Duration = Duration::from_millis(250);
+    /// Windows, in buckets. The shortest detects a total failure fastest, the
+    /// longest a partial failure at a low request rate.
     pub const WINDOWS: [usize; 5] = [2, 4, 8, 16, 64];
 
-    /// Adds the log-likelihood ratio of one outcome.
+    /// Adds the log-likelihood ratio of one outcome, in nats.
     pub fn add(&mut self, now: Moment, step: f64) {
         self.roll(now);
-        self.sum = (self.sum + step).clamp(0.0, Self::CEILING);
+        self.cusum = (self.cusum + step).clamp(0.0, Self::MAX_CUSUM);
         let slot = Self::slot(self.newest);
         self.buckets[slot] += step as f32;
         self.last = Some(self.newest);
     }
 
-    /// Whether no outcome lies within the longest window.
+    /// Whether there was no outcome within the longest window.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.last.is_none_or(|last| last + Self::BUCKETS as u64 <= self.newest)
     }
 
-    /// Forgets everything.
+    /// Clears all sums; the current bucket's number stays.
     pub fn reset(&mut self) {
         *self = Self { newest: self.newest, ..Self::default() };
     }
 
-    /// Drops buckets that are too old.
+    /// Moves on to the bucket of `now` and clears the expired ones.
     pub fn roll(&mut self, now: Moment) {
-        let current = (now.as_millis() / Self::LENGTH.as_millis()) as u64;
+        let current = (now.as_millis() / Self::BUCKET_LENGTH.as_millis()) as u64;
         let passed = current.saturating_sub(self.newest).min(Self::BUCKETS as u64);
         for step in 1..=passed {
             let slot = Self::slot(current - passed + step);
@@ -60,11 +60,11 @@
 
     /// The CUSUM, in nats.
     #[must_use]
-    pub fn sum(&self) -> f64 {
-        self.sum
+    pub fn cusum(&self) -> f64 {
+        self.cusum
     }
 
-    /// Signed sums over [`Self::WINDOWS`].
+    /// Signed sums over [`Self::WINDOWS`], in nats.
     #[must_use]
     pub fn windows(&self) -> [f64; 5] {
         Self::WINDOWS.map(|length| self.window(length))
@@ -82,6 +82,6 @@
 
 impl Default for Evidence {
     fn default() -> Self {
-        Self { buckets: [0.0; Self::BUCKETS], last: None, newest: 0, sum: 0.0 }
+        Self { buckets: [0.0; Self::BUCKETS], last: None, newest: 0, cusum: 0.0 }
     }
 }
--- a/src/health/aspect.rs
+++ b/src/health/fault.rs
@@ -1,22 +1,24 @@
 use crate::health::Kind;
 use crate::health::Reason;
 
-/// A respect in which an upstream can be gray; each is tested by itself, as an
-/// upstream that errs fast would otherwise be cleared by its good latencies.
+/// A way in which an upstream can be gray.
+///
+/// Each is tested on its own: otherwise the low latencies of an upstream that
+/// returns errors quickly would offset the errors.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Aspect {
-    /// Answers that came and were no whole answers: the upstream's own doing.
+pub(crate) enum Fault {
+    /// Incomplete or error answers, which only the upstream itself can cause.
     Failing,
-    /// Nothing came, or no connection: the upstream's doing, or the path's.
+    /// No answer or no connection, caused by the upstream or by the network path.
     Silent,
-    /// Whole answers that came late.
+    /// Complete answers that are late.
     Slow,
 }
 
-impl Aspect {
+impl Fault {
     pub(crate) const ALL: [Self; 3] = [Self::Failing, Self::Silent, Self::Slow];
 
-    /// What a failure speaks to.
+    /// The fault that an outcome is evidence of, if any.
     pub(crate) fn of(kind: Kind) -> Option<Self> {
         match kind {
             Kind::ConnectFailed | Kind::Silent => Some(Self::Silent),
@@ -25,10 +27,10 @@
         }
     }
 
-    /// Shortest window that all entries' evidence is summed over. A pause of the
-    /// upstream fills half a second with late answers of all entries at once, and
-    /// less than half of a second.
-    pub(crate) fn shortest(self) -> usize {
+    /// Index of the shortest window over which the evidence of all entries is
+    /// summed. A pause of the upstream fills a half-second window with late
+    /// answers of all entries at once, but less than half of a one-second window.
+    pub(crate) fn shortest_window(self) -> usize {
         match self {
             Self::Failing | Self::Silent => 0,
             Self::Slow => 1,
--- a/src/health/floor.rs
+++ b/src/health/floor.rs
@@ -1,14 +1,14 @@
 use crate::health::Setup;
 use crate::health::record::Record;
 
-/// Capacity in service against what the operator wants to keep there.
+/// Capacity in service, compared with the minimum that the operator configured.
 ///
 /// Upstreams on trial don't count as in service: a trial that fails must not
 /// take the service below the floor.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Floor {
-    needed_count: usize,
-    needed_slots: u64,
+    required_count: usize,
+    required_slots: u64,
     serving_count: usize,
     serving_slots: u64,
 }
@@ -27,20 +27,21 @@
             }
         }
         let share = setup.floor_share.clamp(0.0, 1.0);
-        floor.needed_count = setup.floor_count.min(members);
-        floor.needed_slots = (share * slots as f64).ceil() as u64;
+        floor.required_count = setup.floor_count.min(members);
+        floor.required_slots = (share * slots as f64).ceil() as u64;
         floor
     }
 
-    /// Whether the floor holds when `leaver` goes and `joiner`, if any, comes.
-    pub(crate) fn allows(&self, leaver: &Record, joiner: Option<&Record>) -> bool {
-        let joined = joiner.map_or(0, |record| u64::from(record.slots()));
-        let count = self.serving_count + usize::from(joiner.is_some()) - 1;
-        let slots = self.serving_slots + joined - u64::from(leaver.slots());
-        count >= self.needed_count && slots >= self.needed_slots
+    /// Whether the floor would hold with `ejected` out of service and `replacement`,
+    /// if any, back in.
+    pub(crate) fn allows(&self, ejected: &Record, replacement: Option<&Record>) -> bool {
+        let added = replacement.map_or(0, |record| u64::from(record.slots()));
+        let count = self.serving_count + usize::from(replacement.is_some()) - 1;
+        let slots = self.serving_slots + added - u64::from(ejected.slots());
+        count >= self.required_count && slots >= self.required_slots
     }
 
     pub(crate) fn holds(&self) -> bool {
-        self.serving_count >= self.needed_count && self.serving_slots >= self.needed_slots
+        self.serving_count >= self.required_count && self.serving_slots >= self.required_slots
     }
 }
--- a/src/health/input.rs
+++ b/src/health/input.rs
@@ -8,21 +8,21 @@
 use crate::id::DomainId;
 use crate::id::UpstreamId;
 
-/// What a judge is told.
+/// Input of a [`crate::health::Judge`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Input {
     /// Another entry's recent evidence.
     Digest(Digest),
-    /// The upstream left; its past is forgotten and the floor checked at once.
+    /// An upstream left: its record is dropped and the floor is checked at once.
     Gone {
         /// Upstream that left.
         upstream: UpstreamId,
     },
-    /// An upstream was announced, or announced other figures.
+    /// An upstream was announced, or its slots or domain changed.
     Member {
-        /// Failure domain it runs in.
+        /// Failure domain that it runs in.
         domain: DomainId,
-        /// Requests it runs at once: the weight in the floor. Nought counts as one.
+        /// Requests it runs at once, its weight in the floor. 0 counts as 1.
         slots: u32,
         /// Upstream.
         upstream: UpstreamId,
@@ -31,27 +31,27 @@
     Outcome {
         /// How it ended.
         kind: Kind,
-        /// From the last byte of the request to the first byte of the answer.
-        /// Give no outcome for jobs whose length the caller decides.
+        /// Time from the last byte of the request to the first byte of the answer.
+        /// Report no outcome for jobs whose length the caller decides.
         latency: Duration,
         /// Upstream that it was sent to.
         upstream: UpstreamId,
     },
-    /// Ages of requests that still wait for a first byte, sent just before a
-    /// tick; replaces what an earlier one said.
+    /// Ages of the requests that still wait for their first byte, sent just before
+    /// a tick. Replaces the previous ages of this upstream.
     Pending {
-        /// Time each has waited.
+        /// Time that each has waited.
         ages: Vec<Duration>,
-        /// Upstream they were sent to.
+        /// Upstream that they were sent to.
         upstream: UpstreamId,
     },
-    /// The upstream's own word, which lags or misleads.
+    /// The upstream's health report about itself, which may lag or be wrong.
     Report {
-        /// What it says of itself.
+        /// Whether it reports itself healthy.
         healthy: bool,
         /// Upstream.
         upstream: UpstreamId,
     },
-    /// Time went on. Due every [`crate::health::Setup::TICK`].
+    /// Time has passed. Due every [`crate::health::Setup::TICK`].
     Tick,
 }
--- a/src/health/judge.rs
+++ b/src/health/judge.rs
@@ -16,7 +16,8 @@
 use crate::id::NodeId;
 use crate::id::UpstreamId;
 
-/// Judges the upstreams of one service, as one entry sees them.
+/// Monitors the health of one service's upstreams, as one entry sees them, and
+/// decides which of them to eject and readmit.
 #[derive(Clone, Debug)]
 pub struct Judge {
     name: NodeId,
@@ -24,23 +25,23 @@
     random: ChaCha8Rng,
     records: BTreeMap<UpstreamId, Record>,
     setup: Setup,
-    share_at: Moment,
-    tell_at: Moment,
+    next_share_at: Moment,
+    next_home_at: Moment,
 }
 
 impl Judge {
-    /// Badness by which an ejected upstream must be better to take the place of
-    /// one in service; less would swap equals back and forth.
-    const BETTER: f64 = 0.4;
-    /// Time between two digests while an upstream is in question, which is rare:
-    /// with ticks in between, detection would wait for both.
-    const SHARE: Duration = Setup::TICK;
-    /// Time between two words to an upstream's home.
-    const TELL: Duration = Duration::from_secs(1);
-    /// Share of bad upstreams from which the cause is taken to lie elsewhere.
-    const SHARED: f64 = 0.6;
+    /// Difference of severity by which an ejected upstream must be better to replace
+    /// one in service; a smaller one would swap equal upstreams back and forth.
+    const REPLACEMENT_MARGIN: f64 = 0.4;
+    /// Time between two digests to all entries. Sent at every tick, as detection
+    /// would otherwise wait for them; upstreams are rarely suspected.
+    const SHARE_INTERVAL: Duration = Setup::TICK;
+    /// Time between two digests to the home entries.
+    const HOME_INTERVAL: Duration = Duration::from_secs(1);
+    /// Share of suspect or ejected upstreams above which the cause must be shared.
+    const SHARED_CAUSE_RATIO: f64 = 0.6;
 
-    /// A judge in the entry `name`.
+    /// Creates a monitor in the entry `name`.
     #[must_use]
     pub fn new(name: NodeId, setup: Setup, random: ChaCha8Rng) -> Self {
         Self {
@@ -49,39 +50,39 @@
             random,
             records: BTreeMap::new(),
             setup,
-            share_at: Moment::ZERO,
-            tell_at: Moment::ZERO,
+            next_share_at: Moment::ZERO,
+            next_home_at: Moment::ZERO,
         }
     }
 
-    /// Takes one input at `now`; moments must not go back.
+    /// Handles one input at `now`, which must not go backwards.
     pub fn handle(&mut self, now: Moment, input: Input) -> Vec<Output> {
         let mut outputs = Vec::new();
         match input {
-            Input::Digest(digest) => self.hear(now, digest),
+            Input::Digest(digest) => self.merge(now, digest),
             Input::Gone { upstream } => {
                 self.records.remove(&upstream);
-                self.restore(now, &mut outputs);
+                self.restore_floor(now, &mut outputs);
             }
             Input::Member { slots, upstream, .. } => {
                 let record = self.records.entry(upstream).or_insert_with(|| Record::new(slots));
                 record.set_slots(slots);
-                self.restore(now, &mut outputs);
+                self.restore_floor(now, &mut outputs);
             }
             Input::Outcome { kind, latency, upstream } => {
                 if let Some(record) = self.records.get_mut(&upstream) {
-                    record.outcome(now, kind, latency, self.peers);
+                    record.add_outcome(now, kind, latency, self.peers);
                     record.learn(&self.setup, kind, latency);
                 }
             }
             Input::Pending { ages, upstream } => {
                 if let Some(record) = self.records.get_mut(&upstream) {
-                    record.pending(&self.setup, &ages, self.peers);
+                    record.set_pending(&self.setup, &ages, self.peers);
                 }
             }
             Input::Report { healthy, upstream } => {
                 if let Some(record) = self.records.get_mut(&upstream) {
-                    record.report(healthy);
+                    record.set_report(healthy);
                 }
             }
             Input::Tick => self.tick(now, &mut outputs),
@@ -89,15 +90,15 @@
         outputs
     }
 
-    /// Changes what the operator set.
+    /// Replaces the configuration.
     pub fn set_setup(&mut self, now: Moment, setup: Setup) -> Vec<Output> {
         let mut outputs = Vec::new();
         self.setup = setup;
-        self.restore(now, &mut outputs);
+        self.restore_floor(now, &mut outputs);
         outputs
     }
 
-    /// What is held of an upstream; an unknown one is sound.
+    /// Status of an upstream; an unknown one is sound.
     #[must_use]
     pub fn verdict(&self, upstream: &str) -> Verdict {
         match self.records.get(upstream) {
@@ -109,24 +110,24 @@
         }
     }
 
-    /// All upstreams with their verdicts, in order of name.
+    /// All upstreams with their statuses, sorted by name.
     pub fn verdicts(&self) -> impl Iterator<Item = (&UpstreamId, Verdict)> {
         self.records.keys().map(|upstream| (upstream, self.verdict(upstream)))
     }
 
-    /// Share of its usual work that an upstream should get.
+    /// Factor on the usual share of requests that an upstream should get.
     #[must_use]
     pub fn weight(&self, upstream: &str) -> f64 {
         self.verdict(upstream).weight()
     }
 
-    fn hear(&mut self, now: Moment, digest: Digest) {
+    fn merge(&mut self, now: Moment, digest: Digest) {
         if digest.from == self.name {
             return;
         }
         for item in digest.items {
             if let Some(record) = self.records.get_mut(&item.upstream) {
-                record.hear(now, &digest.from, item);
+                record.merge(now, &digest.from, item);
             }
         }
     }
@@ -137,42 +138,43 @@
         }
         self.peers = Peers::of(self.records.values());
         self.end_trials(now, outputs);
-        self.convict(now, outputs);
+        self.eject_detected(now, outputs);
         self.start_trials(now, outputs);
-        self.restore(now, outputs);
-        self.share(now, outputs);
-        self.tell(now, outputs);
+        self.restore_floor(now, outputs);
+        self.share_evidence(now, outputs);
+        self.send_home(now, outputs);
     }
 
-    /// Ejects those convicted for long enough, the worst first.
-    fn convict(&mut self, now: Moment, outputs: &mut Vec<Output>) {
-        let mut convicted = self.convicted(now);
-        convicted.sort_by(|(left, ..), (right, ..)| right.total_cmp(left));
-        for (_, upstream, reason) in convicted {
+    /// Ejects the upstreams with a detected fault, the most severe first.
+    fn eject_detected(&mut self, now: Moment, outputs: &mut Vec<Output>) {
+        let mut detected = self.detect(now);
+        detected.sort_by(|(left, ..), (right, ..)| right.total_cmp(left));
+        for (_, upstream, reason) in detected {
             let refusal = self.eject(now, &upstream, reason, outputs);
             if let Some(reason) = refusal
                 && let Some(record) = self.records.get_mut(&upstream)
-                && record.keep(reason)
+                && record.set_kept(reason)
             {
                 outputs.push(Output::Kept { reason, upstream });
             }
         }
     }
 
-    fn convicted(&mut self, now: Moment) -> Vec<(f64, UpstreamId, Reason)> {
-        let mut convicted = Vec::new();
+    /// The upstreams that have a detected fault, with its severity and reason.
+    fn detect(&mut self, now: Moment) -> Vec<(f64, UpstreamId, Reason)> {
+        let mut detected = Vec::new();
         for (upstream, record) in &mut self.records {
             if record.state() == Verdict::Ejected {
                 continue;
             }
-            if let Some(reason) = record.conviction(now, &self.setup) {
-                convicted.push((record.badness(), upstream.clone(), reason));
+            if let Some(reason) = record.detect(now, &self.setup) {
+                detected.push((record.severity(), upstream.clone(), reason));
             }
         }
-        convicted
+        detected
     }
 
-    /// Ejects one if it may go, and otherwise tells why it stays.
+    /// Ejects an upstream, or returns the reason why it has to stay in service.
     fn eject(
         &mut self,
         now: Moment,
@@ -182,15 +184,15 @@
     ) -> Option<Reason> {
         let record = self.records.get(upstream)?;
         let is_serving = record.is_serving();
-        if is_serving && (self.peers.share(reason) || self.is_shared()) {
+        if is_serving && (self.peers.share(reason) || self.has_shared_cause()) {
             return Some(Reason::Shared);
         }
         let floor = Floor::of(&self.setup, self.records.values());
         if is_serving && !floor.allows(record, None) {
-            let Some(better) = self.better_than(record, floor) else {
+            let Some(replacement) = self.replacement(record, floor) else {
                 return Some(Reason::Floor);
             };
-            self.readmit(now, &better, Reason::Floor, outputs);
+            self.readmit(now, &replacement, Reason::Floor, outputs);
         }
         let record = self.records.get_mut(upstream)?;
         record.eject(now, reason, &mut self.random);
@@ -198,21 +200,23 @@
         None
     }
 
-    /// The best ejected upstream that can take the place of `worse` at the floor.
-    fn better_than(&self, worse: &Record, floor: Floor) -> Option<UpstreamId> {
+    /// The least severe upstream out of service that can replace `ejected` at the
+    /// floor.
+    fn replacement(&self, ejected: &Record, floor: Floor) -> Option<UpstreamId> {
         self.records
             .iter()
-            .filter(|(_, record)| !record.is_serving() && floor.allows(worse, Some(record)))
-            .filter(|(_, record)| record.badness() + Self::BETTER < worse.badness())
-            .min_by(|(_, left), (_, right)| left.badness().total_cmp(&right.badness()))
+            .filter(|(_, record)| !record.is_serving() && floor.allows(ejected, Some(record)))
+            .filter(|(_, record)| record.severity() + Self::REPLACEMENT_MARGIN < ejected.severity())
+            .min_by(|(_, left), (_, right)| left.severity().total_cmp(&right.severity()))
             .map(|(upstream, _)| upstream.clone())
     }
 
-    /// Whether so many are bad that no single one is to blame.
-    fn is_shared(&self) -> bool {
+    /// Whether so many upstreams are suspect or out of service that the cause must be
+    /// shared.
+    fn has_shared_cause(&self) -> bool {
         let is_bad = |record: &&Record| !record.is_serving() || record.is_suspect(&self.setup);
         let bad = self.records.values().filter(is_bad).count();
-        bad as f64 > Self::SHARED * self.records.len() as f64
+        bad as f64 > Self::SHARED_CAUSE_RATIO * self.records.len() as f64
     }
 
     fn readmit(
@@ -228,20 +232,20 @@
         }
     }
 
-    /// Takes the least bad back into service while the floor is broken, as when
-    /// sound upstreams leave after others were ejected.
-    fn restore(&mut self, now: Moment, outputs: &mut Vec<Output>) {
+    /// Readmits upstreams while the floor doesn't hold, as when sound upstreams leave
+    /// after others were ejected. Those on trial come first, then the least severe.
+    fn restore_floor(&mut self, now: Moment, outputs: &mut Vec<Output>) {
         while !Floor::of(&self.setup, self.records.values()).holds() {
-            let least_bad = self
+            let least_severe = self
                 .records
                 .iter()
                 .filter(|(_, record)| !record.is_serving())
                 .min_by(|(_, left), (_, right)| {
                     let by_state = left.state().cmp(&right.state());
-                    by_state.then(left.badness().total_cmp(&right.badness()))
+                    by_state.then(left.severity().total_cmp(&right.severity()))
                 })
                 .map(|(upstream, _)| upstream.clone());
-            let Some(upstream) = least_bad else {
+            let Some(upstream) = least_severe else {
                 return;
             };
             self.readmit(now, &upstream, Reason::Floor, outputs);
@@ -252,7 +256,7 @@
         let passed: Vec<UpstreamId> = self
             .records
             .iter()
-            .filter(|(_, record)| record.state() == Verdict::Trial && record.trial_passed())
+            .filter(|(_, record)| record.state() == Verdict::Trial && record.has_passed_trial())
             .map(|(upstream, _)| upstream.clone())
             .collect();
         for upstream in passed {
@@ -262,18 +266,18 @@
 
     fn start_trials(&mut self, now: Moment, outputs: &mut Vec<Output>) {
         for (upstream, record) in &mut self.records {
-            if record.state() == Verdict::Ejected && record.hold().is_over(now) {
+            if record.state() == Verdict::Ejected && record.backoff().is_over(now) {
                 record.start_trial();
                 outputs.push(Output::Trial { upstream: upstream.clone() });
             }
         }
     }
 
-    fn share(&mut self, now: Moment, outputs: &mut Vec<Output>) {
-        if now < self.share_at {
+    fn share_evidence(&mut self, now: Moment, outputs: &mut Vec<Output>) {
+        if now < self.next_share_at {
             return;
         }
-        self.share_at = now + Self::SHARE;
+        self.next_share_at = now + Self::SHARE_INTERVAL;
         let items: Vec<_> = self
             .records
             .iter()
@@ -284,15 +288,16 @@
         }
     }
 
-    fn tell(&mut self, now: Moment, outputs: &mut Vec<Output>) {
-        if now < self.tell_at {
+    /// Sends weak evidence to the home entries of the upstreams.
+    fn send_home(&mut self, now: Moment, outputs: &mut Vec<Output>) {
+        if now < self.next_home_at {
             return;
         }
         for (upstream, record) in &self.records {
-            if let Some(item) = record.told(now, upstream) {
+            if let Some(item) = record.home_item(now, upstream) {
                 let digest = Digest { from: self.name.clone(), items: vec![item] };
                 outputs.push(Output::Tell { digest, upstream: upstream.clone() });
-                self.tell_at = now + Self::TELL;
+                self.next_home_at = now + Self::HOME_INTERVAL;
             }
         }
     }
--- a/src/health/output.rs
+++ b/src/health/output.rs
@@ -5,42 +5,42 @@
 use crate::health::Reason;
 use crate::id::UpstreamId;
 
-/// What a judge decided.
+/// Output of a [`crate::health::Judge`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Output {
-    /// Takes no work from now on.
+    /// The upstream gets no requests from now on.
     Eject {
-        /// What convicted it.
+        /// Fault that was detected.
         reason: Reason,
         /// Upstream.
         upstream: UpstreamId,
     },
-    /// Would have been ejected, and stays.
+    /// A fault was detected, but the upstream stays in service.
     Kept {
-        /// What spoke against ejecting it.
+        /// Why it was not ejected.
         reason: Reason,
         /// Upstream.
         upstream: UpstreamId,
     },
-    /// Takes its full share again.
+    /// The upstream gets its full share again.
     Readmit {
-        /// A trial passed, or the floor.
+        /// A trial passed, or the floor requires it.
         reason: Reason,
         /// Upstream.
         upstream: UpstreamId,
     },
-    /// Evidence for all other entries that use an upstream in question.
+    /// Evidence for all other entries that use a suspected upstream.
     Share(Digest),
-    /// A single failure, told only to the upstream's home entry, where those of
-    /// all entries meet. At thousands of upstreams an entry sees each so seldom
-    /// that two failures in a row would take it most of a minute.
+    /// Weak evidence, such as a single failure, for the upstream's home entry,
+    /// which adds up that of all entries. With thousands of upstreams an entry uses
+    /// each so rarely that two failures in a row would take most of a minute.
     Tell {
         /// Evidence on this upstream.
         digest: Digest,
         /// Upstream.
         upstream: UpstreamId,
     },
-    /// Takes a small share of real load.
+    /// The upstream gets a small share of real requests.
     Trial {
         /// Upstream.
         upstream: UpstreamId,
--- a/src/health/peers.rs
+++ b/src/health/peers.rs
@@ -1,34 +1,34 @@
 use crate::health::Reason;
 use crate::health::record::Record;
 
-/// What most upstreams of the service do at the moment.
+/// Current behaviour of the median upstream of the service.
 ///
-/// When a network, a shared store or a rise in load makes all of them slow or
-/// erring, no single one is to blame, and evidence must not grow.
+/// When a network, a shared store or a rise in load makes all upstreams slow or
+/// failing, no single one is at fault, and evidence must not grow.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Peers {
     /// Median of the recent failure rates.
     pub(crate) failure_rate: f64,
-    /// Median of the recent slowness beyond each one's own past, at least nought,
-    /// as a difference of logarithms.
+    /// Median of the recent latency excess over each upstream's own baseline, as a
+    /// difference of logarithms; not negative.
     pub(crate) shift: f64,
 }
 
 impl Peers {
     /// Recent outcomes that an upstream needs to be counted.
-    const LEAST: f64 = 0.5;
+    const MIN_OUTCOMES: f64 = 0.5;
 
-    /// Failure rate of the median from which failures are no single one's doing:
-    /// what counts as gray.
-    const BAD_RATE: f64 = 0.3;
-    /// Shift from which slowness is no single one's doing: twice as slow.
-    const BAD_SHIFT: f64 = std::f64::consts::LN_2;
+    /// Median failure rate from which failures have a shared cause: the smallest
+    /// rate that counts as gray.
+    const SHARED_FAILURE_RATE: f64 = 0.3;
+    /// Median shift from which slowness has a shared cause: twice the latency.
+    const SHARED_SHIFT: f64 = std::f64::consts::LN_2;
 
-    /// Whether most are bad in the respect that one is accused of.
+    /// Whether the median upstream has the same fault.
     pub(crate) fn share(&self, reason: Reason) -> bool {
         match reason {
-            Reason::Slow => self.shift >= Self::BAD_SHIFT,
-            _ => self.failure_rate >= Self::BAD_RATE,
+            Reason::Slow => self.shift >= Self::SHARED_SHIFT,
+            _ => self.failure_rate >= Self::SHARED_FAILURE_RATE,
         }
     }
 
@@ -36,19 +36,19 @@
         let mut rates = Vec::new();
         let mut shifts = Vec::new();
         for record in records {
-            let recent = record.recent();
-            if recent.outcomes() >= Self::LEAST {
-                rates.push(recent.failure_rate());
+            let counters = record.counters();
+            if counters.outcomes() >= Self::MIN_OUTCOMES {
+                rates.push(counters.failure_rate());
             }
-            if recent.answers() >= Self::LEAST {
-                shifts.push(recent.excess());
+            if counters.answers() >= Self::MIN_OUTCOMES {
+                shifts.push(counters.excess());
             }
         }
         Self { failure_rate: median(rates), shift: median(shifts).max(0.0) }
     }
 }
 
-/// The lower median: of two upstreams, the better one is the measure.
+/// The lower median: of two upstreams, the better one.
 fn median(mut values: Vec<f64>) -> f64 {
     values.sort_by(f64::total_cmp);
     let middle = values.len().saturating_sub(1) / 2;
--- a/src/health/reason.rs
+++ b/src/health/reason.rs
@@ -1,19 +1,19 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Why the judge changed a verdict, or did not.
+/// Why an upstream was ejected, kept or readmitted.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Reason {
-    /// Failures beyond its own past and its peers.
+    /// More failures than its baseline and its peers.
     Failing,
-    /// The floor: ejecting it would leave too little capacity.
+    /// Ejecting it would leave less capacity than the floor.
     Floor,
-    /// Most of its peers fail at the same time, so the cause lies elsewhere.
+    /// Most of its peers have a fault at the same time, so the cause is shared.
     Shared,
-    /// No answers or no connections, beyond its own past and its peers.
+    /// More missing answers or connections than its baseline and its peers.
     Silent,
-    /// Answers slower than its own past, while its peers' are not.
+    /// Slower than its baseline, while its peers are not.
     Slow,
-    /// Its trial went well.
+    /// Its trial passed.
     Tried,
 }
--- a/src/health/record.rs
+++ b/src/health/record.rs
@@ -9,118 +9,119 @@
 use crate::health::Reason;
 use crate::health::Setup;
 use crate::health::Verdict;
-use crate::health::aspect::Aspect;
-use crate::health::case::Case;
-use crate::health::hold::Hold;
+use crate::health::backoff::Backoff;
+use crate::health::counters::Counters;
+use crate::health::fault::Fault;
 use crate::health::likelihood;
 use crate::health::peers::Peers;
-use crate::health::recent::Recent;
+use crate::health::suspicion::Suspicion;
 use crate::id::NodeId;
 use crate::id::UpstreamId;
 
-/// What a judge knows of one upstream.
+/// Health record of one upstream.
 #[derive(Clone, Debug)]
 pub(crate) struct Record {
-    badness: f64,
+    severity: f64,
     baseline: Baseline,
-    case: Case,
-    hold: Hold,
+    suspicion: Suspicion,
+    backoff: Backoff,
     kept: Option<Reason>,
-    recent: Recent,
+    counters: Counters,
     slots: u32,
-    slow_rounds: u32,
+    slow_ejections: u32,
     state: Verdict,
     trial_outcomes: u32,
 }
 
 impl Record {
-    /// Share of the newest outcome in the badness: four failures in a row, which
-    /// convict, show as such.
-    const NEWEST: f64 = 0.3;
-    /// Slowness alone that returns after this many holds is taken as usual:
-    /// slow and sound is better than lost, and the balance gives it less.
-    const RELEARN: u32 = 3;
-    /// Outcomes that a trial needs.
-    const TRIAL: u32 = 5;
-    /// Evidence below which a trial passes: less than one failure.
-    const TRIAL_DOUBT: f64 = 2.0;
+    /// Weight of the newest outcome in the severity. Four failures in a row, which
+    /// suffice for an ejection, raise it to about three quarters.
+    const SEVERITY_WEIGHT: f64 = 0.3;
+    /// Consecutive ejections for slowness after which the slow latency becomes the
+    /// baseline: a slow but sound upstream is better than none, and the balancer
+    /// gives it fewer requests.
+    const MAX_SLOW_EJECTIONS: u32 = 3;
+    /// Outcomes that a trial needs to pass.
+    const MIN_TRIAL_OUTCOMES: u32 = 5;
+    /// Evidence below which a trial passes, in nats: less than one failure.
+    const MAX_TRIAL_EVIDENCE: f64 = 2.0;
 
     pub(crate) fn new(slots: u32) -> Self {
         Self {
-            badness: 0.0,
+            severity: 0.0,
             baseline: Baseline::default(),
-            case: Case::default(),
-            hold: Hold::default(),
+            suspicion: Suspicion::default(),
+            backoff: Backoff::default(),
             kept: None,
-            recent: Recent::default(),
+            counters: Counters::default(),
             slots: slots.max(1),
-            slow_rounds: 0,
+            slow_ejections: 0,
             state: Verdict::Sound,
             trial_outcomes: 0,
         }
     }
 
-    /// How bad it is, from 0 (sound) to 1 (every request fails, or takes ten times
-    /// as long), for choosing whom to keep at the floor.
-    pub(crate) fn badness(&self) -> f64 {
-        self.badness
+    /// How severe its faults are, from 0 (none) to 1 (every request fails, or takes
+    /// ten times as long). Decides which upstreams stay in service at the floor.
+    pub(crate) fn severity(&self) -> f64 {
+        self.severity
     }
 
-    /// What convicts it. A trial needs half of the evidence, as the upstream has
-    /// been convicted before.
-    pub(crate) fn conviction(&mut self, now: Moment, setup: &Setup) -> Option<Reason> {
-        let part = if self.state == Verdict::Trial { 0.5 } else { 1.0 };
-        let aspect = self.case.conviction(now, setup, setup.own_threshold() * part);
-        if aspect.is_none() {
+    /// The fault that was detected, if any. On trial half of this entry's evidence
+    /// suffices, as the upstream was ejected before.
+    pub(crate) fn detect(&mut self, now: Moment, setup: &Setup) -> Option<Reason> {
+        let factor = if self.state == Verdict::Trial { 0.5 } else { 1.0 };
+        let fault = self.suspicion.detect(now, setup, setup.own_threshold() * factor);
+        if fault.is_none() {
             self.kept = None;
         }
-        aspect.map(Aspect::reason)
+        fault.map(Fault::reason)
     }
 
     pub(crate) fn eject(&mut self, now: Moment, reason: Reason, random: &mut ChaCha8Rng) {
-        self.slow_rounds = if reason == Reason::Slow { self.slow_rounds + 1 } else { 0 };
-        if self.slow_rounds > Self::RELEARN {
-            self.baseline.forget_latency();
-            self.slow_rounds = 0;
+        self.slow_ejections = if reason == Reason::Slow { self.slow_ejections + 1 } else { 0 };
+        if self.slow_ejections > Self::MAX_SLOW_EJECTIONS {
+            self.baseline.reset_latency();
+            self.slow_ejections = 0;
         }
         self.state = Verdict::Ejected;
-        self.hold.start(now, random);
-        self.case.close(now);
-        self.clear_counts();
+        self.backoff.start(now, random);
+        self.suspicion.record_ejection(now);
+        self.reset_counters();
     }
 
-    pub(crate) fn hear(&mut self, now: Moment, from: &NodeId, item: Item) {
-        let is_suspicious = self.case.hear(now, from, item);
-        if is_suspicious && self.state == Verdict::Ejected {
-            self.hold.postpone(now);
+    pub(crate) fn merge(&mut self, now: Moment, from: &NodeId, item: Item) {
+        let is_query = self.suspicion.merge(now, from, item);
+        if is_query && self.state == Verdict::Ejected {
+            self.backoff.postpone(now);
         }
     }
 
-    pub(crate) fn hold(&self) -> &Hold {
-        &self.hold
+    pub(crate) fn backoff(&self) -> &Backoff {
+        &self.backoff
     }
 
     pub(crate) fn is_serving(&self) -> bool {
         matches!(self.state, Verdict::Sound | Verdict::Suspect)
     }
 
-    /// Whether evidence has reached half of what convicts.
+    /// Whether evidence has reached half of a threshold.
     pub(crate) fn is_suspect(&self, setup: &Setup) -> bool {
-        self.case.is_half_way(setup)
+        self.suspicion.is_suspect(setup)
     }
 
-    /// Evidence for the other entries, if the upstream is in question.
+    /// Evidence for all other entries, if there was a recent query or ejection.
     pub(crate) fn item(&self, now: Moment, upstream: &UpstreamId) -> Option<Item> {
-        self.case.item(now, upstream)
+        self.suspicion.item(now, upstream)
     }
 
-    /// Remembers that it was kept; true when that is news.
-    pub(crate) fn keep(&mut self, reason: Reason) -> bool {
+    /// Stores why the upstream was kept in service. Returns whether that changed.
+    pub(crate) fn set_kept(&mut self, reason: Reason) -> bool {
         self.kept.replace(reason) != Some(reason)
     }
 
-    /// Learns an outcome as usual, unless the upstream is under suspicion: a slow
-    /// decline must not become the measure it is judged by.
+    /// Adds an outcome to the baseline, unless the upstream is suspect: a gradual
+    /// decline must not become the baseline.
     pub(crate) fn learn(&mut self, setup: &Setup, kind: Kind, latency: Duration) {
         let is_usual = self.state == Verdict::Sound && !self.is_suspect(setup);
         if is_usual && kind != Kind::Refused {
@@ -128,60 +129,64 @@
         }
     }
 
-    pub(crate) fn outcome(&mut self, now: Moment, kind: Kind, latency: Duration, peers: Peers) {
+    pub(crate) fn add_outcome(&mut self, now: Moment, kind: Kind, latency: Duration, peers: Peers) {
         if kind == Kind::Refused || self.state == Verdict::Ejected {
             return;
         }
-        let failure = Aspect::of(kind);
-        let past = self.baseline.failure_rate();
-        for aspect in [Aspect::Failing, Aspect::Silent] {
-            let is_hit = failure == Some(aspect);
-            if is_hit || failure.is_none() {
-                self.case.add(now, aspect, likelihood::failing(is_hit, past, peers.failure_rate));
+        let failure = Fault::of(kind);
+        let baseline_rate = self.baseline.failure_rate();
+        for fault in [Fault::Failing, Fault::Silent] {
+            let is_failure = failure == Some(fault);
+            if is_failure || failure.is_none() {
+                self.suspicion.add(
+                    now,
+                    fault,
+                    likelihood::failure_step(is_failure, baseline_rate, peers.failure_rate),
+                );
             }
         }
-        let is_known = failure.is_none() && self.baseline.is_ready();
-        let excess = is_known.then(|| self.baseline.excess(latency));
+        let is_comparable = failure.is_none() && self.baseline.is_ready();
+        let excess = is_comparable.then(|| self.baseline.excess(latency));
         if let Some(excess) = excess {
-            let step = likelihood::slow(excess - peers.shift, self.baseline.spread());
-            self.case.add(now, Aspect::Slow, step);
+            let step = likelihood::latency_step(excess - peers.shift, self.baseline.spread());
+            self.suspicion.add(now, Fault::Slow, step);
         }
-        self.recent.add(now, failure.is_some(), excess);
+        self.counters.add(now, failure.is_some(), excess);
         self.trial_outcomes += 1;
-        self.rate(failure.is_some(), excess, peers);
+        self.update_severity(failure.is_some(), excess, peers);
     }
 
-    /// Takes ages of requests that still wait for their first byte.
-    pub(crate) fn pending(&mut self, setup: &Setup, ages: &[Duration], peers: Peers) {
-        let is_judged = self.baseline.is_ready() && self.state != Verdict::Ejected;
+    /// Sets the ages of the requests that still wait for their first byte.
+    pub(crate) fn set_pending(&mut self, setup: &Setup, ages: &[Duration], peers: Peers) {
+        let is_comparable = self.baseline.is_ready() && self.state != Verdict::Ejected;
         let mut pending = 0.0;
-        for age in ages.iter().filter(|_| is_judged) {
+        for age in ages.iter().filter(|_| is_comparable) {
             let beyond = age.saturating_sub(setup.pause());
             let excess = self.baseline.excess(beyond) - peers.shift;
-            pending += likelihood::waiting(excess, self.baseline.spread());
+            pending += likelihood::waiting_step(excess, self.baseline.spread());
         }
-        self.case.set_pending(pending);
+        self.suspicion.set_pending(pending);
     }
 
     pub(crate) fn readmit(&mut self, now: Moment) {
         self.state = Verdict::Sound;
-        self.hold.restart(now);
+        self.backoff.restart(now);
         self.clear();
     }
 
-    pub(crate) fn recent(&self) -> &Recent {
-        &self.recent
+    pub(crate) fn counters(&self) -> &Counters {
+        &self.counters
     }
 
-    pub(crate) fn report(&mut self, healthy: bool) {
-        self.case.report(healthy);
+    pub(crate) fn set_report(&mut self, healthy: bool) {
+        self.suspicion.set_report(healthy);
     }
 
     pub(crate) fn roll(&mut self, now: Moment) {
-        self.case.roll(now);
-        self.recent.fade(now);
+        self.suspicion.roll(now);
+        self.counters.decay(now);
         if self.is_serving() {
-            self.hold.forgive(now);
+            self.backoff.decay(now);
         }
     }
 
@@ -202,30 +207,31 @@
         self.state
     }
 
-    /// Evidence for the upstream's home.
-    pub(crate) fn told(&self, now: Moment, upstream: &UpstreamId) -> Option<Item> {
-        self.case.told(now, upstream)
+    /// Evidence for the upstream's home entry, if it is too weak for all entries.
+    pub(crate) fn home_item(&self, now: Moment, upstream: &UpstreamId) -> Option<Item> {
+        self.suspicion.home_item(now, upstream)
     }
 
-    pub(crate) fn trial_passed(&self) -> bool {
-        self.trial_outcomes >= Self::TRIAL && self.case.doubt() < Self::TRIAL_DOUBT
+    pub(crate) fn has_passed_trial(&self) -> bool {
+        self.trial_outcomes >= Self::MIN_TRIAL_OUTCOMES
+            && self.suspicion.max_own() < Self::MAX_TRIAL_EVIDENCE
     }
 
     fn clear(&mut self) {
-        self.case.clear();
-        self.clear_counts();
+        self.suspicion.clear();
+        self.reset_counters();
     }
 
-    fn clear_counts(&mut self) {
-        self.recent = Recent::default();
+    fn reset_counters(&mut self) {
+        self.counters = Counters::default();
         self.kept = None;
         self.trial_outcomes = 0;
     }
 
-    /// Moves the badness towards that of one outcome.
-    fn rate(&mut self, is_failure: bool, excess: Option<f64>, peers: Peers) {
-        let slower = (excess.unwrap_or_default() - peers.shift) / std::f64::consts::LN_10;
-        let score = if is_failure { 1.0 } else { slower.clamp(0.0, 1.0) };
-        self.badness += Self::NEWEST * (score - self.badness);
+    /// Updates the moving average of the severity with one outcome.
+    fn update_severity(&mut self, is_failure: bool, excess: Option<f64>, peers: Peers) {
+        let slowness = (excess.unwrap_or_default() - peers.shift) / std::f64::consts::LN_10;
+        let score = if is_failure { 1.0 } else { slowness.clamp(0.0, 1.0) };
+        self.severity += Self::SEVERITY_WEIGHT * (score - self.severity);
     }
 }
--- a/src/health/verdict.rs
+++ b/src/health/verdict.rs
@@ -1,23 +1,28 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What the judge holds of one upstream.
+/// Health of one upstream, as one entry sees it.
+///
+/// The order matters: variants before [`Self::Trial`] are in service, and the floor
+/// readmits upstreams on trial before ejected ones.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum Verdict {
-    /// Takes all the work that the balance gives it.
+    /// Gets its full share of requests.
     Sound,
-    /// Evidence is half way to ejection; takes a smaller share.
+    /// Evidence has reached half of a threshold; gets a smaller share.
     Suspect,
-    /// Back for a small share of real load, until proven either way.
+    /// Gets a small share of real requests until it passes or is ejected again.
     Trial,
-    /// Takes no work.
+    /// Gets no requests.
     Ejected,
 }
 
 impl Verdict {
-    /// Share of its usual work that an upstream should get. A suspect is relieved
-    /// at once, which costs no capacity if the suspicion was wrong; a trial is
-    /// enough for a verdict within seconds and little enough to lose.
+    /// Factor on the usual share of requests that an upstream gets.
+    ///
+    /// A suspect's share is reduced at once, which costs no capacity if the suspicion
+    /// was wrong. A trial's share is enough to decide within seconds and small enough
+    /// that failures cost little.
     #[must_use]
     pub fn weight(self) -> f64 {
         match self {
