--- a/src/health/record.rs
+++ b/src/health/record.rs
@@ -37,9 +37,9 @@
     /// Weight of the newest outcome in the severity. Four failures in a row, which
     /// suffice for an ejection, raise it to about three quarters.
     const SEVERITY_WEIGHT: f64 = 0.3;
-    /// Consecutive ejections for slowness after which the slow latency becomes the
-    /// baseline: a slow but sound upstream is better than none, and the balancer
-    /// gives it fewer requests.
+    /// Consecutive ejections for slowness after which the next one resets the latency
+    /// baseline, so that the slow latency becomes the usual one: a slow but sound
+    /// upstream is better than none, and the balancer gives it fewer requests.
     const MAX_SLOW_EJECTIONS: u32 = 3;
     /// Outcomes that a trial needs to pass.
     const MIN_TRIAL_OUTCOMES: u32 = 5;
--- a/tests/suite/health.rs
+++ b/tests/suite/health.rs
@@ -4,6 +4,6 @@
 mod floor;
 mod gray;
 mod report;
-mod scene;
+mod simulation;
 mod sound;
 mod trial;
--- a/tests/suite/health/digest.rs
+++ b/tests/suite/health/digest.rs
@@ -3,13 +3,13 @@
 use hemlockfield::health::Item;
 use hemlockfield::health::Output;
 
-use super::scene::Scene;
-use super::scene::name;
-use super::scene::seconds;
-use super::scene::setup;
+use super::simulation::Simulation;
+use super::simulation::seconds;
+use super::simulation::setup;
+use super::simulation::upstream_name;
 
-/// A node has 3 KB a second for all it tells others. Evidence on one upstream,
-/// with names of usual length, must stay far below, and arrive as it was sent.
+/// A node has a budget of 3 KB a second for all its gossip. A digest on one upstream,
+/// with names of usual length, must take a small part of it and survive a round trip.
 #[test]
 fn digest_encoded() {
     let sums = [[-40, -75, -110, 300, 1_200]; 3];
@@ -20,23 +20,23 @@
     assert_eq!(postcard::from_bytes::<Digest>(&bytes).expect("decodes"), digest);
 }
 
-/// Two entries each saw one failure of an upstream that gets a request a minute
-/// from each. Neither would suspect it for long; their words meet at its home
-/// entry, which never used it, and which must ask all for what they saw.
+/// Two entries each saw one failure of an upstream that gets a request a minute from
+/// each, too few to suspect it. The home entry, which never used the upstream, adds
+/// up their evidence and must query all entries.
 #[test]
-fn handle_told_at_home() {
-    let mut home = Scene::new(1, 8, &setup(1.0), 1);
-    let judge = &mut home.judges[0];
+fn handle_home_pools_evidence() {
+    let mut home = Simulation::new(1, 8, &setup(1.0), 1);
+    let monitor = &mut home.monitors[0];
     let failure = (3.4 * Item::UNITS) as i16;
-    let tell = |from: &str| {
-        let item = Item { asks: false, sums: [[failure; 5]; 3], upstream: name(3) };
+    let digest = |from: &str| {
+        let item = Item { asks: false, sums: [[failure; 5]; 3], upstream: upstream_name(3) };
         Input::Digest(Digest { from: from.into(), items: vec![item] })
     };
-    judge.handle(seconds(1), tell("e8"));
-    assert_eq!(judge.handle(seconds(1), Input::Tick), []);
-    judge.handle(seconds(1), tell("e9"));
-    let outputs = judge.handle(seconds(1) + seconds(1) / 10, Input::Tick);
-    let is_question =
+    monitor.handle(seconds(1), digest("e8"));
+    assert_eq!(monitor.handle(seconds(1), Input::Tick), []);
+    monitor.handle(seconds(1), digest("e9"));
+    let outputs = monitor.handle(seconds(1) + seconds(1) / 10, Input::Tick);
+    let is_query =
         |output: &Output| matches!(output, Output::Share(digest) if digest.items[0].asks);
-    assert!(outputs.iter().any(is_question), "{outputs:?}");
+    assert!(outputs.iter().any(is_query), "{outputs:?}");
 }
--- a/tests/suite/health/floor.rs
+++ b/tests/suite/health/floor.rs
@@ -17,42 +17,42 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use super::scene::Act;
-use super::scene::Scene;
-use super::scene::name;
-use super::scene::seconds;
-use super::scene::setup;
+use super::simulation::Outcome;
+use super::simulation::Simulation;
+use super::simulation::seconds;
+use super::simulation::setup;
+use super::simulation::upstream_name;
 
-/// Members with their slots, as the test keeps them beside the judge.
+/// Slots of the members, tracked by the test independently of the monitor.
 type Members = BTreeMap<UpstreamId, u32>;
 
-fn holds(judge: &Judge, members: &Members, setup: &Setup) -> bool {
+fn is_floor_held(monitor: &Judge, members: &Members, setup: &Setup) -> bool {
     let is_serving = |upstream: &&UpstreamId| {
-        matches!(judge.verdict(upstream), Verdict::Sound | Verdict::Suspect)
+        matches!(monitor.verdict(upstream), Verdict::Sound | Verdict::Suspect)
     };
     let serving: Vec<&UpstreamId> = members.keys().filter(is_serving).collect();
     let slots: u32 = serving.iter().map(|upstream| members[*upstream]).sum();
     let all: u32 = members.values().sum();
-    let is_count = serving.len() >= setup.floor_count.min(members.len());
-    is_count && f64::from(slots) >= setup.floor_share * f64::from(all)
+    let has_count = serving.len() >= setup.floor_count.min(members.len());
+    has_count && f64::from(slots) >= setup.floor_share * f64::from(all)
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, ..ProptestConfig::default() })]
 
-    /// Upstreams come, leave and flap at random, with random slots, many failing
-    /// at once. After each input, whatever its order, the floor must hold: else
-    /// the rest is overrun by callers and fails too.
+    /// Upstreams join, leave and flap at random, with random slots, many failing at
+    /// once. The floor must hold after each input, in any order: otherwise the
+    /// remaining upstreams would be overloaded and fail too.
     #[test]
     fn handle_floor_held(seed in any::<u64>(), share in 0.0..1.0_f64, count in 0..6_usize) {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let setup = Setup { floor_count: count, floor_share: share, sensitivity: 1.0 };
-        let judge_random = ChaCha8Rng::seed_from_u64(!seed);
-        let mut judge = Judge::new("e".into(), setup.clone(), judge_random);
+        let monitor_random = ChaCha8Rng::seed_from_u64(!seed);
+        let mut monitor = Judge::new("e".into(), setup.clone(), monitor_random);
         let mut members = Members::new();
         let mut now = Moment::ZERO;
         for _ in 0..2_000 {
-            let upstream = name(random.random_range(0..10));
+            let upstream = upstream_name(random.random_range(0..10));
             let chance = random.random_range(0..100);
             let input = if chance < 2 {
                 members.remove(&upstream);
@@ -69,60 +69,62 @@
                 let kind = if is_bad { Kind::ServerError } else { Kind::Success };
                 Input::Outcome { kind, latency: seconds(1) / 40, upstream }
             };
-            judge.handle(now, input);
-            prop_assert!(holds(&judge, &members, &setup), "{members:?}");
+            monitor.handle(now, input);
+            prop_assert!(is_floor_held(&monitor, &members, &setup), "{members:?}");
         }
     }
 }
 
-/// Four of eight fail with a floor of three quarters. Two go; the others are kept
-/// and said to be kept, so that the operator sees why callers still meet errors.
+/// Four of eight upstreams fail with a floor of three quarters. Two are ejected; the
+/// others are kept and reported as kept, so that the operator sees why callers still
+/// get errors.
 #[test]
 fn handle_floor_reached() {
     let setup = Setup { floor_share: 0.75, ..setup(1.0) };
-    let mut scene = Scene::new(1, 8, &setup, 6);
-    scene.run(seconds(30), 5.0, &|_, _, _| Act::SOUND);
-    scene.run(seconds(35), 5.0, &|_, upstream, _| {
-        if upstream < 4 { Act::failing(Kind::ServerError) } else { Act::SOUND }
+    let mut simulation = Simulation::new(1, 8, &setup, 6);
+    simulation.run(seconds(30), 5.0, &|_, _, _| Outcome::SOUND);
+    simulation.run(seconds(35), 5.0, &|_, upstream, _| {
+        if upstream < 4 { Outcome::failing(Kind::ServerError) } else { Outcome::SOUND }
     });
-    let out = (0..8).filter(|upstream| !scene.ejections(*upstream).is_empty()).count();
-    assert_eq!(out, 2);
+    let ejected = (0..8).filter(|upstream| !simulation.ejections(*upstream).is_empty()).count();
+    assert_eq!(ejected, 2);
     let is_kept = |output: &Output| matches!(output, Output::Kept { reason: Reason::Floor, .. });
-    assert!(scene.outputs.iter().any(|(.., output)| is_kept(output)));
+    assert!(simulation.outputs.iter().any(|(.., output)| is_kept(output)));
 }
 
-/// At the floor, an upstream that fails in part is out when another begins to
-/// fail every request. The least bad must stay: the two change places.
+/// At the floor, an upstream with partial failures is ejected when another begins to
+/// fail every request. The less severe one must serve: the two are swapped.
 #[test]
-fn handle_floor_worse_comes() {
+fn handle_worse_fault_at_floor() {
     let setup = Setup { floor_share: 0.85, ..setup(1.0) };
-    let mut scene = Scene::new(1, 8, &setup, 6);
-    scene.run(seconds(30), 10.0, &|_, _, _| Act::SOUND);
-    let partly = |now: Moment| (now.as_millis() / 100).is_multiple_of(3);
-    let third = |_, upstream, now| {
-        if upstream == 1 && partly(now) { Act::failing(Kind::Cut) } else { Act::SOUND }
+    let mut simulation = Simulation::new(1, 8, &setup, 6);
+    simulation.run(seconds(30), 10.0, &|_, _, _| Outcome::SOUND);
+    let is_failing = |now: Moment| (now.as_millis() / 100).is_multiple_of(3);
+    let partial = |_, upstream, now| {
+        if upstream == 1 && is_failing(now) { Outcome::failing(Kind::Cut) } else { Outcome::SOUND }
     };
-    while scene.ejections(1).is_empty() && scene.now < seconds(40) {
-        scene.run(scene.now + Setup::TICK, 10.0, &third);
+    while simulation.ejections(1).is_empty() && simulation.now < seconds(40) {
+        simulation.run(simulation.now + Setup::TICK, 10.0, &partial);
     }
-    assert_eq!(scene.judges[0].verdict(&name(1)), Verdict::Ejected);
-    scene.run(scene.now + seconds(2), 10.0, &|entry, upstream, now| {
-        if upstream == 2 { Act::failing(Kind::Cut) } else { third(entry, upstream, now) }
+    assert_eq!(simulation.monitors[0].verdict(&upstream_name(1)), Verdict::Ejected);
+    simulation.run(simulation.now + seconds(2), 10.0, &|entry, upstream, now| {
+        if upstream == 2 { Outcome::failing(Kind::Cut) } else { partial(entry, upstream, now) }
     });
-    assert_eq!(scene.judges[0].verdict(&name(2)), Verdict::Ejected);
-    assert_ne!(scene.judges[0].verdict(&name(1)), Verdict::Ejected);
+    assert_eq!(simulation.monitors[0].verdict(&upstream_name(2)), Verdict::Ejected);
+    assert_ne!(simulation.monitors[0].verdict(&upstream_name(1)), Verdict::Ejected);
 }
 
-/// Two are out by right when sound ones leave for good. The capacity that stays
-/// must not fall below the floor: the least bad comes back at once.
+/// Two faulty upstreams are ejected when a sound one leaves for good. The capacity in
+/// service must not fall below the floor: the least severe is readmitted at once.
 #[test]
 fn handle_gone_at_floor() {
-    let mut scene = Scene::new(1, 4, &setup(1.0), 6);
-    scene.run(seconds(30), 5.0, &|_, _, _| Act::SOUND);
-    scene.run(seconds(34), 5.0, &|_, upstream, _| {
-        if upstream < 2 { Act::failing(Kind::ServerError) } else { Act::SOUND }
+    let mut simulation = Simulation::new(1, 4, &setup(1.0), 6);
+    simulation.run(seconds(30), 5.0, &|_, _, _| Outcome::SOUND);
+    simulation.run(seconds(34), 5.0, &|_, upstream, _| {
+        if upstream < 2 { Outcome::failing(Kind::ServerError) } else { Outcome::SOUND }
     });
-    assert_eq!(scene.judges[0].verdict(&name(0)), Verdict::Ejected);
-    let outputs = scene.judges[0].handle(scene.now, Input::Gone { upstream: name(3) });
+    assert_eq!(simulation.monitors[0].verdict(&upstream_name(0)), Verdict::Ejected);
+    let outputs =
+        simulation.monitors[0].handle(simulation.now, Input::Gone { upstream: upstream_name(3) });
     assert!(matches!(outputs[..], [Output::Readmit { reason: Reason::Floor, .. }]));
 }
--- a/tests/suite/health/report.rs
+++ b/tests/suite/health/report.rs
@@ -2,45 +2,51 @@
 use hemlockfield::health::Kind;
 use hemlockfield::health::Verdict;
 
-use super::scene::Act;
-use super::scene::Scene;
-use super::scene::name;
-use super::scene::seconds;
-use super::scene::setup;
+use super::simulation::Outcome;
+use super::simulation::Simulation;
+use super::simulation::seconds;
+use super::simulation::setup;
+use super::simulation::upstream_name;
 
-/// The upstream's health endpoint says "well" while callers get errors from it.
-/// Its word must not slow the conviction down.
+/// The upstream's health endpoint says healthy while callers get errors from it. The
+/// report must not delay the ejection.
 #[test]
-fn handle_false_health() {
-    let detect = |is_lying: bool| {
-        let mut scene = Scene::new(4, 8, &setup(0.5), 9);
-        scene.run(seconds(30), 3.0, &|_, _, _| Act::SOUND);
-        while scene.ejections(3).is_empty() && scene.now < seconds(60) {
-            for judge in scene.judges.iter_mut().filter(|_| is_lying) {
-                judge.handle(scene.now, Input::Report { healthy: true, upstream: name(3) });
+fn handle_false_healthy_report() {
+    let ejection = |has_report: bool| {
+        let mut simulation = Simulation::new(4, 8, &setup(0.5), 9);
+        simulation.run(seconds(30), 3.0, &|_, _, _| Outcome::SOUND);
+        while simulation.ejections(3).is_empty() && simulation.now < seconds(60) {
+            for monitor in simulation.monitors.iter_mut().filter(|_| has_report) {
+                monitor.handle(
+                    simulation.now,
+                    Input::Report { healthy: true, upstream: upstream_name(3) },
+                );
             }
-            let next = scene.now + seconds(1) / 10;
-            scene.run(next, 3.0, &|_, upstream, _| {
-                if upstream == 3 { Act::failing(Kind::ServerError) } else { Act::SOUND }
+            let next = simulation.now + seconds(1) / 10;
+            simulation.run(next, 3.0, &|_, upstream, _| {
+                if upstream == 3 { Outcome::failing(Kind::ServerError) } else { Outcome::SOUND }
             });
         }
-        scene.ejections(3).first().copied()
+        simulation.ejections(3).first().copied()
     };
-    assert!(detect(false).is_some());
-    assert_eq!(detect(true), detect(false));
+    assert!(ejection(false).is_some());
+    assert_eq!(ejection(true), ejection(false));
 }
 
-/// A sound upstream's health endpoint says "ill" for a minute, because it lags or
-/// is wrong. Callers get their answers, so it stays, at the fast end of the knob.
+/// A sound upstream's health endpoint says unhealthy for a minute, because it lags or
+/// is wrong. Callers get their answers, so it must stay, even at sensitivity 1.0.
 #[test]
-fn handle_false_illness() {
-    let mut scene = Scene::new(4, 8, &setup(1.0), 9);
+fn handle_false_unhealthy_report() {
+    let mut simulation = Simulation::new(4, 8, &setup(1.0), 9);
     for second in 1..=60 {
-        for judge in &mut scene.judges {
-            judge.handle(scene.now, Input::Report { healthy: false, upstream: name(3) });
+        for monitor in &mut simulation.monitors {
+            monitor.handle(
+                simulation.now,
+                Input::Report { healthy: false, upstream: upstream_name(3) },
+            );
         }
-        scene.run(seconds(second), 3.0, &|_, _, _| Act::SOUND);
+        simulation.run(seconds(second), 3.0, &|_, _, _| Outcome::SOUND);
     }
-    assert_eq!(scene.ejections(3), []);
-    assert_eq!(scene.judges[0].verdict(&name(3)), Verdict::Sound);
+    assert_eq!(simulation.ejections(3), []);
+    assert_eq!(simulation.monitors[0].verdict(&upstream_name(3)), Verdict::Sound);
 }
--- a/tests/suite/health/scene.rs
+++ b/tests/suite/health/simulation.rs
@@ -1,4 +1,4 @@
-//! A few judges in virtual time, told outcomes at a steady rate.
+//! Simulation of a few monitors in virtual time, which get outcomes at a steady rate.
 
 use std::time::Duration;
 
@@ -13,32 +13,32 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// Usual latency of a new upstream.
-pub(crate) const USUAL: Duration = Duration::from_millis(25);
+/// Usual latency of an upstream.
+pub(crate) const USUAL_LATENCY: Duration = Duration::from_millis(25);
 
-/// What an upstream does to a request: of which entry, which upstream, when.
-pub(crate) type Acting<'a> = &'a dyn Fn(usize, usize, Moment) -> Act;
+/// Determines the outcome of a request by its entry, its upstream and the time.
+pub(crate) type Model<'a> = &'a dyn Fn(usize, usize, Moment) -> Outcome;
 
-pub(crate) struct Scene {
-    pub(crate) judges: Vec<Judge>,
+pub(crate) struct Simulation {
+    pub(crate) monitors: Vec<Judge>,
     pub(crate) now: Moment,
     pub(crate) outputs: Vec<(Moment, usize, Output)>,
     random: ChaCha8Rng,
     upstreams: usize,
 }
 
-impl Scene {
+impl Simulation {
     pub(crate) fn new(entries: usize, upstreams: usize, setup: &Setup, seed: u64) -> Self {
-        let judge = |entry: usize| {
+        let monitor = |entry: usize| {
             let random = ChaCha8Rng::seed_from_u64(seed + entry as u64);
-            let mut judge = Judge::new(format!("e{entry}").into(), setup.clone(), random);
+            let mut monitor = Judge::new(format!("e{entry}").into(), setup.clone(), random);
             for upstream in 0..upstreams {
-                judge.handle(Moment::ZERO, member(upstream));
+                monitor.handle(Moment::ZERO, member(upstream));
             }
-            judge
+            monitor
         };
         Self {
-            judges: (0..entries).map(judge).collect(),
+            monitors: (0..entries).map(monitor).collect(),
             now: Moment::ZERO,
             outputs: Vec::new(),
             random: ChaCha8Rng::seed_from_u64(!seed),
@@ -46,85 +46,88 @@
         }
     }
 
-    /// Runs on until `until`: each tick, each upstream that an entry gives work
-    /// gets a request with a chance of `rate` a second.
-    pub(crate) fn run(&mut self, until: Moment, rate: f64, acting: Acting<'_>) {
+    /// Runs until `until`. Each entry sends each upstream `rate` requests a second on
+    /// average, times the upstream's weight.
+    pub(crate) fn run(&mut self, until: Moment, rate: f64, model: Model<'_>) {
         while self.now < until {
             self.now += Setup::TICK;
-            for entry in 0..self.judges.len() {
-                self.step(entry, rate, acting);
+            for entry in 0..self.monitors.len() {
+                self.tick(entry, rate, model);
             }
-            self.share();
+            self.exchange_digests();
         }
     }
 
-    /// Ejections of an upstream, by any entry.
+    /// Time and entry of each ejection of an upstream.
     pub(crate) fn ejections(&self, upstream: usize) -> Vec<(Moment, usize)> {
-        let name = name(upstream);
-        let is_it =
+        let name = upstream_name(upstream);
+        let is_ejection =
             |output: &Output| matches!(output, Output::Eject { upstream, .. } if *upstream == name);
-        let ejections = self.outputs.iter().filter(|(_, _, output)| is_it(output));
+        let ejections = self.outputs.iter().filter(|(_, _, output)| is_ejection(output));
         ejections.map(|(at, entry, _)| (*at, *entry)).collect()
     }
 
-    fn step(&mut self, entry: usize, rate: f64, acting: Acting<'_>) {
+    fn tick(&mut self, entry: usize, rate: f64, model: Model<'_>) {
         for position in 0..self.upstreams {
-            let upstream = name(position);
-            let weight = self.judges[entry].weight(&upstream);
+            let upstream = upstream_name(position);
+            let weight = self.monitors[entry].weight(&upstream);
             let chance = (rate * weight * Setup::TICK.as_secs_f64()).min(1.0);
             if !self.random.random_bool(chance) {
                 continue;
             }
             let spread = self.random.random_range(0.7..1.4);
-            let act = acting(entry, position, self.now);
-            let outcome =
-                Input::Outcome { kind: act.kind, latency: act.latency.mul_f64(spread), upstream };
-            self.judges[entry].handle(self.now, outcome);
+            let outcome = model(entry, position, self.now);
+            let input = Input::Outcome {
+                kind: outcome.kind,
+                latency: outcome.latency.mul_f64(spread),
+                upstream,
+            };
+            self.monitors[entry].handle(self.now, input);
         }
-        let outputs = self.judges[entry].handle(self.now, Input::Tick);
+        let outputs = self.monitors[entry].handle(self.now, Input::Tick);
         self.outputs.extend(outputs.into_iter().map(|output| (self.now, entry, output)));
     }
 
-    fn share(&mut self) {
-        let fresh = self.outputs.iter().rev().take_while(|(at, ..)| *at == self.now);
-        let digests: Vec<_> = fresh
+    fn exchange_digests(&mut self) {
+        let recent = self.outputs.iter().rev().take_while(|(at, ..)| *at == self.now);
+        let digests: Vec<_> = recent
             .filter_map(|(.., output)| match output {
                 Output::Share(digest) => Some(digest.clone()),
                 _ => None,
             })
             .collect();
         for digest in digests {
-            for judge in &mut self.judges {
-                judge.handle(self.now, Input::Digest(digest.clone()));
+            for monitor in &mut self.monitors {
+                monitor.handle(self.now, Input::Digest(digest.clone()));
             }
         }
     }
 }
 
-/// How a request ends.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Act {
+pub(crate) struct Outcome {
     pub(crate) kind: Kind,
     pub(crate) latency: Duration,
 }
 
-impl Act {
-    pub(crate) const SOUND: Self = Self { kind: Kind::Success, latency: USUAL };
+impl Outcome {
+    pub(crate) const SOUND: Self = Self { kind: Kind::Success, latency: USUAL_LATENCY };
 
     pub(crate) fn failing(kind: Kind) -> Self {
-        Self { kind, latency: USUAL }
+        Self { kind, latency: USUAL_LATENCY }
     }
 
-    pub(crate) fn slow(times: u32) -> Self {
-        Self { kind: Kind::Success, latency: USUAL * times }
+    pub(crate) fn slow(factor: u32) -> Self {
+        Self { kind: Kind::Success, latency: USUAL_LATENCY * factor }
     }
 }
 
 pub(crate) fn member(upstream: usize) -> Input {
-    Input::Member { domain: "dubrava".into(), slots: 4, upstream: name(upstream) }
+    Input::Member { domain: "dubrava".into(), slots: 4, upstream: upstream_name(upstream) }
 }
 
-pub(crate) fn name(upstream: usize) -> UpstreamId {
+pub(crate) fn upstream_name(upstream: usize) -> UpstreamId {
     format!("u{upstream:02}").into()
 }
 
--- a/tests/suite/health/sound.rs
+++ b/tests/suite/health/sound.rs
@@ -5,64 +5,65 @@
 use hemlockfield::health::Verdict;
 use rstest::rstest;
 
-use super::scene::Act;
-use super::scene::Scene;
-use super::scene::name;
-use super::scene::seconds;
-use super::scene::setup;
+use super::simulation::Outcome;
+use super::simulation::Simulation;
+use super::simulation::seconds;
+use super::simulation::setup;
+use super::simulation::upstream_name;
 
-/// The old register answers three times slower than its peers, always has, and is
-/// sound. Ejected, its capacity can't be replaced. It is judged by its own past,
-/// so it stays at both ends of the knob, over seeds.
+/// Two upstreams have always been three times slower than their peers, and are sound.
+/// If they were ejected, their capacity would be lost. They are compared with their
+/// own baseline, so they stay at both ends of the sensitivity, for all seeds.
 #[rstest]
 fn handle_slow_but_sound(#[values(0.0, 1.0)] sensitivity: f64) {
     for seed in 0..20 {
-        let mut scene = Scene::new(8, 8, &setup(sensitivity), seed);
-        scene.run(seconds(60), 3.0, &|_, upstream, _| {
-            if upstream < 2 { Act::slow(3) } else { Act::SOUND }
+        let mut simulation = Simulation::new(8, 8, &setup(sensitivity), seed);
+        simulation.run(seconds(60), 3.0, &|_, upstream, _| {
+            if upstream < 2 { Outcome::slow(3) } else { Outcome::SOUND }
         });
-        assert_eq!(scene.ejections(0), []);
-        assert_eq!(scene.ejections(1), []);
+        assert_eq!(simulation.ejections(0), []);
+        assert_eq!(simulation.ejections(1), []);
     }
 }
 
-/// Everything fails or slows down at once, as when a network or a store behind
-/// all upstreams does. Ejecting would only crowd callers on the rest.
+/// All upstreams fail or slow down at once, as when a network or a shared store does.
+/// Ejecting some would only overload the rest.
 #[rstest]
-#[case::errors(Act::failing(Kind::ServerError))]
-#[case::slow(Act::slow(8))]
-fn handle_shared_cause(#[case] gray: Act) {
-    let mut scene = Scene::new(8, 8, &setup(1.0), 2);
-    scene.run(seconds(30), 3.0, &|_, _, _| Act::SOUND);
-    scene.run(seconds(50), 3.0, &|_, _, _| gray);
-    let all: Vec<_> = (0..8).flat_map(|upstream| scene.ejections(upstream)).collect();
+#[case::errors(Outcome::failing(Kind::ServerError))]
+#[case::slow(Outcome::slow(8))]
+fn handle_shared_cause(#[case] gray: Outcome) {
+    let mut simulation = Simulation::new(8, 8, &setup(1.0), 2);
+    simulation.run(seconds(30), 3.0, &|_, _, _| Outcome::SOUND);
+    simulation.run(seconds(50), 3.0, &|_, _, _| gray);
+    let all: Vec<_> = (0..8).flat_map(|upstream| simulation.ejections(upstream)).collect();
     assert_eq!(all, []);
 }
 
-/// An upstream that sheds load says that it is full, not that it is ill. Were
-/// refusals failures, a burst would eject the upstreams that take the most.
+/// A refusal means that an upstream is full, not unhealthy. If refusals counted as
+/// failures, a burst would eject the upstreams with the most load.
 #[test]
 fn handle_refusals() {
-    let mut scene = Scene::new(4, 8, &setup(1.0), 2);
-    scene.run(seconds(30), 3.0, &|_, _, _| Act::SOUND);
-    scene.run(seconds(40), 3.0, &|_, upstream, _| {
-        if upstream == 3 { Act::failing(Kind::Refused) } else { Act::SOUND }
+    let mut simulation = Simulation::new(4, 8, &setup(1.0), 2);
+    simulation.run(seconds(30), 3.0, &|_, _, _| Outcome::SOUND);
+    simulation.run(seconds(40), 3.0, &|_, upstream, _| {
+        if upstream == 3 { Outcome::failing(Kind::Refused) } else { Outcome::SOUND }
     });
-    assert_eq!(scene.ejections(3), []);
+    assert_eq!(simulation.ejections(3), []);
 }
 
-/// One entry with a fault of its own blames an upstream that the others see
-/// answer. However much it claims, its word alone must convict nowhere else.
+/// One entry with a fault of its own sends evidence against an upstream that answers
+/// the others. Its evidence alone must not make another entry eject the upstream,
+/// however strong it is.
 #[test]
-fn handle_one_accuser() {
-    let mut scene = Scene::new(2, 8, &setup(1.0), 2);
-    scene.run(seconds(30), 3.0, &|_, _, _| Act::SOUND);
-    let item = Item { asks: true, sums: [[i16::MAX; 5]; 3], upstream: name(3) };
+fn handle_one_faulty_entry() {
+    let mut simulation = Simulation::new(2, 8, &setup(1.0), 2);
+    simulation.run(seconds(30), 3.0, &|_, _, _| Outcome::SOUND);
+    let item = Item { asks: true, sums: [[i16::MAX; 5]; 3], upstream: upstream_name(3) };
     for _ in 0..100 {
         let digest = Digest { from: "e9".into(), items: vec![item.clone()] };
-        scene.judges[0].handle(scene.now, Input::Digest(digest));
-        scene.run(scene.now + seconds(1), 3.0, &|_, _, _| Act::SOUND);
+        simulation.monitors[0].handle(simulation.now, Input::Digest(digest));
+        simulation.run(simulation.now + seconds(1), 3.0, &|_, _, _| Outcome::SOUND);
     }
-    assert_eq!(scene.ejections(3), []);
-    assert_eq!(scene.judges[0].verdict(&name(3)), Verdict::Sound);
+    assert_eq!(simulation.ejections(3), []);
+    assert_eq!(simulation.monitors[0].verdict(&upstream_name(3)), Verdict::Sound);
 }
