--- a/src/balance/verdicts.rs
+++ b/src/balance/verdicts.rs
@@ -1,4 +1,4 @@
-use crate::health::Judge;
+use crate::health::Monitor;
 
 /// What the balance asks of health.
 pub trait Verdicts {
@@ -11,8 +11,8 @@
     fn weight(&self, upstream: &str) -> f64;
 }
 
-impl Verdicts for Judge {
+impl Verdicts for Monitor {
     fn weight(&self, upstream: &str) -> f64 {
-        Judge::weight(self, upstream)
+        Monitor::weight(self, upstream)
     }
 }
--- a/src/bench/health/acting.rs
+++ b/src/bench/health/acting.rs
@@ -12,7 +12,7 @@
 use crate::clock::Moment;
 use crate::health::Digest;
 use crate::health::Input;
-use crate::health::Judge;
+use crate::health::Monitor;
 use crate::health::Output;
 use crate::health::Setup;
 use crate::model::Agent;
@@ -29,7 +29,7 @@
 
 /// The way of detecting; none for comparison.
 enum Means {
-    Judge(Box<Judge>),
+    Judge(Box<Monitor>),
     None,
     Simple { detector: Box<dyn Detector>, out: Out },
 }
--- a/src/bench/health/judged.rs
+++ b/src/bench/health/judged.rs
@@ -7,7 +7,7 @@
 use crate::balance::Setup;
 use crate::balance::State;
 use crate::health::Input;
-use crate::health::Judge;
+use crate::health::Monitor;
 use crate::id::NodeId;
 use crate::id::UpstreamId;
 use crate::model::Answer;
@@ -29,9 +29,9 @@
 }
 
 /// The judge of a modelled entry, told all upstreams.
-pub(crate) fn judge(plan: &Plan, entry: usize, setup: crate::health::Setup, seed: u64) -> Judge {
+pub(crate) fn judge(plan: &Plan, entry: usize, setup: crate::health::Setup, seed: u64) -> Monitor {
     let random = ChaCha8Rng::seed_from_u64(seed ^ ((entry as u64) << 32));
-    let mut judge = Judge::new(entry_name(entry), setup, random);
+    let mut judge = Monitor::new(entry_name(entry), setup, random);
     for position in 0..plan.upstreams {
         let domain = plan.domain(position).clone();
         let upstream = upstream_name(position);
--- a/src/bench/health/watcher.rs
+++ b/src/bench/health/watcher.rs
@@ -10,7 +10,7 @@
 use crate::clock::Moment;
 use crate::health::Digest;
 use crate::health::Input;
-use crate::health::Judge;
+use crate::health::Monitor;
 use crate::health::Output;
 use crate::health::Setup;
 use crate::model::Agent;
@@ -24,7 +24,7 @@
     chooser: Chooser,
     entries: usize,
     entry: usize,
-    judge: Judge,
+    judge: Monitor,
     log: &'a RefCell<Vec<Ejection>>,
     others: Vec<(Way, Box<dyn Detector>)>,
 }
--- a/src/health/input.rs
+++ b/src/health/input.rs
@@ -8,7 +8,7 @@
 use crate::id::DomainId;
 use crate::id::UpstreamId;
 
-/// Input of a [`crate::health::Judge`].
+/// Input of a [`crate::health::Monitor`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Input {
     /// Another entry's recent evidence.
--- a/src/health/judge.rs
+++ b/src/health/monitor.rs
@@ -19,7 +19,7 @@
 /// Monitors the health of one service's upstreams, as one entry sees them, and
 /// decides which of them to eject and readmit.
 #[derive(Clone, Debug)]
-pub struct Judge {
+pub struct Monitor {
     name: NodeId,
     peers: Peers,
     random: ChaCha8Rng,
@@ -29,7 +29,7 @@
     next_home_at: Moment,
 }
 
-impl Judge {
+impl Monitor {
     /// Difference of severity by which an ejected upstream must be better to replace
     /// one in service; a smaller one would swap equal upstreams back and forth.
     const REPLACEMENT_MARGIN: f64 = 0.4;
--- a/src/health/output.rs
+++ b/src/health/output.rs
@@ -5,7 +5,7 @@
 use crate::health::Reason;
 use crate::id::UpstreamId;
 
-/// Output of a [`crate::health::Judge`].
+/// Output of a [`crate::health::Monitor`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Output {
     /// The upstream gets no requests from now on.
--- a/src/node/core.rs
+++ b/src/node/core.rs
@@ -332,7 +332,7 @@
     }
 
     /// Verdicts on the upstreams of each service.
-    pub fn judges(&self) -> impl Iterator<Item = (&ServiceId, &health::Judge)> {
+    pub fn judges(&self) -> impl Iterator<Item = (&ServiceId, &health::Monitor)> {
         self.judges.iter()
     }
 
--- a/src/node/judges.rs
+++ b/src/node/judges.rs
@@ -10,7 +10,7 @@
 
 use crate::clock::Moment;
 use crate::health;
-use crate::health::Judge;
+use crate::health::Monitor;
 use crate::id::NodeId;
 use crate::id::ServiceId;
 use crate::id::UpstreamId;
@@ -27,7 +27,7 @@
 pub(super) struct Judges {
     at_floor: BTreeSet<ServiceId>,
     judged_at: Moment,
-    judges: BTreeMap<ServiceId, Judge>,
+    judges: BTreeMap<ServiceId, Monitor>,
     me: NodeId,
     random: ChaCha8Rng,
     recorder: Recorder,
@@ -50,11 +50,11 @@
         Self { at_floor: BTreeSet::new(), judged_at: now, judges, me, random, recorder }
     }
 
-    pub(super) fn get(&self, service: &ServiceId) -> Option<&Judge> {
+    pub(super) fn get(&self, service: &ServiceId) -> Option<&Monitor> {
         self.judges.get(service)
     }
 
-    pub(super) fn iter(&self) -> impl Iterator<Item = (&ServiceId, &Judge)> {
+    pub(super) fn iter(&self) -> impl Iterator<Item = (&ServiceId, &Monitor)> {
         self.judges.iter()
     }
 
@@ -134,7 +134,7 @@
         let seed = self.random.next_u64();
         let me = self.me.clone();
         let random = ChaCha8Rng::seed_from_u64(seed);
-        let judge = Judge::new(me.clone(), setup.clone(), random);
+        let judge = Monitor::new(me.clone(), setup.clone(), random);
         let made = || replay::Machine::Judge { name: me, seed, setup };
         tape(&self.recorder, name).machine(now, made);
         self.judges.insert(name.clone(), judge);
--- a/src/replay/machine.rs
+++ b/src/replay/machine.rs
@@ -24,7 +24,7 @@
         /// Seed of its jitter.
         seed: u64,
     },
-    /// A [`health::Judge`].
+    /// A [`health::Monitor`].
     Judge {
         /// Entry that it works in.
         name: NodeId,
--- a/src/replay/player.rs
+++ b/src/replay/player.rs
@@ -7,13 +7,13 @@
 use super::Retry;
 use crate::admission::Gate;
 use crate::clock::Moment;
-use crate::health::Judge;
+use crate::health::Monitor;
 use crate::retry;
 
 /// A machine at work.
 pub(super) enum Player {
     Gate(Box<Gate>),
-    Judge(Box<Judge>),
+    Judge(Box<Monitor>),
     Policy(Box<retry::Policy>),
 }
 
@@ -24,7 +24,7 @@
                 Self::Gate(Box::new(Gate::new(classes, random(*seed), now)))
             }
             Machine::Judge { name, seed, setup } => {
-                let judge = Judge::new(name.clone(), setup.clone(), random(*seed));
+                let judge = Monitor::new(name.clone(), setup.clone(), random(*seed));
                 Self::Judge(Box::new(judge))
             }
             Machine::Policy { seed } => Self::Policy(Box::new(retry::Policy::new(random(*seed)))),
--- a/tests/suite/health/floor.rs
+++ b/tests/suite/health/floor.rs
@@ -2,8 +2,8 @@
 
 use hemlockfield::clock::Moment;
 use hemlockfield::health::Input;
-use hemlockfield::health::Judge;
 use hemlockfield::health::Kind;
+use hemlockfield::health::Monitor;
 use hemlockfield::health::Output;
 use hemlockfield::health::Reason;
 use hemlockfield::health::Setup;
@@ -26,7 +26,7 @@
 /// Slots of the members, tracked by the test independently of the monitor.
 type Members = BTreeMap<UpstreamId, u32>;
 
-fn is_floor_held(monitor: &Judge, members: &Members, setup: &Setup) -> bool {
+fn is_floor_held(monitor: &Monitor, members: &Members, setup: &Setup) -> bool {
     let is_serving = |upstream: &&UpstreamId| {
         matches!(monitor.verdict(upstream), Verdict::Sound | Verdict::Suspect)
     };
@@ -48,7 +48,7 @@
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let setup = Setup { floor_count: count, floor_share: share, sensitivity: 1.0 };
         let monitor_random = ChaCha8Rng::seed_from_u64(!seed);
-        let mut monitor = Judge::new("e".into(), setup.clone(), monitor_random);
+        let mut monitor = Monitor::new("e".into(), setup.clone(), monitor_random);
         let mut members = Members::new();
         let mut now = Moment::ZERO;
         for _ in 0..2_000 {
--- a/tests/suite/health/simulation.rs
+++ b/tests/suite/health/simulation.rs
@@ -4,8 +4,8 @@
 
 use hemlockfield::clock::Moment;
 use hemlockfield::health::Input;
-use hemlockfield::health::Judge;
 use hemlockfield::health::Kind;
+use hemlockfield::health::Monitor;
 use hemlockfield::health::Output;
 use hemlockfield::health::Setup;
 use hemlockfield::id::UpstreamId;
@@ -20,7 +20,7 @@
 pub(crate) type Model<'a> = &'a dyn Fn(usize, usize, Moment) -> Outcome;
 
 pub(crate) struct Simulation {
-    pub(crate) monitors: Vec<Judge>,
+    pub(crate) monitors: Vec<Monitor>,
     pub(crate) now: Moment,
     pub(crate) outputs: Vec<(Moment, usize, Output)>,
     random: ChaCha8Rng,
@@ -31,7 +31,7 @@
     pub(crate) fn new(entries: usize, upstreams: usize, setup: &Setup, seed: u64) -> Self {
         let monitor = |entry: usize| {
             let random = ChaCha8Rng::seed_from_u64(seed + entry as u64);
-            let mut monitor = Judge::new(format!("e{entry}").into(), setup.clone(), random);
+            let mut monitor = Monitor::new(format!("e{entry}").into(), setup.clone(), random);
             for upstream in 0..upstreams {
                 monitor.handle(Moment::ZERO, member(upstream));
             }
--- a/tests/suite/replay/judge.rs
+++ b/tests/suite/replay/judge.rs
@@ -5,8 +5,8 @@
 
 use hemlockfield::clock::Moment;
 use hemlockfield::health::Input;
-use hemlockfield::health::Judge;
 use hemlockfield::health::Kind;
+use hemlockfield::health::Monitor;
 use hemlockfield::health::Setup;
 use hemlockfield::health::Verdict;
 use hemlockfield::id::UpstreamId;
@@ -34,7 +34,7 @@
 
 /// A trace in the making, and a judge that sees it.
 struct Scene {
-    judge: Judge,
+    judge: Monitor,
     lines: Vec<Line>,
     random: ChaCha8Rng,
     repeats: Vec<(u64, u64, u64, Input)>,
@@ -45,7 +45,7 @@
     fn new(sensitivity: f64, floor_share: f64) -> Self {
         let setup = Setup { floor_count: 2, floor_share, sensitivity };
         let random = ChaCha8Rng::seed_from_u64(SEED);
-        let judge = Judge::new("e00".into(), setup.clone(), random.clone());
+        let judge = Monitor::new("e00".into(), setup.clone(), random.clone());
         let machine = Some(Machine::Judge { name: "e00".into(), seed: SEED, setup });
         let lines = vec![Line { machine, ..Line::default() }];
         let mut scene = Self { judge, lines, random, repeats: Vec::new(), now: 0 };
--- a/tests/suite/replay/record.rs
+++ b/tests/suite/replay/record.rs
@@ -6,7 +6,7 @@
 use hemlockfield::admission::Pattern;
 use hemlockfield::clock::Moment;
 use hemlockfield::health;
-use hemlockfield::health::Judge;
+use hemlockfield::health::Monitor;
 use hemlockfield::replay::Input;
 use hemlockfield::replay::Line;
 use hemlockfield::replay::Machine;
@@ -66,7 +66,7 @@
 
 fn run_judge(tape: &Tape) -> Vec<(Moment, Output)> {
     let (seed, setup) = (9, health::Setup::default());
-    let mut judge = Judge::new("e00".into(), setup.clone(), ChaCha8Rng::seed_from_u64(seed));
+    let mut judge = Monitor::new("e00".into(), setup.clone(), ChaCha8Rng::seed_from_u64(seed));
     tape.machine(Moment::ZERO, || Machine::Judge { name: "e00".into(), seed, setup });
     let mut outputs = Vec::new();
     for (at, input) in judge::some() {
