--- a/src/health.rs
+++ b/src/health.rs
@@ -30,8 +30,8 @@
 mod reason;
 mod record;
 mod setup;
+mod status;
 mod suspicion;
-mod verdict;
 
 pub use baseline::Baseline;
 pub use digest::Digest;
@@ -43,4 +43,4 @@
 pub use output::Output;
 pub use reason::Reason;
 pub use setup::Setup;
-pub use verdict::Verdict;
+pub use status::Status;
--- a/src/health/monitor.rs
+++ b/src/health/monitor.rs
@@ -9,7 +9,7 @@
 use crate::health::Output;
 use crate::health::Reason;
 use crate::health::Setup;
-use crate::health::Verdict;
+use crate::health::Status;
 use crate::health::floor::Floor;
 use crate::health::peers::Peers;
 use crate::health::record::Record;
@@ -100,25 +100,25 @@
 
     /// Status of an upstream; an unknown one is sound.
     #[must_use]
-    pub fn verdict(&self, upstream: &str) -> Verdict {
+    pub fn status(&self, upstream: &str) -> Status {
         match self.records.get(upstream) {
-            Some(record) if record.state() == Verdict::Sound && record.is_suspect(&self.setup) => {
-                Verdict::Suspect
+            Some(record) if record.state() == Status::Sound && record.is_suspect(&self.setup) => {
+                Status::Suspect
             }
             Some(record) => record.state(),
-            None => Verdict::Sound,
+            None => Status::Sound,
         }
     }
 
     /// All upstreams with their statuses, sorted by name.
-    pub fn verdicts(&self) -> impl Iterator<Item = (&UpstreamId, Verdict)> {
-        self.records.keys().map(|upstream| (upstream, self.verdict(upstream)))
+    pub fn statuses(&self) -> impl Iterator<Item = (&UpstreamId, Status)> {
+        self.records.keys().map(|upstream| (upstream, self.status(upstream)))
     }
 
     /// Factor on the usual share of requests that an upstream should get.
     #[must_use]
     pub fn weight(&self, upstream: &str) -> f64 {
-        self.verdict(upstream).weight()
+        self.status(upstream).weight()
     }
 
     fn merge(&mut self, now: Moment, digest: Digest) {
@@ -164,7 +164,7 @@
     fn detect(&mut self, now: Moment) -> Vec<(f64, UpstreamId, Reason)> {
         let mut detected = Vec::new();
         for (upstream, record) in &mut self.records {
-            if record.state() == Verdict::Ejected {
+            if record.state() == Status::Ejected {
                 continue;
             }
             if let Some(reason) = record.detect(now, &self.setup) {
@@ -256,7 +256,7 @@
         let passed: Vec<UpstreamId> = self
             .records
             .iter()
-            .filter(|(_, record)| record.state() == Verdict::Trial && record.has_passed_trial())
+            .filter(|(_, record)| record.state() == Status::Trial && record.has_passed_trial())
             .map(|(upstream, _)| upstream.clone())
             .collect();
         for upstream in passed {
@@ -266,7 +266,7 @@
 
     fn start_trials(&mut self, now: Moment, outputs: &mut Vec<Output>) {
         for (upstream, record) in &mut self.records {
-            if record.state() == Verdict::Ejected && record.backoff().is_over(now) {
+            if record.state() == Status::Ejected && record.backoff().is_over(now) {
                 record.start_trial();
                 outputs.push(Output::Trial { upstream: upstream.clone() });
             }
--- a/src/health/record.rs
+++ b/src/health/record.rs
@@ -8,7 +8,7 @@
 use crate::health::Kind;
 use crate::health::Reason;
 use crate::health::Setup;
-use crate::health::Verdict;
+use crate::health::Status;
 use crate::health::backoff::Backoff;
 use crate::health::counters::Counters;
 use crate::health::fault::Fault;
@@ -29,7 +29,7 @@
     counters: Counters,
     slots: u32,
     slow_ejections: u32,
-    state: Verdict,
+    state: Status,
     trial_outcomes: u32,
 }
 
@@ -56,7 +56,7 @@
             counters: Counters::default(),
             slots: slots.max(1),
             slow_ejections: 0,
-            state: Verdict::Sound,
+            state: Status::Sound,
             trial_outcomes: 0,
         }
     }
@@ -70,7 +70,7 @@
     /// The fault that was detected, if any. On trial half of this entry's evidence
     /// suffices, as the upstream was ejected before.
     pub(crate) fn detect(&mut self, now: Moment, setup: &Setup) -> Option<Reason> {
-        let factor = if self.state == Verdict::Trial { 0.5 } else { 1.0 };
+        let factor = if self.state == Status::Trial { 0.5 } else { 1.0 };
         let fault = self.suspicion.detect(now, setup, setup.own_threshold() * factor);
         if fault.is_none() {
             self.kept = None;
@@ -84,7 +84,7 @@
             self.baseline.reset_latency();
             self.slow_ejections = 0;
         }
-        self.state = Verdict::Ejected;
+        self.state = Status::Ejected;
         self.backoff.start(now, random);
         self.suspicion.record_ejection(now);
         self.reset_counters();
@@ -92,7 +92,7 @@
 
     pub(crate) fn merge(&mut self, now: Moment, from: &NodeId, item: Item) {
         let is_query = self.suspicion.merge(now, from, item);
-        if is_query && self.state == Verdict::Ejected {
+        if is_query && self.state == Status::Ejected {
             self.backoff.postpone(now);
         }
     }
@@ -102,7 +102,7 @@
     }
 
     pub(crate) fn is_serving(&self) -> bool {
-        matches!(self.state, Verdict::Sound | Verdict::Suspect)
+        matches!(self.state, Status::Sound | Status::Suspect)
     }
 
     /// Whether evidence has reached half of a threshold.
@@ -123,14 +123,14 @@
     /// Adds an outcome to the baseline, unless the upstream is suspect: a gradual
     /// decline must not become the baseline.
     pub(crate) fn learn(&mut self, setup: &Setup, kind: Kind, latency: Duration) {
-        let is_usual = self.state == Verdict::Sound && !self.is_suspect(setup);
+        let is_usual = self.state == Status::Sound && !self.is_suspect(setup);
         if is_usual && kind != Kind::Refused {
             self.baseline.learn(kind.is_failure(), latency);
         }
     }
 
     pub(crate) fn add_outcome(&mut self, now: Moment, kind: Kind, latency: Duration, peers: Peers) {
-        if kind == Kind::Refused || self.state == Verdict::Ejected {
+        if kind == Kind::Refused || self.state == Status::Ejected {
             return;
         }
         let failure = Fault::of(kind);
@@ -158,7 +158,7 @@
 
     /// Sets the ages of the requests that still wait for their first byte.
     pub(crate) fn set_pending(&mut self, setup: &Setup, ages: &[Duration], peers: Peers) {
-        let is_comparable = self.baseline.is_ready() && self.state != Verdict::Ejected;
+        let is_comparable = self.baseline.is_ready() && self.state != Status::Ejected;
         let mut pending = 0.0;
         for age in ages.iter().filter(|_| is_comparable) {
             let beyond = age.saturating_sub(setup.pause());
@@ -169,7 +169,7 @@
     }
 
     pub(crate) fn readmit(&mut self, now: Moment) {
-        self.state = Verdict::Sound;
+        self.state = Status::Sound;
         self.backoff.restart(now);
         self.clear();
     }
@@ -199,11 +199,11 @@
     }
 
     pub(crate) fn start_trial(&mut self) {
-        self.state = Verdict::Trial;
+        self.state = Status::Trial;
         self.clear();
     }
 
-    pub(crate) fn state(&self) -> Verdict {
+    pub(crate) fn state(&self) -> Status {
         self.state
     }
 
--- a/src/health/verdict.rs
+++ b/src/health/status.rs
@@ -6,7 +6,7 @@
 /// The order matters: variants before [`Self::Trial`] are in service, and the floor
 /// readmits upstreams on trial before ejected ones.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
-pub enum Verdict {
+pub enum Status {
     /// Gets its full share of requests.
     Sound,
     /// Evidence has reached half of a threshold; gets a smaller share.
@@ -17,7 +17,7 @@
     Ejected,
 }
 
-impl Verdict {
+impl Status {
     /// Factor on the usual share of requests that an upstream gets.
     ///
     /// A suspect's share is reduced at once, which costs no capacity if the suspicion
--- a/src/node/attached/spoke.rs
+++ b/src/node/attached/spoke.rs
@@ -190,9 +190,9 @@
         for Known { said, .. } in self.upstreams.values() {
             let panel = self.breakers.get(&said.service);
             let verdict = match panel.map(|panel| panel.state(&said.upstream)) {
-                None | Some(State::Closed) => health::Verdict::Sound,
-                Some(State::Open { .. }) => health::Verdict::Ejected,
-                Some(State::Trial { .. }) => health::Verdict::Trial,
+                None | Some(State::Closed) => health::Status::Sound,
+                Some(State::Open { .. }) => health::Status::Ejected,
+                Some(State::Trial { .. }) => health::Status::Trial,
             };
             services.entry(said.service.clone()).or_default().push(status::Upstream {
                 usable: said.state == registry::State::Ready,
--- a/src/node/core/view.rs
+++ b/src/node/core/view.rs
@@ -3,7 +3,7 @@
 
 use crate::balance;
 use crate::clock::Moment;
-use crate::health::Verdict;
+use crate::health;
 use crate::id::ServiceId;
 use crate::node::Office;
 use crate::node::View;
@@ -39,7 +39,7 @@
             services.entry(said.service.clone()).or_default().push(status::Upstream {
                 usable: self.registry.is_usable(now, found),
                 upstream: said.upstream.clone(),
-                verdict: judge.map_or(Verdict::Sound, |judge| judge.verdict(&said.upstream)),
+                verdict: judge.map_or(health::Status::Sound, |judge| judge.status(&said.upstream)),
             });
         }
         services
--- a/src/node/status.rs
+++ b/src/node/status.rs
@@ -5,7 +5,7 @@
 use crate::config::Standing;
 use crate::config::Version;
 use crate::fleet;
-use crate::health::Verdict;
+use crate::health;
 use crate::id::ConfigNumber;
 use crate::id::DomainId;
 use crate::id::NodeId;
@@ -86,7 +86,7 @@
     /// Its name.
     pub upstream: UpstreamId,
     /// What this process holds of its health.
-    pub verdict: Verdict,
+    pub verdict: health::Status,
 }
 
 impl Status {
--- a/src/replay/expect.rs
+++ b/src/replay/expect.rs
@@ -3,7 +3,7 @@
 use serde_json::Value;
 
 use super::Micros;
-use crate::health::Verdict;
+use crate::health::Status;
 use crate::id::CallerId;
 use crate::id::UpstreamId;
 
@@ -62,7 +62,7 @@
     /// What is held of an upstream.
     Verdict {
         /// One of these.
-        is: Vec<Verdict>,
+        is: Vec<Status>,
         /// The upstream.
         upstream: UpstreamId,
     },
--- a/src/replay/run.rs
+++ b/src/replay/run.rs
@@ -14,7 +14,7 @@
 use crate::admission;
 use crate::admission::Arrival;
 use crate::clock::Moment;
-use crate::health::Verdict;
+use crate::health::Status;
 
 /// A replay under way.
 #[derive(Default)]
@@ -104,7 +104,7 @@
                 (all > 0 && share >= *least_share, format!("{} of {all}", all - late))
             }
             Expect::Verdict { is, upstream } => {
-                let verdict = self.verdict(line, upstream);
+                let verdict = self.status(line, upstream);
                 (is.contains(&verdict), format!("{verdict:?}"))
             }
             Expect::Waiting { most } => self.at_most(line, *most, admission::Gate::waiting),
@@ -174,16 +174,16 @@
     fn in_service(&self, line: &Line) -> usize {
         match self.players.get(&line.of) {
             Some(Player::Judge(judge)) => {
-                judge.verdicts().filter(|(_, verdict)| *verdict < Verdict::Trial).count()
+                judge.statuses().filter(|(_, verdict)| *verdict < Status::Trial).count()
             }
             _ => 0,
         }
     }
 
-    fn verdict(&self, line: &Line, upstream: &str) -> Verdict {
+    fn status(&self, line: &Line, upstream: &str) -> Status {
         match self.players.get(&line.of) {
-            Some(Player::Judge(judge)) => judge.verdict(upstream),
-            _ => Verdict::Sound,
+            Some(Player::Judge(judge)) => judge.status(upstream),
+            _ => Status::Sound,
         }
     }
 }
--- a/tests/suite/health/floor.rs
+++ b/tests/suite/health/floor.rs
@@ -7,7 +7,7 @@
 use hemlockfield::health::Output;
 use hemlockfield::health::Reason;
 use hemlockfield::health::Setup;
-use hemlockfield::health::Verdict;
+use hemlockfield::health::Status;
 use hemlockfield::id::UpstreamId;
 use proptest::prelude::ProptestConfig;
 use proptest::prelude::any;
@@ -28,7 +28,7 @@
 
 fn is_floor_held(monitor: &Monitor, members: &Members, setup: &Setup) -> bool {
     let is_serving = |upstream: &&UpstreamId| {
-        matches!(monitor.verdict(upstream), Verdict::Sound | Verdict::Suspect)
+        matches!(monitor.status(upstream), Status::Sound | Status::Suspect)
     };
     let serving: Vec<&UpstreamId> = members.keys().filter(is_serving).collect();
     let slots: u32 = serving.iter().map(|upstream| members[*upstream]).sum();
@@ -106,12 +106,12 @@
     while simulation.ejections(1).is_empty() && simulation.now < seconds(40) {
         simulation.run(simulation.now + Setup::TICK, 10.0, &partial);
     }
-    assert_eq!(simulation.monitors[0].verdict(&upstream_name(1)), Verdict::Ejected);
+    assert_eq!(simulation.monitors[0].status(&upstream_name(1)), Status::Ejected);
     simulation.run(simulation.now + seconds(2), 10.0, &|entry, upstream, now| {
         if upstream == 2 { Outcome::failing(Kind::Cut) } else { partial(entry, upstream, now) }
     });
-    assert_eq!(simulation.monitors[0].verdict(&upstream_name(2)), Verdict::Ejected);
-    assert_ne!(simulation.monitors[0].verdict(&upstream_name(1)), Verdict::Ejected);
+    assert_eq!(simulation.monitors[0].status(&upstream_name(2)), Status::Ejected);
+    assert_ne!(simulation.monitors[0].status(&upstream_name(1)), Status::Ejected);
 }
 
 /// Two faulty upstreams are ejected when a sound one leaves for good. The capacity in
@@ -123,7 +123,7 @@
     simulation.run(seconds(34), 5.0, &|_, upstream, _| {
         if upstream < 2 { Outcome::failing(Kind::ServerError) } else { Outcome::SOUND }
     });
-    assert_eq!(simulation.monitors[0].verdict(&upstream_name(0)), Verdict::Ejected);
+    assert_eq!(simulation.monitors[0].status(&upstream_name(0)), Status::Ejected);
     let outputs =
         simulation.monitors[0].handle(simulation.now, Input::Gone { upstream: upstream_name(3) });
     assert!(matches!(outputs[..], [Output::Readmit { reason: Reason::Floor, .. }]));
--- a/tests/suite/health/gray.rs
+++ b/tests/suite/health/gray.rs
@@ -2,7 +2,7 @@
 
 use hemlockfield::health::Input;
 use hemlockfield::health::Kind;
-use hemlockfield::health::Verdict;
+use hemlockfield::health::Status;
 use rstest::rstest;
 
 use super::simulation::Outcome;
@@ -31,7 +31,7 @@
         if upstream == 3 { gray } else { Outcome::SOUND }
     });
     for monitor in &simulation.monitors {
-        assert_eq!(monitor.verdict(&upstream_name(3)), Verdict::Ejected);
+        assert_eq!(monitor.status(&upstream_name(3)), Status::Ejected);
     }
     for sound in (0..8).filter(|upstream| *upstream != 3) {
         assert_eq!(simulation.ejections(sound), []);
@@ -53,8 +53,8 @@
         }
     });
     let monitors = simulation.monitors.iter();
-    assert!(monitors.clone().all(|monitor| monitor.verdict(&upstream_name(3)) == Verdict::Ejected));
-    assert!(monitors.clone().all(|monitor| monitor.verdict(&upstream_name(4)) == Verdict::Sound));
+    assert!(monitors.clone().all(|monitor| monitor.status(&upstream_name(3)) == Status::Ejected));
+    assert!(monitors.clone().all(|monitor| monitor.status(&upstream_name(4)) == Status::Sound));
 }
 
 /// Answers of one upstream no longer reach a quarter of the entries, because a network
@@ -69,7 +69,7 @@
         if is_lost { Outcome { kind: Kind::Silent, latency: seconds(1) } } else { Outcome::SOUND }
     });
     for (entry, monitor) in simulation.monitors.iter().enumerate() {
-        let is_ejected = monitor.verdict(&upstream_name(3)) != Verdict::Sound;
+        let is_ejected = monitor.status(&upstream_name(3)) != Status::Sound;
         assert_eq!(is_ejected, entry < 4, "entry {entry}");
     }
 }
@@ -88,5 +88,5 @@
         monitor.handle(now, Input::Pending { ages, upstream: upstream_name(3) });
         monitor.handle(now, Input::Tick);
     }
-    assert_eq!(monitor.verdict(&upstream_name(3)), Verdict::Ejected);
+    assert_eq!(monitor.status(&upstream_name(3)), Status::Ejected);
 }
--- a/tests/suite/health/report.rs
+++ b/tests/suite/health/report.rs
@@ -1,6 +1,6 @@
 use hemlockfield::health::Input;
 use hemlockfield::health::Kind;
-use hemlockfield::health::Verdict;
+use hemlockfield::health::Status;
 
 use super::simulation::Outcome;
 use super::simulation::Simulation;
@@ -48,5 +48,5 @@
         simulation.run(seconds(second), 3.0, &|_, _, _| Outcome::SOUND);
     }
     assert_eq!(simulation.ejections(3), []);
-    assert_eq!(simulation.monitors[0].verdict(&upstream_name(3)), Verdict::Sound);
+    assert_eq!(simulation.monitors[0].status(&upstream_name(3)), Status::Sound);
 }
--- a/tests/suite/health/sound.rs
+++ b/tests/suite/health/sound.rs
@@ -2,7 +2,7 @@
 use hemlockfield::health::Input;
 use hemlockfield::health::Item;
 use hemlockfield::health::Kind;
-use hemlockfield::health::Verdict;
+use hemlockfield::health::Status;
 use rstest::rstest;
 
 use super::simulation::Outcome;
@@ -65,5 +65,5 @@
         simulation.run(simulation.now + seconds(1), 3.0, &|_, _, _| Outcome::SOUND);
     }
     assert_eq!(simulation.ejections(3), []);
-    assert_eq!(simulation.monitors[0].verdict(&upstream_name(3)), Verdict::Sound);
+    assert_eq!(simulation.monitors[0].status(&upstream_name(3)), Status::Sound);
 }
--- a/tests/suite/health/trial.rs
+++ b/tests/suite/health/trial.rs
@@ -3,7 +3,7 @@
 use hemlockfield::clock::Moment;
 use hemlockfield::health::Kind;
 use hemlockfield::health::Output;
-use hemlockfield::health::Verdict;
+use hemlockfield::health::Status;
 
 use super::simulation::Outcome;
 use super::simulation::Simulation;
@@ -24,9 +24,7 @@
     let is_trial = |output: &Output| matches!(output, Output::Trial { .. });
     assert!(simulation.outputs.iter().any(|(.., output)| is_trial(output)));
     let monitors = simulation.monitors.iter();
-    assert!(
-        monitors.into_iter().all(|monitor| monitor.verdict(&upstream_name(3)) == Verdict::Sound)
-    );
+    assert!(monitors.into_iter().all(|monitor| monitor.status(&upstream_name(3)) == Status::Sound));
 }
 
 /// The upstream still fails on trial. It must be ejected again after a few requests:
--- a/tests/suite/replay/judge.rs
+++ b/tests/suite/replay/judge.rs
@@ -8,7 +8,7 @@
 use hemlockfield::health::Kind;
 use hemlockfield::health::Monitor;
 use hemlockfield::health::Setup;
-use hemlockfield::health::Verdict;
+use hemlockfield::health::Status;
 use hemlockfield::id::UpstreamId;
 use hemlockfield::replay;
 use hemlockfield::replay::Expect;
@@ -144,7 +144,7 @@
     let mut scene = scene.sound(end, &all(end, &[3]));
     scene.gray(3, START, end, kind, latency);
     let why = "callers are moved off it in the time aimed at";
-    scene.end(end, &[3], vec![expect(START + within, is(3, &[Verdict::Ejected]), why)])
+    scene.end(end, &[3], vec![expect(START + within, is(3, &[Status::Ejected]), why)])
 }
 
 /// Nothing comes back: what waits is evidence before the first one gives up after 1 s.
@@ -161,7 +161,7 @@
         }
     }
     let why = "callers are moved off it in the time aimed at";
-    scene.end(end, &[3], vec![expect(START + FAST, is(3, &[Verdict::Ejected]), why)])
+    scene.end(end, &[3], vec![expect(START + FAST, is(3, &[Status::Ejected]), why)])
 }
 
 /// Three seconds bad and three good by turns.
@@ -173,7 +173,7 @@
         let from = START + turn * 6_000;
         scene.gray(3, from, from + 3_000, Kind::ServerError, 25);
         scene.gray(3, from + 3_000, from + 6_000, Kind::Success, 25);
-        let off = is(3, &[Verdict::Ejected, Verdict::Trial]);
+        let off = is(3, &[Status::Ejected, Status::Trial]);
         expects.push(expect(from + FAST, off, "each bad turn finds callers moved off"));
     }
     scene.end(end, &[3], expects)
@@ -216,8 +216,8 @@
     scene.gray(3, START, START + 3_000, Kind::ServerError, 25);
     scene.gray(3, START + 3_000, end, Kind::Success, 25);
     let expects = vec![
-        expect(START + FAST, is(3, &[Verdict::Ejected]), "callers are moved off it"),
-        expect(end, is(3, &[Verdict::Sound]), "it serves again in half a minute"),
+        expect(START + FAST, is(3, &[Status::Ejected]), "callers are moved off it"),
+        expect(end, is(3, &[Status::Sound]), "it serves again in half a minute"),
     ];
     scene.end(end, &[3], expects)
 }
@@ -249,7 +249,7 @@
     (0..UPSTREAMS).map(|upstream| (upstream, 0, until(&upstream), 1)).collect()
 }
 
-fn is(upstream: usize, is: &[Verdict]) -> Expect {
+fn is(upstream: usize, is: &[Status]) -> Expect {
     Expect::Verdict { is: is.to_vec(), upstream: name(upstream) }
 }
 
