--- a/src/bench/health.rs
+++ b/src/bench/health.rs
@@ -19,9 +19,9 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
+use crate::health::Config;
 use crate::health::Input;
 use crate::health::Kind;
-use crate::health::Setup;
 use crate::model::Agent;
 use crate::model::Fault;
 use crate::model::Gray;
@@ -106,7 +106,7 @@
     let mut whole = Outcome::default();
     for seed in 0..seeds {
         let (plan, _) = failing(plan, seed);
-        let setup = Setup { floor_count: 2, floor_share: 0.6, sensitivity };
+        let setup = Config { floor_count: 2, floor_share: 0.6, sensitivity };
         let agent = |entry| Acting::new(&plan, entry, way, setup.clone(), seed);
         let agents = (0..plan.entries).map(|entry| Box::new(agent(entry)) as Box<dyn Agent>);
         let outcome = World::new(plan.clone(), agents.collect(), seed).run();
@@ -141,10 +141,10 @@
 fn cost() -> String {
     const TICKS: u32 = 5_000;
     let plan = Plan { upstreams: 56, ..Plan::hull_register() };
-    let mut judge = judged::judge(&plan, 0, Setup::default(), 0);
+    let mut judge = judged::judge(&plan, 0, Config::default(), 0);
     let started = Instant::now();
     for tick in 0..TICKS {
-        let now = Setup::TICK * tick;
+        let now = Config::TICK * tick;
         let upstream = judged::upstream_name(tick as usize % plan.upstreams);
         let latency = plan.service;
         judge.handle(now, Input::Outcome { kind: Kind::Success, latency, upstream });
--- a/src/bench/health/acting.rs
+++ b/src/bench/health/acting.rs
@@ -10,11 +10,11 @@
 use super::threshold::Threshold;
 use crate::balance::Verdicts;
 use crate::clock::Moment;
+use crate::health::Config;
 use crate::health::Digest;
 use crate::health::Input;
 use crate::health::Monitor;
 use crate::health::Output;
-use crate::health::Setup;
 use crate::model::Agent;
 use crate::model::Answer;
 use crate::model::Choice;
@@ -52,7 +52,7 @@
         plan: &Plan,
         entry: usize,
         way: Option<Way>,
-        setup: Setup,
+        setup: Config,
         seed: u64,
     ) -> Self {
         let simple = |detector: Box<dyn Detector>| Means::Simple {
--- a/src/bench/health/judged.rs
+++ b/src/bench/health/judged.rs
@@ -29,7 +29,7 @@
 }
 
 /// The judge of a modelled entry, told all upstreams.
-pub(crate) fn judge(plan: &Plan, entry: usize, setup: crate::health::Setup, seed: u64) -> Monitor {
+pub(crate) fn judge(plan: &Plan, entry: usize, setup: crate::health::Config, seed: u64) -> Monitor {
     let random = ChaCha8Rng::seed_from_u64(seed ^ ((entry as u64) << 32));
     let mut judge = Monitor::new(entry_name(entry), setup, random);
     for position in 0..plan.upstreams {
--- a/src/bench/health/watcher.rs
+++ b/src/bench/health/watcher.rs
@@ -8,11 +8,11 @@
 use super::judged;
 use super::threshold::Threshold;
 use crate::clock::Moment;
+use crate::health::Config;
 use crate::health::Digest;
 use crate::health::Input;
 use crate::health::Monitor;
 use crate::health::Output;
-use crate::health::Setup;
 use crate::model::Agent;
 use crate::model::Answer;
 use crate::model::Choice;
@@ -37,7 +37,7 @@
         seed: u64,
         log: &'a RefCell<Vec<Ejection>>,
     ) -> Self {
-        let setup = Setup { floor_count: 2, floor_share: 0.6, sensitivity };
+        let setup = Config { floor_count: 2, floor_share: 0.6, sensitivity };
         let others: Vec<(Way, Box<dyn Detector>)> = vec![
             (Way::Consecutive, Box::new(Consecutive::new(plan.upstreams))),
             (Way::Threshold, Box::new(Threshold::new(plan.upstreams))),
--- a/src/health.rs
+++ b/src/health.rs
@@ -16,6 +16,7 @@
 
 mod backoff;
 mod baseline;
+mod config;
 mod counters;
 mod digest;
 mod evidence;
@@ -29,11 +30,11 @@
 mod peers;
 mod reason;
 mod record;
-mod setup;
 mod status;
 mod suspicion;
 
 pub use baseline::Baseline;
+pub use config::Config;
 pub use digest::Digest;
 pub use digest::Item;
 pub use evidence::Evidence;
@@ -42,5 +43,4 @@
 pub use monitor::Monitor;
 pub use output::Output;
 pub use reason::Reason;
-pub use setup::Setup;
 pub use status::Status;
--- a/src/health/setup.rs
+++ b/src/health/config.rs
@@ -7,7 +7,7 @@
 
 /// Health configuration of a service, set by the operator.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Setup {
+pub struct Config {
     /// Number of upstreams that must stay in service; all of them if there are fewer.
     pub floor_count: usize,
     /// Share of the announced slots that must stay in service, 0.0 to 1.0.
@@ -16,7 +16,7 @@
     pub sensitivity: f64,
 }
 
-impl Setup {
+impl Config {
     /// Time between two ticks: a tenth of the fastest detection aimed at, so that
     /// waiting for a tick adds little to it.
     pub const TICK: Duration = Duration::from_millis(100);
@@ -67,7 +67,7 @@
     }
 }
 
-impl Default for Setup {
+impl Default for Config {
     fn default() -> Self {
         Self { floor_count: 1, floor_share: 0.5, sensitivity: 0.5 }
     }
--- a/src/health/floor.rs
+++ b/src/health/floor.rs
@@ -1,4 +1,4 @@
-use crate::health::Setup;
+use crate::health::Config;
 use crate::health::record::Record;
 
 /// Capacity in service, compared with the minimum that the operator configured.
@@ -14,7 +14,7 @@
 }
 
 impl Floor {
-    pub(crate) fn of<'a>(setup: &Setup, records: impl Iterator<Item = &'a Record>) -> Self {
+    pub(crate) fn of<'a>(config: &Config, records: impl Iterator<Item = &'a Record>) -> Self {
         let mut floor = Self::default();
         let mut members = 0;
         let mut slots: u64 = 0;
@@ -26,8 +26,8 @@
                 floor.serving_slots += u64::from(record.slots());
             }
         }
-        let share = setup.floor_share.clamp(0.0, 1.0);
-        floor.required_count = setup.floor_count.min(members);
+        let share = config.floor_share.clamp(0.0, 1.0);
+        floor.required_count = config.floor_count.min(members);
         floor.required_slots = (share * slots as f64).ceil() as u64;
         floor
     }
--- a/src/health/input.rs
+++ b/src/health/input.rs
@@ -52,6 +52,6 @@
         /// Upstream.
         upstream: UpstreamId,
     },
-    /// Time has passed. Due every [`crate::health::Setup::TICK`].
+    /// Time has passed. Due every [`crate::health::Config::TICK`].
     Tick,
 }
--- a/src/health/monitor.rs
+++ b/src/health/monitor.rs
@@ -4,11 +4,11 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::clock::Moment;
+use crate::health::Config;
 use crate::health::Digest;
 use crate::health::Input;
 use crate::health::Output;
 use crate::health::Reason;
-use crate::health::Setup;
 use crate::health::Status;
 use crate::health::floor::Floor;
 use crate::health::peers::Peers;
@@ -24,7 +24,7 @@
     peers: Peers,
     random: ChaCha8Rng,
     records: BTreeMap<UpstreamId, Record>,
-    setup: Setup,
+    config: Config,
     next_share_at: Moment,
     next_home_at: Moment,
 }
@@ -35,7 +35,7 @@
     const REPLACEMENT_MARGIN: f64 = 0.4;
     /// Time between two digests to all entries. Sent at every tick, as detection
     /// would otherwise wait for them; upstreams are rarely suspected.
-    const SHARE_INTERVAL: Duration = Setup::TICK;
+    const SHARE_INTERVAL: Duration = Config::TICK;
     /// Time between two digests to the home entries.
     const HOME_INTERVAL: Duration = Duration::from_secs(1);
     /// Share of suspect or ejected upstreams above which the cause must be shared.
@@ -43,13 +43,13 @@
 
     /// Creates a monitor in the entry `name`.
     #[must_use]
-    pub fn new(name: NodeId, setup: Setup, random: ChaCha8Rng) -> Self {
+    pub fn new(name: NodeId, config: Config, random: ChaCha8Rng) -> Self {
         Self {
             name,
             peers: Peers::default(),
             random,
             records: BTreeMap::new(),
-            setup,
+            config,
             next_share_at: Moment::ZERO,
             next_home_at: Moment::ZERO,
         }
@@ -72,12 +72,12 @@
             Input::Outcome { kind, latency, upstream } => {
                 if let Some(record) = self.records.get_mut(&upstream) {
                     record.add_outcome(now, kind, latency, self.peers);
-                    record.learn(&self.setup, kind, latency);
+                    record.learn(&self.config, kind, latency);
                 }
             }
             Input::Pending { ages, upstream } => {
                 if let Some(record) = self.records.get_mut(&upstream) {
-                    record.set_pending(&self.setup, &ages, self.peers);
+                    record.set_pending(&self.config, &ages, self.peers);
                 }
             }
             Input::Report { healthy, upstream } => {
@@ -91,9 +91,9 @@
     }
 
     /// Replaces the configuration.
-    pub fn set_setup(&mut self, now: Moment, setup: Setup) -> Vec<Output> {
+    pub fn set_config(&mut self, now: Moment, config: Config) -> Vec<Output> {
         let mut outputs = Vec::new();
-        self.setup = setup;
+        self.config = config;
         self.restore_floor(now, &mut outputs);
         outputs
     }
@@ -102,7 +102,7 @@
     #[must_use]
     pub fn status(&self, upstream: &str) -> Status {
         match self.records.get(upstream) {
-            Some(record) if record.state() == Status::Sound && record.is_suspect(&self.setup) => {
+            Some(record) if record.state() == Status::Sound && record.is_suspect(&self.config) => {
                 Status::Suspect
             }
             Some(record) => record.state(),
@@ -167,7 +167,7 @@
             if record.state() == Status::Ejected {
                 continue;
             }
-            if let Some(reason) = record.detect(now, &self.setup) {
+            if let Some(reason) = record.detect(now, &self.config) {
                 detected.push((record.severity(), upstream.clone(), reason));
             }
         }
@@ -187,7 +187,7 @@
         if is_serving && (self.peers.share(reason) || self.has_shared_cause()) {
             return Some(Reason::Shared);
         }
-        let floor = Floor::of(&self.setup, self.records.values());
+        let floor = Floor::of(&self.config, self.records.values());
         if is_serving && !floor.allows(record, None) {
             let Some(replacement) = self.replacement(record, floor) else {
                 return Some(Reason::Floor);
@@ -214,7 +214,7 @@
     /// Whether so many upstreams are suspect or out of service that the cause must be
     /// shared.
     fn has_shared_cause(&self) -> bool {
-        let is_bad = |record: &&Record| !record.is_serving() || record.is_suspect(&self.setup);
+        let is_bad = |record: &&Record| !record.is_serving() || record.is_suspect(&self.config);
         let bad = self.records.values().filter(is_bad).count();
         bad as f64 > Self::SHARED_CAUSE_RATIO * self.records.len() as f64
     }
@@ -235,7 +235,7 @@
     /// Readmits upstreams while the floor doesn't hold, as when sound upstreams leave
     /// after others were ejected. Those on trial come first, then the least severe.
     fn restore_floor(&mut self, now: Moment, outputs: &mut Vec<Output>) {
-        while !Floor::of(&self.setup, self.records.values()).holds() {
+        while !Floor::of(&self.config, self.records.values()).holds() {
             let least_severe = self
                 .records
                 .iter()
--- a/src/health/record.rs
+++ b/src/health/record.rs
@@ -4,10 +4,10 @@
 
 use crate::clock::Moment;
 use crate::health::Baseline;
+use crate::health::Config;
 use crate::health::Item;
 use crate::health::Kind;
 use crate::health::Reason;
-use crate::health::Setup;
 use crate::health::Status;
 use crate::health::backoff::Backoff;
 use crate::health::counters::Counters;
@@ -69,9 +69,9 @@
 
     /// The fault that was detected, if any. On trial half of this entry's evidence
     /// suffices, as the upstream was ejected before.
-    pub(crate) fn detect(&mut self, now: Moment, setup: &Setup) -> Option<Reason> {
+    pub(crate) fn detect(&mut self, now: Moment, config: &Config) -> Option<Reason> {
         let factor = if self.state == Status::Trial { 0.5 } else { 1.0 };
-        let fault = self.suspicion.detect(now, setup, setup.own_threshold() * factor);
+        let fault = self.suspicion.detect(now, config, config.own_threshold() * factor);
         if fault.is_none() {
             self.kept = None;
         }
@@ -106,8 +106,8 @@
     }
 
     /// Whether evidence has reached half of a threshold.
-    pub(crate) fn is_suspect(&self, setup: &Setup) -> bool {
-        self.suspicion.is_suspect(setup)
+    pub(crate) fn is_suspect(&self, config: &Config) -> bool {
+        self.suspicion.is_suspect(config)
     }
 
     /// Evidence for all other entries, if there was a recent query or ejection.
@@ -122,8 +122,8 @@
 
     /// Adds an outcome to the baseline, unless the upstream is suspect: a gradual
     /// decline must not become the baseline.
-    pub(crate) fn learn(&mut self, setup: &Setup, kind: Kind, latency: Duration) {
-        let is_usual = self.state == Status::Sound && !self.is_suspect(setup);
+    pub(crate) fn learn(&mut self, config: &Config, kind: Kind, latency: Duration) {
+        let is_usual = self.state == Status::Sound && !self.is_suspect(config);
         if is_usual && kind != Kind::Refused {
             self.baseline.learn(kind.is_failure(), latency);
         }
@@ -157,11 +157,11 @@
     }
 
     /// Sets the ages of the requests that still wait for their first byte.
-    pub(crate) fn set_pending(&mut self, setup: &Setup, ages: &[Duration], peers: Peers) {
+    pub(crate) fn set_pending(&mut self, config: &Config, ages: &[Duration], peers: Peers) {
         let is_comparable = self.baseline.is_ready() && self.state != Status::Ejected;
         let mut pending = 0.0;
         for age in ages.iter().filter(|_| is_comparable) {
-            let beyond = age.saturating_sub(setup.pause());
+            let beyond = age.saturating_sub(config.pause());
             let excess = self.baseline.excess(beyond) - peers.shift;
             pending += likelihood::waiting_step(excess, self.baseline.spread());
         }
--- a/src/health/suspicion.rs
+++ b/src/health/suspicion.rs
@@ -2,9 +2,9 @@
 use std::time::Duration;
 
 use crate::clock::Moment;
+use crate::health::Config;
 use crate::health::Evidence;
 use crate::health::Item;
-use crate::health::Setup;
 use crate::health::fault::Fault;
 use crate::id::NodeId;
 use crate::id::UpstreamId;
@@ -70,7 +70,7 @@
     pub(crate) fn detect(
         &mut self,
         now: Moment,
-        setup: &Setup,
+        config: &Config,
         own_threshold: f64,
     ) -> Option<Fault> {
         if self.is_negligible() {
@@ -80,14 +80,14 @@
         let mut detected = None;
         for fault in Fault::ALL {
             let is_own = self.own(fault) >= own_threshold && self.is_current(fault);
-            let is_pooled = self.is_pooled(fault, setup.pooled_threshold(fault));
+            let is_pooled = self.is_pooled(fault, config.pooled_threshold(fault));
             let above_since = &mut self.above_since[fault as usize];
             if !is_own && !is_pooled {
                 *above_since = None;
                 continue;
             }
             let since = *above_since.get_or_insert(now);
-            let is_lasting = now >= since + setup.persistence(fault);
+            let is_lasting = now >= since + config.persistence(fault);
             if is_lasting && (is_own || self.accepts_pooled(fault)) {
                 detected = detected.or(Some(fault));
             }
@@ -113,15 +113,15 @@
 
     /// Whether evidence, this entry's or all entries', has reached half of its
     /// threshold.
-    pub(crate) fn is_suspect(&self, setup: &Setup) -> bool {
+    pub(crate) fn is_suspect(&self, config: &Config) -> bool {
         if self.is_negligible() {
             return false;
         }
         let is_pooled = |fault: &Fault| {
             self.accepts_pooled(*fault)
-                && self.is_pooled(*fault, setup.pooled_threshold(*fault) / 2.0)
+                && self.is_pooled(*fault, config.pooled_threshold(*fault) / 2.0)
         };
-        self.max_own() >= setup.own_threshold() / 2.0 || Fault::ALL.iter().any(is_pooled)
+        self.max_own() >= config.own_threshold() / 2.0 || Fault::ALL.iter().any(is_pooled)
     }
 
     /// Evidence for all other entries, if there was a recent query or ejection.
--- a/src/model/agent.rs
+++ b/src/model/agent.rs
@@ -22,7 +22,7 @@
     /// Chooses an upstream, none of `avoid`.
     fn pick(&mut self, now: Moment, avoid: &[usize]) -> Option<Choice>;
 
-    /// Time went on by [`crate::health::Setup::TICK`]; returns evidence for one
+    /// Time went on by [`crate::health::Config::TICK`]; returns evidence for one
     /// other entry, by position, or for all.
     fn tick(&mut self, _now: Moment) -> Vec<(Option<usize>, Digest)> {
         Vec::new()
--- a/src/model/world.rs
+++ b/src/model/world.rs
@@ -7,8 +7,8 @@
 
 use crate::balance::Report;
 use crate::clock::Moment;
+use crate::health::Config;
 use crate::health::Kind;
-use crate::health::Setup;
 use crate::model::Agent;
 use crate::model::Answer;
 use crate::model::Gray;
@@ -64,7 +64,7 @@
     #[must_use]
     pub fn run(mut self) -> Outcome {
         self.at(Moment::ZERO, Event::Ask);
-        self.at(Setup::TICK, Event::Tick);
+        self.at(Config::TICK, Event::Tick);
         while let Some(due) = self.due.pop() {
             if due.at > self.plan.length {
                 break;
@@ -234,7 +234,7 @@
     }
 
     fn tick(&mut self, now: Moment) {
-        self.at(now + Setup::TICK, Event::Tick);
+        self.at(now + Config::TICK, Event::Tick);
         let ticks = self.agents.iter_mut().flat_map(|agent| agent.tick(now));
         let digests: Vec<_> = ticks.collect();
         for (to, digest) in &digests {
@@ -244,7 +244,7 @@
                 }
             }
         }
-        let chance = Setup::TICK.as_secs_f64() / self.plan.pause_each.as_secs_f64();
+        let chance = Config::TICK.as_secs_f64() / self.plan.pause_each.as_secs_f64();
         for paused in &mut self.paused_until {
             if self.random.random_bool(chance.min(1.0)) {
                 *paused = now + Plan::PAUSE;
--- a/src/node/judges.rs
+++ b/src/node/judges.rs
@@ -65,7 +65,7 @@
 
     /// When the judges want to be told the time.
     pub(super) fn wake(&self) -> Moment {
-        self.judged_at + health::Setup::TICK
+        self.judged_at + health::Config::TICK
     }
 
     pub(super) fn tell(
@@ -109,7 +109,7 @@
         let mut fresh = Vec::new();
         let mut told = Vec::new();
         for (name, service) in rules.services() {
-            let setup = health::Setup {
+            let setup = health::Config {
                 floor_count: 1,
                 floor_share: service.floor,
                 sensitivity: service.sensitivity,
@@ -118,7 +118,7 @@
                 Some(judge) => {
                     let input = || replay::Input::Setup(setup.clone());
                     tape(&self.recorder, name).input(now, input);
-                    let done = judge.set_setup(now, setup);
+                    let done = judge.set_config(now, setup);
                     told.extend(self.told(name, done));
                 }
                 None => {
@@ -130,7 +130,7 @@
         (fresh, told)
     }
 
-    fn add(&mut self, now: Moment, name: &ServiceId, setup: health::Setup) {
+    fn add(&mut self, now: Moment, name: &ServiceId, setup: health::Config) {
         let seed = self.random.next_u64();
         let me = self.me.clone();
         let random = ChaCha8Rng::seed_from_u64(seed);
--- a/src/node/traffic/queue.rs
+++ b/src/node/traffic/queue.rs
@@ -33,7 +33,7 @@
 const GAUGES: Duration = Duration::from_secs(1);
 /// Longest time between two looks, where nothing waits: as often as a judge looks, and a
 /// fiftieth of what a look every 5 ms costs an idle process.
-const IDLE: Duration = health::Setup::TICK;
+const IDLE: Duration = health::Config::TICK;
 
 /// The gate of one service, and those that wait before it.
 pub(in crate::node) struct Queue {
@@ -201,7 +201,7 @@
         let now = shared.now();
         services.iter().for_each(|service| service.queue.tick(now));
         if now >= overdue_at {
-            overdue_at = now + health::Setup::TICK;
+            overdue_at = now + health::Config::TICK;
             services.iter().for_each(|service| tell_overdue(&shared, service));
         }
         if now >= gauges_at {
--- a/src/replay/input.rs
+++ b/src/replay/input.rs
@@ -19,7 +19,7 @@
     /// To a policy.
     Policy(Retry),
     /// To a judge: the operator changed what it goes by.
-    Setup(health::Setup),
+    Setup(health::Config),
 }
 
 /// What a retry policy is told or asked.
--- a/src/replay/machine.rs
+++ b/src/replay/machine.rs
@@ -31,7 +31,7 @@
         /// Seed of its trials.
         seed: u64,
         /// What the operator set.
-        setup: health::Setup,
+        setup: health::Config,
     },
     /// A [`retry::Policy`](crate::retry::Policy).
     Policy {
--- a/src/replay/player.rs
+++ b/src/replay/player.rs
@@ -41,7 +41,7 @@
                 judge.handle(now, input).into_iter().map(Output::Judge).collect()
             }
             (Self::Judge(judge), Input::Setup(setup)) => {
-                judge.set_setup(now, setup).into_iter().map(Output::Judge).collect()
+                judge.set_config(now, setup).into_iter().map(Output::Judge).collect()
             }
             (Self::Policy(policy), Input::Policy(input)) => {
                 policy.advance(now);
--- a/tests/suite/health/digest.rs
+++ b/tests/suite/health/digest.rs
@@ -4,8 +4,8 @@
 use hemlockfield::health::Output;
 
 use super::simulation::Simulation;
+use super::simulation::config;
 use super::simulation::seconds;
-use super::simulation::setup;
 use super::simulation::upstream_name;
 
 /// A node has a budget of 3 KB a second for all its gossip. A digest on one upstream,
@@ -25,7 +25,7 @@
 /// up their evidence and must query all entries.
 #[test]
 fn handle_home_pools_evidence() {
-    let mut home = Simulation::new(1, 8, &setup(1.0), 1);
+    let mut home = Simulation::new(1, 8, &config(1.0), 1);
     let monitor = &mut home.monitors[0];
     let failure = (3.4 * Item::UNITS) as i16;
     let digest = |from: &str| {
--- a/tests/suite/health/floor.rs
+++ b/tests/suite/health/floor.rs
@@ -1,12 +1,12 @@
 use std::collections::BTreeMap;
 
 use hemlockfield::clock::Moment;
+use hemlockfield::health::Config;
 use hemlockfield::health::Input;
 use hemlockfield::health::Kind;
 use hemlockfield::health::Monitor;
 use hemlockfield::health::Output;
 use hemlockfield::health::Reason;
-use hemlockfield::health::Setup;
 use hemlockfield::health::Status;
 use hemlockfield::id::UpstreamId;
 use proptest::prelude::ProptestConfig;
@@ -19,22 +19,22 @@
 
 use super::simulation::Outcome;
 use super::simulation::Simulation;
+use super::simulation::config;
 use super::simulation::seconds;
-use super::simulation::setup;
 use super::simulation::upstream_name;
 
 /// Slots of the members, tracked by the test independently of the monitor.
 type Members = BTreeMap<UpstreamId, u32>;
 
-fn is_floor_held(monitor: &Monitor, members: &Members, setup: &Setup) -> bool {
+fn is_floor_held(monitor: &Monitor, members: &Members, config: &Config) -> bool {
     let is_serving = |upstream: &&UpstreamId| {
         matches!(monitor.status(upstream), Status::Sound | Status::Suspect)
     };
     let serving: Vec<&UpstreamId> = members.keys().filter(is_serving).collect();
     let slots: u32 = serving.iter().map(|upstream| members[*upstream]).sum();
     let all: u32 = members.values().sum();
-    let has_count = serving.len() >= setup.floor_count.min(members.len());
-    has_count && f64::from(slots) >= setup.floor_share * f64::from(all)
+    let has_count = serving.len() >= config.floor_count.min(members.len());
+    has_count && f64::from(slots) >= config.floor_share * f64::from(all)
 }
 
 proptest! {
@@ -46,9 +46,9 @@
     #[test]
     fn handle_floor_held(seed in any::<u64>(), share in 0.0..1.0_f64, count in 0..6_usize) {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let setup = Setup { floor_count: count, floor_share: share, sensitivity: 1.0 };
+        let config = Config { floor_count: count, floor_share: share, sensitivity: 1.0 };
         let monitor_random = ChaCha8Rng::seed_from_u64(!seed);
-        let mut monitor = Monitor::new("e".into(), setup.clone(), monitor_random);
+        let mut monitor = Monitor::new("e".into(), config.clone(), monitor_random);
         let mut members = Members::new();
         let mut now = Moment::ZERO;
         for _ in 0..2_000 {
@@ -62,7 +62,7 @@
                 members.insert(upstream.clone(), slots);
                 Input::Member { domain: "trnje".into(), slots, upstream }
             } else if chance < 20 {
-                now += Setup::TICK;
+                now += Config::TICK;
                 Input::Tick
             } else {
                 let is_bad = !(now.as_secs() / 5 + seed % 3).is_multiple_of(3) && !upstream.ends_with('0');
@@ -70,7 +70,7 @@
                 Input::Outcome { kind, latency: seconds(1) / 40, upstream }
             };
             monitor.handle(now, input);
-            prop_assert!(is_floor_held(&monitor, &members, &setup), "{members:?}");
+            prop_assert!(is_floor_held(&monitor, &members, &config), "{members:?}");
         }
     }
 }
@@ -80,8 +80,8 @@
 /// get errors.
 #[test]
 fn handle_floor_reached() {
-    let setup = Setup { floor_share: 0.75, ..setup(1.0) };
-    let mut simulation = Simulation::new(1, 8, &setup, 6);
+    let config = Config { floor_share: 0.75, ..config(1.0) };
+    let mut simulation = Simulation::new(1, 8, &config, 6);
     simulation.run(seconds(30), 5.0, &|_, _, _| Outcome::SOUND);
     simulation.run(seconds(35), 5.0, &|_, upstream, _| {
         if upstream < 4 { Outcome::failing(Kind::ServerError) } else { Outcome::SOUND }
@@ -96,15 +96,15 @@
 /// fail every request. The less severe one must serve: the two are swapped.
 #[test]
 fn handle_worse_fault_at_floor() {
-    let setup = Setup { floor_share: 0.85, ..setup(1.0) };
-    let mut simulation = Simulation::new(1, 8, &setup, 6);
+    let config = Config { floor_share: 0.85, ..config(1.0) };
+    let mut simulation = Simulation::new(1, 8, &config, 6);
     simulation.run(seconds(30), 10.0, &|_, _, _| Outcome::SOUND);
     let is_failing = |now: Moment| (now.as_millis() / 100).is_multiple_of(3);
     let partial = |_, upstream, now| {
         if upstream == 1 && is_failing(now) { Outcome::failing(Kind::Cut) } else { Outcome::SOUND }
     };
     while simulation.ejections(1).is_empty() && simulation.now < seconds(40) {
-        simulation.run(simulation.now + Setup::TICK, 10.0, &partial);
+        simulation.run(simulation.now + Config::TICK, 10.0, &partial);
     }
     assert_eq!(simulation.monitors[0].status(&upstream_name(1)), Status::Ejected);
     simulation.run(simulation.now + seconds(2), 10.0, &|entry, upstream, now| {
@@ -118,7 +118,7 @@
 /// service must not fall below the floor: the least severe is readmitted at once.
 #[test]
 fn handle_gone_at_floor() {
-    let mut simulation = Simulation::new(1, 4, &setup(1.0), 6);
+    let mut simulation = Simulation::new(1, 4, &config(1.0), 6);
     simulation.run(seconds(30), 5.0, &|_, _, _| Outcome::SOUND);
     simulation.run(seconds(34), 5.0, &|_, upstream, _| {
         if upstream < 2 { Outcome::failing(Kind::ServerError) } else { Outcome::SOUND }
--- a/tests/suite/health/gray.rs
+++ b/tests/suite/health/gray.rs
@@ -8,8 +8,8 @@
 use super::simulation::Outcome;
 use super::simulation::Simulation;
 use super::simulation::USUAL_LATENCY;
+use super::simulation::config;
 use super::simulation::seconds;
-use super::simulation::setup;
 use super::simulation::upstream_name;
 
 /// One upstream of eight turns gray after half a minute, at three requests a second
@@ -24,7 +24,7 @@
 #[case::late_end(Outcome::failing(Kind::Timeout))]
 #[case::slow(Outcome::slow(6))]
 fn handle_gray_upstream(#[case] gray: Outcome, #[values(0.0, 1.0)] sensitivity: f64) {
-    let mut simulation = Simulation::new(8, 8, &setup(sensitivity), 7);
+    let mut simulation = Simulation::new(8, 8, &config(sensitivity), 7);
     simulation.run(seconds(30), 3.0, &|_, _, _| Outcome::SOUND);
     let limit = if sensitivity > 0.0 { seconds(2) } else { seconds(5) };
     simulation.run(seconds(30) + limit, 3.0, &|_, upstream, _| {
@@ -42,7 +42,7 @@
 /// Callers see a third of their requests to the upstream fail while it is in service.
 #[test]
 fn handle_partial_errors() {
-    let mut simulation = Simulation::new(16, 8, &setup(1.0), 11);
+    let mut simulation = Simulation::new(16, 8, &config(1.0), 11);
     simulation.run(seconds(30), 3.0, &|_, _, _| Outcome::SOUND);
     simulation.run(seconds(34), 3.0, &|entry, upstream, now| {
         let turn = (now.as_millis() / 100) as usize + entry * 7;
@@ -62,7 +62,7 @@
 /// whatever evidence they receive.
 #[test]
 fn handle_broken_path() {
-    let mut simulation = Simulation::new(16, 8, &setup(1.0), 5);
+    let mut simulation = Simulation::new(16, 8, &config(1.0), 5);
     simulation.run(seconds(30), 3.0, &|_, _, _| Outcome::SOUND);
     simulation.run(seconds(40), 3.0, &|entry, upstream, _| {
         let is_lost = upstream == 3 && entry < 4;
@@ -78,7 +78,7 @@
 /// evidence: the upstream must be ejected before the first request times out.
 #[test]
 fn handle_waiting() {
-    let mut simulation = Simulation::new(1, 8, &setup(1.0), 3);
+    let mut simulation = Simulation::new(1, 8, &config(1.0), 3);
     simulation.run(seconds(30), 10.0, &|_, _, _| Outcome::SOUND);
     let monitor = &mut simulation.monitors[0];
     let mut now = simulation.now;
--- a/tests/suite/health/report.rs
+++ b/tests/suite/health/report.rs
@@ -4,8 +4,8 @@
 
 use super::simulation::Outcome;
 use super::simulation::Simulation;
+use super::simulation::config;
 use super::simulation::seconds;
-use super::simulation::setup;
 use super::simulation::upstream_name;
 
 /// The upstream's health endpoint says healthy while callers get errors from it. The
@@ -13,7 +13,7 @@
 #[test]
 fn handle_false_healthy_report() {
     let ejection = |has_report: bool| {
-        let mut simulation = Simulation::new(4, 8, &setup(0.5), 9);
+        let mut simulation = Simulation::new(4, 8, &config(0.5), 9);
         simulation.run(seconds(30), 3.0, &|_, _, _| Outcome::SOUND);
         while simulation.ejections(3).is_empty() && simulation.now < seconds(60) {
             for monitor in simulation.monitors.iter_mut().filter(|_| has_report) {
@@ -37,7 +37,7 @@
 /// is wrong. Callers get their answers, so it must stay, even at sensitivity 1.0.
 #[test]
 fn handle_false_unhealthy_report() {
-    let mut simulation = Simulation::new(4, 8, &setup(1.0), 9);
+    let mut simulation = Simulation::new(4, 8, &config(1.0), 9);
     for second in 1..=60 {
         for monitor in &mut simulation.monitors {
             monitor.handle(
--- a/tests/suite/health/simulation.rs
+++ b/tests/suite/health/simulation.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 
 use hemlockfield::clock::Moment;
+use hemlockfield::health::Config;
 use hemlockfield::health::Input;
 use hemlockfield::health::Kind;
 use hemlockfield::health::Monitor;
 use hemlockfield::health::Output;
-use hemlockfield::health::Setup;
 use hemlockfield::id::UpstreamId;
 use rand::Rng;
 use rand::SeedableRng;
@@ -28,10 +28,10 @@
 }
 
 impl Simulation {
-    pub(crate) fn new(entries: usize, upstreams: usize, setup: &Setup, seed: u64) -> Self {
+    pub(crate) fn new(entries: usize, upstreams: usize, config: &Config, seed: u64) -> Self {
         let monitor = |entry: usize| {
             let random = ChaCha8Rng::seed_from_u64(seed + entry as u64);
-            let mut monitor = Monitor::new(format!("e{entry}").into(), setup.clone(), random);
+            let mut monitor = Monitor::new(format!("e{entry}").into(), config.clone(), random);
             for upstream in 0..upstreams {
                 monitor.handle(Moment::ZERO, member(upstream));
             }
@@ -50,7 +50,7 @@
     /// average, times the upstream's weight.
     pub(crate) fn run(&mut self, until: Moment, rate: f64, model: Model<'_>) {
         while self.now < until {
-            self.now += Setup::TICK;
+            self.now += Config::TICK;
             for entry in 0..self.monitors.len() {
                 self.tick(entry, rate, model);
             }
@@ -71,7 +71,7 @@
         for position in 0..self.upstreams {
             let upstream = upstream_name(position);
             let weight = self.monitors[entry].weight(&upstream);
-            let chance = (rate * weight * Setup::TICK.as_secs_f64()).min(1.0);
+            let chance = (rate * weight * Config::TICK.as_secs_f64()).min(1.0);
             if !self.random.random_bool(chance) {
                 continue;
             }
@@ -131,8 +131,8 @@
     format!("u{upstream:02}").into()
 }
 
-pub(crate) fn setup(sensitivity: f64) -> Setup {
-    Setup { floor_count: 2, floor_share: 0.5, sensitivity }
+pub(crate) fn config(sensitivity: f64) -> Config {
+    Config { floor_count: 2, floor_share: 0.5, sensitivity }
 }
 
 pub(crate) fn seconds(count: u64) -> Moment {
--- a/tests/suite/health/sound.rs
+++ b/tests/suite/health/sound.rs
@@ -7,8 +7,8 @@
 
 use super::simulation::Outcome;
 use super::simulation::Simulation;
+use super::simulation::config;
 use super::simulation::seconds;
-use super::simulation::setup;
 use super::simulation::upstream_name;
 
 /// Two upstreams have always been three times slower than their peers, and are sound.
@@ -17,7 +17,7 @@
 #[rstest]
 fn handle_slow_but_sound(#[values(0.0, 1.0)] sensitivity: f64) {
     for seed in 0..20 {
-        let mut simulation = Simulation::new(8, 8, &setup(sensitivity), seed);
+        let mut simulation = Simulation::new(8, 8, &config(sensitivity), seed);
         simulation.run(seconds(60), 3.0, &|_, upstream, _| {
             if upstream < 2 { Outcome::slow(3) } else { Outcome::SOUND }
         });
@@ -32,7 +32,7 @@
 #[case::errors(Outcome::failing(Kind::ServerError))]
 #[case::slow(Outcome::slow(8))]
 fn handle_shared_cause(#[case] gray: Outcome) {
-    let mut simulation = Simulation::new(8, 8, &setup(1.0), 2);
+    let mut simulation = Simulation::new(8, 8, &config(1.0), 2);
     simulation.run(seconds(30), 3.0, &|_, _, _| Outcome::SOUND);
     simulation.run(seconds(50), 3.0, &|_, _, _| gray);
     let all: Vec<_> = (0..8).flat_map(|upstream| simulation.ejections(upstream)).collect();
@@ -43,7 +43,7 @@
 /// failures, a burst would eject the upstreams with the most load.
 #[test]
 fn handle_refusals() {
-    let mut simulation = Simulation::new(4, 8, &setup(1.0), 2);
+    let mut simulation = Simulation::new(4, 8, &config(1.0), 2);
     simulation.run(seconds(30), 3.0, &|_, _, _| Outcome::SOUND);
     simulation.run(seconds(40), 3.0, &|_, upstream, _| {
         if upstream == 3 { Outcome::failing(Kind::Refused) } else { Outcome::SOUND }
@@ -56,7 +56,7 @@
 /// however strong it is.
 #[test]
 fn handle_one_faulty_entry() {
-    let mut simulation = Simulation::new(2, 8, &setup(1.0), 2);
+    let mut simulation = Simulation::new(2, 8, &config(1.0), 2);
     simulation.run(seconds(30), 3.0, &|_, _, _| Outcome::SOUND);
     let item = Item { asks: true, sums: [[i16::MAX; 5]; 3], upstream: upstream_name(3) };
     for _ in 0..100 {
--- a/tests/suite/health/trial.rs
+++ b/tests/suite/health/trial.rs
@@ -7,15 +7,15 @@
 
 use super::simulation::Outcome;
 use super::simulation::Simulation;
+use super::simulation::config;
 use super::simulation::seconds;
-use super::simulation::setup;
 use super::simulation::upstream_name;
 
 /// An upstream fails for ten seconds and recovers. It must be readmitted without
 /// intervention, after a trial with a small share of real requests.
 #[test]
 fn handle_recovery() {
-    let mut simulation = Simulation::new(4, 8, &setup(0.5), 1);
+    let mut simulation = Simulation::new(4, 8, &config(0.5), 1);
     simulation.run(seconds(30), 5.0, &|_, _, _| Outcome::SOUND);
     simulation.run(seconds(40), 5.0, &|_, upstream, _| {
         if upstream == 3 { Outcome::failing(Kind::ServerError) } else { Outcome::SOUND }
@@ -31,7 +31,7 @@
 /// a full detection each time would cost callers more failures.
 #[test]
 fn handle_failed_trial() {
-    let mut simulation = Simulation::new(1, 8, &setup(0.0), 1);
+    let mut simulation = Simulation::new(1, 8, &config(0.0), 1);
     simulation.run(seconds(30), 5.0, &|_, _, _| Outcome::SOUND);
     let failing =
         |_, upstream, _| if upstream == 3 { Outcome::failing(Kind::Cut) } else { Outcome::SOUND };
@@ -45,7 +45,7 @@
 /// return costs callers the same errors again, so the backoff must grow.
 #[test]
 fn handle_flapping() {
-    let mut simulation = Simulation::new(1, 8, &setup(1.0), 4);
+    let mut simulation = Simulation::new(1, 8, &config(1.0), 4);
     simulation.run(seconds(30), 5.0, &|_, _, _| Outcome::SOUND);
     simulation.run(seconds(630), 5.0, &|_, upstream, now: Moment| {
         let is_bad = upstream == 3 && (now.as_secs() / 4).is_multiple_of(2);
--- a/tests/suite/replay/judge.rs
+++ b/tests/suite/replay/judge.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use hemlockfield::clock::Moment;
+use hemlockfield::health::Config;
 use hemlockfield::health::Input;
 use hemlockfield::health::Kind;
 use hemlockfield::health::Monitor;
-use hemlockfield::health::Setup;
 use hemlockfield::health::Status;
 use hemlockfield::id::UpstreamId;
 use hemlockfield::replay;
@@ -43,7 +43,7 @@
 
 impl Scene {
     fn new(sensitivity: f64, floor_share: f64) -> Self {
-        let setup = Setup { floor_count: 2, floor_share, sensitivity };
+        let setup = Config { floor_count: 2, floor_share, sensitivity };
         let random = ChaCha8Rng::seed_from_u64(SEED);
         let judge = Monitor::new("e00".into(), setup.clone(), random.clone());
         let machine = Some(Machine::Judge { name: "e00".into(), seed: SEED, setup });
--- a/tests/suite/replay/record.rs
+++ b/tests/suite/replay/record.rs
@@ -65,7 +65,7 @@
 }
 
 fn run_judge(tape: &Tape) -> Vec<(Moment, Output)> {
-    let (seed, setup) = (9, health::Setup::default());
+    let (seed, setup) = (9, health::Config::default());
     let mut judge = Monitor::new("e00".into(), setup.clone(), ChaCha8Rng::seed_from_u64(seed));
     tape.machine(Moment::ZERO, || Machine::Judge { name: "e00".into(), seed, setup });
     let mut outputs = Vec::new();
