--- a/src/health/monitor.rs
+++ b/src/health/monitor.rs
@@ -102,10 +102,10 @@
     #[must_use]
     pub fn status(&self, upstream: &str) -> Status {
         match self.records.get(upstream) {
-            Some(record) if record.state() == Status::Sound && record.is_suspect(&self.config) => {
+            Some(record) if record.status() == Status::Sound && record.is_suspect(&self.config) => {
                 Status::Suspect
             }
-            Some(record) => record.state(),
+            Some(record) => record.status(),
             None => Status::Sound,
         }
     }
@@ -164,7 +164,7 @@
     fn detect(&mut self, now: Moment) -> Vec<(f64, UpstreamId, Reason)> {
         let mut detected = Vec::new();
         for (upstream, record) in &mut self.records {
-            if record.state() == Status::Ejected {
+            if record.status() == Status::Ejected {
                 continue;
             }
             if let Some(reason) = record.detect(now, &self.config) {
@@ -241,8 +241,8 @@
                 .iter()
                 .filter(|(_, record)| !record.is_serving())
                 .min_by(|(_, left), (_, right)| {
-                    let by_state = left.state().cmp(&right.state());
-                    by_state.then(left.severity().total_cmp(&right.severity()))
+                    let by_status = left.status().cmp(&right.status());
+                    by_status.then(left.severity().total_cmp(&right.severity()))
                 })
                 .map(|(upstream, _)| upstream.clone());
             let Some(upstream) = least_severe else {
@@ -256,7 +256,7 @@
         let passed: Vec<UpstreamId> = self
             .records
             .iter()
-            .filter(|(_, record)| record.state() == Status::Trial && record.has_passed_trial())
+            .filter(|(_, record)| record.status() == Status::Trial && record.has_passed_trial())
             .map(|(upstream, _)| upstream.clone())
             .collect();
         for upstream in passed {
@@ -266,7 +266,7 @@
 
     fn start_trials(&mut self, now: Moment, outputs: &mut Vec<Output>) {
         for (upstream, record) in &mut self.records {
-            if record.state() == Status::Ejected && record.backoff().is_over(now) {
+            if record.status() == Status::Ejected && record.backoff().is_over(now) {
                 record.start_trial();
                 outputs.push(Output::Trial { upstream: upstream.clone() });
             }
--- a/src/health/record.rs
+++ b/src/health/record.rs
@@ -29,7 +29,7 @@
     counters: Counters,
     slots: u32,
     slow_ejections: u32,
-    state: Status,
+    status: Status,
     trial_outcomes: u32,
 }
 
@@ -56,7 +56,7 @@
             counters: Counters::default(),
             slots: slots.max(1),
             slow_ejections: 0,
-            state: Status::Sound,
+            status: Status::Sound,
             trial_outcomes: 0,
         }
     }
@@ -70,7 +70,7 @@
     /// The fault that was detected, if any. On trial half of this entry's evidence
     /// suffices, as the upstream was ejected before.
     pub(crate) fn detect(&mut self, now: Moment, config: &Config) -> Option<Reason> {
-        let factor = if self.state == Status::Trial { 0.5 } else { 1.0 };
+        let factor = if self.status == Status::Trial { 0.5 } else { 1.0 };
         let fault = self.suspicion.detect(now, config, config.own_threshold() * factor);
         if fault.is_none() {
             self.kept = None;
@@ -84,7 +84,7 @@
             self.baseline.reset_latency();
             self.slow_ejections = 0;
         }
-        self.state = Status::Ejected;
+        self.status = Status::Ejected;
         self.backoff.start(now, random);
         self.suspicion.record_ejection(now);
         self.reset_counters();
@@ -92,7 +92,7 @@
 
     pub(crate) fn merge(&mut self, now: Moment, from: &NodeId, item: Item) {
         let is_query = self.suspicion.merge(now, from, item);
-        if is_query && self.state == Status::Ejected {
+        if is_query && self.status == Status::Ejected {
             self.backoff.postpone(now);
         }
     }
@@ -102,7 +102,7 @@
     }
 
     pub(crate) fn is_serving(&self) -> bool {
-        matches!(self.state, Status::Sound | Status::Suspect)
+        matches!(self.status, Status::Sound | Status::Suspect)
     }
 
     /// Whether evidence has reached half of a threshold.
@@ -123,14 +123,14 @@
     /// Adds an outcome to the baseline, unless the upstream is suspect: a gradual
     /// decline must not become the baseline.
     pub(crate) fn learn(&mut self, config: &Config, kind: Kind, latency: Duration) {
-        let is_usual = self.state == Status::Sound && !self.is_suspect(config);
+        let is_usual = self.status == Status::Sound && !self.is_suspect(config);
         if is_usual && kind != Kind::Refused {
             self.baseline.learn(kind.is_failure(), latency);
         }
     }
 
     pub(crate) fn add_outcome(&mut self, now: Moment, kind: Kind, latency: Duration, peers: Peers) {
-        if kind == Kind::Refused || self.state == Status::Ejected {
+        if kind == Kind::Refused || self.status == Status::Ejected {
             return;
         }
         let failure = Fault::of(kind);
@@ -158,7 +158,7 @@
 
     /// Sets the ages of the requests that still wait for their first byte.
     pub(crate) fn set_pending(&mut self, config: &Config, ages: &[Duration], peers: Peers) {
-        let is_comparable = self.baseline.is_ready() && self.state != Status::Ejected;
+        let is_comparable = self.baseline.is_ready() && self.status != Status::Ejected;
         let mut pending = 0.0;
         for age in ages.iter().filter(|_| is_comparable) {
             let beyond = age.saturating_sub(config.pause());
@@ -169,7 +169,7 @@
     }
 
     pub(crate) fn readmit(&mut self, now: Moment) {
-        self.state = Status::Sound;
+        self.status = Status::Sound;
         self.backoff.restart(now);
         self.clear();
     }
@@ -199,12 +199,12 @@
     }
 
     pub(crate) fn start_trial(&mut self) {
-        self.state = Status::Trial;
+        self.status = Status::Trial;
         self.clear();
     }
 
-    pub(crate) fn state(&self) -> Status {
-        self.state
+    pub(crate) fn status(&self) -> Status {
+        self.status
     }
 
     /// Evidence for the upstream's home entry, if it is too weak for all entries.
--- a/src/quota.rs
+++ b/src/quota.rs
@@ -1,21 +1,23 @@
-//! How much may be asked of all entries together: allowances that entries hold parts of.
+//! Limits on the requests of a team, enforced over all entries together.
 //!
-//! **Load pattern.** A team may send so many requests in any window of some seconds, over all
-//! entries together. It sends a few to each of dozens of entries, another mix in each second; one
-//! team suddenly sends many times its usual; processes are killed, cut off and started anew.
+//! **Load pattern.** A team may send a number of requests in any window of a few seconds, over
+//! all entries together. It sends a few to each of dozens of entries, in another mix each second.
+//! A team suddenly sends many times its usual load. Processes are killed, partitioned and
+//! restarted.
 //!
-//! **Without it.** An entry that counts for itself allows the whole limit, dozens of times in
-//! sum. Cut into equal parts, a limit refuses most of what a small team may send, as each of its
-//! requests meets another entry's part. Counts that entries tell each other are too old when a
-//! team begins to send five times its limit, and those of an entry that is cut off never come.
+//! **Without it.** If each entry counts on its own, the fleet allows the limit once per entry. If
+//! the limit is split evenly, most requests of a small team are refused, as each meets the small
+//! allocation of another entry. Counters that entries exchange are too old when a team begins to
+//! send five times its limit, and those of a partitioned entry never arrive.
 //!
-//! **How.** Entries hold parts of each allowance. A [`Meter`] at an entry counts what it let pass
-//! within the window, and lets nothing pass beyond its part. Parts are moved by the replicated
-//! [`Ledger`]: an entry gives back before it tells so, and gets more only after that is
-//! committed. So at any moment the parts add up to the allowance at most, and with them what
-//! passed in the window that ends then, whatever is lost, cut off, or elected meanwhile. An
-//! entry without control keeps its parts. What an entry held that has started again counts until
-//! the window is over, as nobody knows what it had let pass.
+//! **How.** Entries hold allocations of each allowance. A [`Meter`] at an entry counts the requests
+//! that passed within the window, and passes none beyond its allocation. The replicated [`Ledger`]
+//! moves allocations: an entry stops using what it gives back before it reports that, and gets
+//! more only after the change is committed. So at any moment the allocations, and with them the
+//! requests that passed within the last window, add up to the allowance at most, whatever is
+//! lost, partitioned or elected meanwhile. Without a control leader an entry keeps its
+//! allocations. The allocations of an entry that restarted count until the window is over, as
+//! nobody knows how many requests it had passed.
 
 mod action;
 mod ask;
--- a/src/quota/action.rs
+++ b/src/quota/action.rs
@@ -5,13 +5,14 @@
 use crate::id::Incarnation;
 use crate::id::NodeId;
 
-/// A change of the ledger, in the replicated log.
+/// A change of the ledger, as it is stored in the replicated log.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Action {
-    /// An entry wants to hold other parts.
+    /// An entry demands other allocations.
     Ask(Ask),
-    /// This start of an entry is over, or taken to be.
+    /// This incarnation of an entry has ended or is presumed to have.
     End(NodeId, Incarnation),
-    /// What this start of an entry held is free: what it let pass is out of every window.
+    /// Frees the allocations of an ended incarnation: the requests that it passed are out of
+    /// every window.
     Release(NodeId, Incarnation),
 }
--- a/src/quota/ask.rs
+++ b/src/quota/ask.rs
@@ -7,32 +7,32 @@
 use crate::id::Incarnation;
 use crate::id::NodeId;
 
-/// An entry says which parts of allowances it wants to hold.
+/// The allocations that an entry demands.
 ///
-/// What it gives back it has ceased to use before. Sent again unchanged, it does no harm.
+/// The entry has already stopped using what it gives back. Sending it again is idempotent.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Ask {
-    /// How long the entry's process has run: the one before ended before that.
+    /// How long this incarnation has run: the previous one ended before it began.
     pub age: Duration,
     /// The entry.
     pub holder: NodeId,
-    /// Its start.
+    /// The entry's incarnation.
     pub incarnation: Incarnation,
-    /// Whether it leaves, and will ask for nothing more.
+    /// Whether the entry is leaving and will demand nothing more.
     pub is_leaving: bool,
-    /// What it wants; other parts stay as they are.
+    /// Allocations to change; all others stay as they are.
     pub items: Vec<Item>,
-    /// Counts the asks of this start.
+    /// Sequence number within this incarnation.
     pub sequence: u64,
 }
 
-/// The part of one allowance that an entry wants to hold.
+/// The allocation of one allowance that an entry demands.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Item {
-    /// The whole allowance.
+    /// The whole allowance, in requests within a window.
     pub most: u32,
-    /// What it is for.
+    /// What the allowance is for.
     pub subject: Subject,
-    /// The part.
+    /// The demanded allocation, in requests within a window.
     pub want: u32,
 }
--- a/src/quota/grant.rs
+++ b/src/quota/grant.rs
@@ -4,26 +4,27 @@
 use super::Subject;
 use crate::id::Incarnation;
 
-/// What an entry holds from now on, in answer to its ask.
+/// Answer to a demand: the allocations that the entry holds from now on.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Grant {
-    /// The entry's start.
+    /// The entry's incarnation.
     pub incarnation: Incarnation,
-    /// Whether that start is taken to be over: the entry holds nothing, and asks as another.
+    /// Whether that incarnation is presumed to have ended. The entry then holds nothing and
+    /// continues with a new incarnation.
     pub is_over: bool,
-    /// What was asked for.
+    /// One for each item of the demand.
     pub parts: Vec<Part>,
-    /// Number of the ask.
+    /// Sequence number of the demand.
     pub sequence: u64,
 }
 
-/// The part of one allowance that an entry holds.
+/// The allocation of one allowance that an entry holds.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Part {
     /// Requests within any window.
     pub amount: u32,
-    /// How much more than it needs a holder may keep for what comes unevenly.
+    /// Requests that an entry may hold beyond its need, for uneven load.
     pub spare: u32,
-    /// What it is for.
+    /// What the allowance is for.
     pub subject: Subject,
 }
--- a/src/quota/holding.rs
+++ b/src/quota/holding.rs
@@ -7,59 +7,63 @@
 use crate::id::Incarnation;
 use crate::id::NodeId;
 
-/// Share of an allowance up to which holders keep more than they need: the rest is there at once
-/// for whoever is short, and after a restart of all, when what was held counts as spent.
-const KEPT: f64 = 0.7;
+/// Share of an allowance up to which entries may hold more than they need. The rest stays free
+/// for entries that run short, and for a restart of all entries, when what they held counts as
+/// used.
+const SPARE_CEILING: f64 = 0.7;
 
-/// Who holds which part of one allowance.
+/// The shares of one allowance that entries hold.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub(super) struct Holding {
     held: BTreeMap<NodeId, Share>,
-    /// Parts of starts that are over, until what they let pass is out of every window.
+    /// Shares of ended incarnations, until the requests that they passed are out of every window.
     left: BTreeMap<(NodeId, Incarnation), Share>,
 }
 
 impl Holding {
-    /// Gives an entry the part that it wants, as far as there is any; both in requests of `most`.
-    /// What it had is never taken from it, since all parts together are one whole at most.
-    pub(super) fn set(&mut self, holder: &NodeId, want: u32, most: u32) -> u32 {
+    /// Allocates what an entry demands, as far as it is free. Returns the allocation; `want` and
+    /// the result are in requests out of an allowance of `most`.
+    ///
+    /// An entry that demands no less than it had keeps at least that: its old share is freed
+    /// first, and all shares add up to the whole at most.
+    pub(super) fn allocate(&mut self, holder: &NodeId, want: u32, most: u32) -> u32 {
         let before = self.held.remove(holder).unwrap_or_default();
-        let part = want.min(self.free().requests(most));
-        // In whole requests of a limit that has shrunk it may come to less than it was. What
-        // passed by the old limit still counts, and an entry that goes by that would let as much
-        // pass once more.
-        let share = Share::of(part, most).max(before.min(Share::of(want, most)));
+        let allocation = want.min(self.free().requests(most));
+        // Rounded to whole requests of a limit that has shrunk, the share may be smaller than
+        // before. The requests that passed under the old limit still count, and another entry that
+        // still uses the old limit could pass as many again with the difference.
+        let share = Share::of(allocation, most).max(before.min(Share::of(want, most)));
         if share > Share::default() {
             self.held.insert(holder.clone(), share);
         }
-        part
+        allocation
     }
 
-    /// A start of an entry is over: its part counts as spent.
+    /// Ends an incarnation: its share counts as used.
     pub(super) fn end(&mut self, holder: &NodeId, incarnation: Incarnation) {
-        if let Some(part) = self.held.remove(holder) {
-            self.left.insert((holder.clone(), incarnation), part);
+        if let Some(share) = self.held.remove(holder) {
+            self.left.insert((holder.clone(), incarnation), share);
         }
     }
 
-    /// The part of a start that is over is free again.
+    /// Frees the share of an ended incarnation.
     pub(super) fn release(&mut self, holder: &NodeId, incarnation: Incarnation) {
         self.left.remove(&(holder.clone(), incarnation));
     }
 
-    /// What each holder may keep beyond its need, in requests of `most`.
+    /// What each entry may hold beyond its need, in requests out of an allowance of `most`.
     pub(super) fn spare(&self, most: u32) -> u32 {
         let holders = self.held.len().max(1) as u32;
         let free = self.free().requests(most);
-        let reserve = (f64::from(most) * (1.0 - KEPT)) as u32;
-        let even = free.saturating_sub(reserve) / holders;
-        // One more for each lets a small team's next request pass anywhere.
-        let least = u32::from(free > holders);
-        even.max(least)
+        let reserve = (f64::from(most) * (1.0 - SPARE_CEILING)) as u32;
+        let per_holder = free.saturating_sub(reserve) / holders;
+        // One spare request at each entry lets the next request of a small team pass anywhere.
+        let min_spare = u32::from(free > holders);
+        per_holder.max(min_spare)
     }
 
-    /// Starts that are over and whose parts still count.
-    pub(super) fn left(&self) -> impl Iterator<Item = &(NodeId, Incarnation)> {
+    /// Ended incarnations whose shares still count.
+    pub(super) fn ended(&self) -> impl Iterator<Item = &(NodeId, Incarnation)> {
         self.left.keys()
     }
 
@@ -68,6 +72,6 @@
     }
 
     fn free(&self) -> Share {
-        Share::left_by(self.held.values().chain(self.left.values()))
+        Share::remainder(self.held.values().chain(self.left.values()))
     }
 }
--- a/src/quota/keeper.rs
+++ b/src/quota/keeper.rs
@@ -9,104 +9,106 @@
 use crate::id::Incarnation;
 use crate::id::NodeId;
 
-/// Pause in which asks are gathered for one record of the log: every control writes and syncs
-/// each record, and a request that waits for its team's part has hundreds of milliseconds.
-const GATHER: Duration = Duration::from_millis(40);
-/// Pause between two looks at starts that are over, and at entries that are silent.
-const LOOK: Duration = Duration::from_millis(250);
-/// An entry that has not asked for so long is taken to be gone, and its parts are freed. Entries
-/// say each half a minute that they are there. One that is cut off for longer and serves on may
-/// let its last parts pass once more.
-const SILENT: Duration = Duration::from_secs(300);
-/// Longest that an entry serves on after it has said that it leaves.
-const LEAVING: Duration = Duration::from_secs(30);
+/// Time in which demands are batched into one record of the log. Every control node writes and
+/// syncs each record, and a request that waits for an allocation has hundreds of milliseconds.
+const BATCH_INTERVAL: Duration = Duration::from_millis(40);
+/// Time between two checks for ended incarnations and silent entries.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Time without a demand after which an entry is presumed gone and its allocations are freed.
+/// Entries send a keepalive every half a minute. An entry that is partitioned for longer and
+/// still serves may pass its last allocations a second time.
+const HOLDER_TIMEOUT: Duration = Duration::from_secs(300);
+/// Longest that an entry serves on after it has announced that it leaves.
+const LEAVE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// An ask, and who wants the answer.
-pub(crate) type Waiting = (NodeId, u64, Ask);
+/// A demand with the node and the ticket that its answer goes to.
+pub(crate) type Pending = (NodeId, u64, Ask);
 
-/// The leader's side: gathers what entries ask, and frees what starts that are over have held.
+/// Batches the demands of the entries at the leader, and frees the allocations of ended
+/// incarnations.
 ///
-/// A new leader knows no times; it counts them from when it leads on, which frees parts later
-/// than need be, and never too early.
+/// A new leader doesn't know when incarnations began or ended and counts from the start of its
+/// term. It frees allocations later than necessary, but never too early.
 #[derive(Clone, Debug)]
 pub struct Keeper {
-    due: Moment,
-    heard: BTreeMap<NodeId, Moment>,
-    looked_at: Moment,
-    /// When parts of starts that are over are free.
+    next_batch_at: Moment,
+    last_demand_at: BTreeMap<NodeId, Moment>,
+    checked_at: Moment,
+    /// When the allocations of ended incarnations are freed at the latest.
     releases: BTreeMap<(NodeId, Incarnation), Moment>,
-    /// Since when the present start of each entry runs.
-    started: BTreeMap<NodeId, (Incarnation, Moment)>,
-    waiting: Vec<Waiting>,
+    /// The current incarnation of each entry and when it began.
+    started_at: BTreeMap<NodeId, (Incarnation, Moment)>,
+    pending: Vec<Pending>,
     window: Duration,
 }
 
 impl Keeper {
-    /// One that counts over windows of this length.
+    /// Creates one without demands; `window` is the span in which allowances hold.
     pub fn new(window: Duration) -> Self {
         Self {
-            due: Moment::ZERO,
-            heard: BTreeMap::new(),
-            looked_at: Moment::ZERO,
+            next_batch_at: Moment::ZERO,
+            last_demand_at: BTreeMap::new(),
+            checked_at: Moment::ZERO,
             releases: BTreeMap::new(),
-            started: BTreeMap::new(),
-            waiting: Vec::new(),
+            started_at: BTreeMap::new(),
+            pending: Vec::new(),
             window,
         }
     }
 
-    /// Takes an ask.
-    pub fn push(&mut self, now: Moment, from: NodeId, ticket: u64, ask: Ask) {
-        if self.waiting.is_empty() {
-            self.due = self.due.max(now);
+    /// Adds a demand to the batch.
+    pub fn push(&mut self, now: Moment, from: NodeId, ticket: u64, demand: Ask) {
+        if self.pending.is_empty() {
+            self.next_batch_at = self.next_batch_at.max(now);
         }
-        self.heard.insert(ask.holder.clone(), now);
-        let started = (ask.incarnation, now.saturating_sub(ask.age));
-        let known = self.started.entry(ask.holder.clone()).or_insert(started);
-        if known.0 < ask.incarnation {
+        self.last_demand_at.insert(demand.holder.clone(), now);
+        let started = (demand.incarnation, now.saturating_sub(demand.age));
+        let known = self.started_at.entry(demand.holder.clone()).or_insert(started);
+        if known.0 < demand.incarnation {
             *known = started;
         }
-        self.waiting.push((from, ticket, ask));
+        self.pending.push((from, ticket, demand));
     }
 
-    /// What is to be proposed now.
-    pub fn take(&mut self, now: Moment, ledger: &Ledger) -> (Vec<Waiting>, Vec<Action>) {
-        let mut waiting = Vec::new();
-        if !self.waiting.is_empty() && now >= self.due {
-            self.due = now + GATHER;
-            waiting = std::mem::take(&mut self.waiting);
+    /// Takes the demands and the other actions that are due to be proposed.
+    pub fn take(&mut self, now: Moment, ledger: &Ledger) -> (Vec<Pending>, Vec<Action>) {
+        let mut pending = Vec::new();
+        if !self.pending.is_empty() && now >= self.next_batch_at {
+            self.next_batch_at = now + BATCH_INTERVAL;
+            pending = std::mem::take(&mut self.pending);
         }
         let mut actions = Vec::new();
-        if now >= self.looked_at + LOOK {
-            self.looked_at = now;
-            actions = self.look(now, ledger);
+        if now >= self.checked_at + CHECK_INTERVAL {
+            self.checked_at = now;
+            actions = self.check(now, ledger);
         }
-        (waiting, actions)
+        (pending, actions)
     }
 
-    /// When it wants to be asked again.
+    /// When [`Self::take`] is due.
     pub fn wake(&self, ledger: &Ledger) -> Option<Moment> {
-        let look = (!ledger.is_empty()).then(|| self.looked_at + LOOK);
-        let due = (!self.waiting.is_empty()).then_some(self.due);
-        look.into_iter().chain(due).min()
+        let check = (!ledger.is_empty()).then(|| self.checked_at + CHECK_INTERVAL);
+        let batch = (!self.pending.is_empty()).then_some(self.next_batch_at);
+        check.into_iter().chain(batch).min()
     }
 
-    /// Forgets all, when this replica stops leading: entries ask the next leader.
+    /// Drops all state when this replica stops leading: entries send their demands to the next
+    /// leader.
     pub fn clear(&mut self) {
         *self = Self::new(self.window);
     }
 
-    fn look(&mut self, now: Moment, ledger: &Ledger) -> Vec<Action> {
+    fn check(&mut self, now: Moment, ledger: &Ledger) -> Vec<Action> {
         let mut actions = Vec::new();
         for (holder, incarnation) in ledger.holders() {
-            let heard = *self.heard.entry(holder.clone()).or_insert(now);
-            if now >= heard + SILENT {
+            let last_demand_at = *self.last_demand_at.entry(holder.clone()).or_insert(now);
+            if now >= last_demand_at + HOLDER_TIMEOUT {
                 actions.push(Action::End(holder.clone(), incarnation));
             }
         }
-        let left = ledger.left();
-        self.releases.retain(|start, _| left.contains(start));
-        for (holder, incarnation) in left {
+        let ended = ledger.ended();
+        self.releases.retain(|incarnation, _| ended.contains(incarnation));
+        for (holder, incarnation) in ended {
             let due = self.release_at(now, &holder, incarnation);
             if now >= due {
                 actions.push(Action::Release(holder, incarnation));
@@ -115,15 +117,16 @@
         actions
     }
 
-    /// When what a start held is out of every window: one window after the next start of its
-    /// entry began, or after the longest that it serves on where there is none.
+    /// When the requests that an ended incarnation passed are out of every window: one window
+    /// after the entry's next incarnation began, or after the longest that the entry can have
+    /// served on if there is none.
     fn release_at(&mut self, now: Moment, holder: &NodeId, incarnation: Incarnation) -> Moment {
-        let window = Window::kept(self.window);
-        let unseen = *self
+        let window = Window::retention(self.window);
+        let latest = *self
             .releases
             .entry((holder.clone(), incarnation))
-            .or_insert_with(|| now + LEAVING + window);
-        let next = self.started.get(holder).filter(|(next, _)| *next > incarnation);
-        next.map_or(unseen, |(_, at)| unseen.min(*at + window))
+            .or_insert_with(|| now + LEAVE_TIMEOUT + window);
+        let next = self.started_at.get(holder).filter(|(next, _)| *next > incarnation);
+        next.map_or(latest, |(_, at)| latest.min(*at + window))
     }
 }
--- a/src/quota/ledger.rs
+++ b/src/quota/ledger.rs
@@ -14,28 +14,29 @@
 use crate::id::Incarnation;
 use crate::id::NodeId;
 
-/// Who holds which parts of all allowances: the replicated state.
+/// Replicated state of all allowances and the shares of them that entries hold.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Ledger {
     holders: BTreeMap<NodeId, Holder>,
     holdings: BTreeMap<Subject, Holding>,
 }
 
-/// An entry that has asked.
+/// An entry that has sent a demand.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 struct Holder {
-    /// Whether this start of it is over.
+    /// Whether this incarnation has ended.
     has_ended: bool,
     incarnation: Incarnation,
-    /// Its newest ask: what an older one gave back is in use again since.
+    /// Sequence number of its newest demand. An older one must not be applied: the entry may hold
+    /// less since.
     sequence: u64,
 }
 
 impl Ledger {
-    /// Applies a change; an ask that counts is answered.
+    /// Applies a change. Returns the answer to a demand, or `None` if the demand is obsolete.
     pub fn apply(&mut self, action: &Action) -> Option<Grant> {
         match action {
-            Action::Ask(ask) => self.ask(ask),
+            Action::Ask(demand) => self.apply_demand(demand),
             Action::End(holder, incarnation) => {
                 self.end(holder, *incarnation);
                 None
@@ -47,66 +48,67 @@
         }
     }
 
-    /// Whether nobody has asked for anything.
+    /// Whether no entry has sent a demand.
     pub fn is_empty(&self) -> bool {
         self.holders.is_empty()
     }
 
-    /// Starts of entries that are over and whose parts still count.
-    pub fn left(&self) -> BTreeSet<(NodeId, Incarnation)> {
-        self.holdings.values().flat_map(Holding::left).cloned().collect()
+    /// Ended incarnations whose shares still count.
+    pub fn ended(&self) -> BTreeSet<(NodeId, Incarnation)> {
+        self.holdings.values().flat_map(Holding::ended).cloned().collect()
     }
 
-    /// Entries that may hold parts, with their starts.
+    /// Entries that may hold shares, with their current incarnations.
     pub fn holders(&self) -> impl Iterator<Item = (&NodeId, Incarnation)> {
-        let present = self.holders.iter().filter(|(_, holder)| !holder.has_ended);
-        present.map(|(id, holder)| (id, holder.incarnation))
+        let current = self.holders.iter().filter(|(_, holder)| !holder.has_ended);
+        current.map(|(id, holder)| (id, holder.incarnation))
     }
 
-    fn ask(&mut self, ask: &Ask) -> Option<Grant> {
-        if self.is_over(ask) {
-            let Ask { incarnation, sequence, .. } = *ask;
+    fn apply_demand(&mut self, demand: &Ask) -> Option<Grant> {
+        if self.has_ended(demand) {
+            let Ask { incarnation, sequence, .. } = *demand;
             return Some(Grant { incarnation, is_over: true, parts: Vec::new(), sequence });
         }
-        if !self.admit(ask) {
+        if !self.accept(demand) {
             return None;
         }
-        let parts = ask.items.iter().map(|item| self.set(ask, item)).collect();
-        if ask.is_leaving {
-            self.end(&ask.holder, ask.incarnation);
+        let parts = demand.items.iter().map(|item| self.allocate(demand, item)).collect();
+        if demand.is_leaving {
+            self.end(&demand.holder, demand.incarnation);
         }
-        let Ask { incarnation, sequence, .. } = *ask;
+        let Ask { incarnation, sequence, .. } = *demand;
         Some(Grant { incarnation, is_over: false, parts, sequence })
     }
 
-    /// Whether an ask comes from a start that was taken to be over.
-    fn is_over(&self, ask: &Ask) -> bool {
-        let known = self.holders.get(&ask.holder);
-        known.is_some_and(|known| known.has_ended && known.incarnation == ask.incarnation)
+    /// Whether a demand comes from an incarnation that was presumed to have ended.
+    fn has_ended(&self, demand: &Ask) -> bool {
+        let known = self.holders.get(&demand.holder);
+        known.is_some_and(|known| known.has_ended && known.incarnation == demand.incarnation)
     }
 
-    /// Whether an ask is the newest of its entry's present start.
-    fn admit(&mut self, ask: &Ask) -> bool {
-        let known = self.holders.get(&ask.holder).copied();
+    /// Records a demand and returns `true`, unless it is older than the newest one of its entry. A
+    /// demand of a newer incarnation ends the previous one.
+    fn accept(&mut self, demand: &Ask) -> bool {
+        let known = self.holders.get(&demand.holder).copied();
         if let Some(known) = known {
-            if (ask.incarnation, ask.sequence) < (known.incarnation, known.sequence) {
+            if (demand.incarnation, demand.sequence) < (known.incarnation, known.sequence) {
                 return false;
             }
-            if ask.incarnation > known.incarnation {
-                self.end(&ask.holder, known.incarnation);
+            if demand.incarnation > known.incarnation {
+                self.end(&demand.holder, known.incarnation);
             }
         }
-        let Ask { holder, incarnation, sequence, .. } = ask;
+        let Ask { holder, incarnation, sequence, .. } = demand;
         let (incarnation, sequence) = (*incarnation, *sequence);
         self.holders.insert(holder.clone(), Holder { has_ended: false, incarnation, sequence });
         true
     }
 
-    fn set(&mut self, ask: &Ask, item: &Item) -> Part {
+    fn allocate(&mut self, demand: &Ask, item: &Item) -> Part {
         let holding = self.holdings.entry(item.subject.clone()).or_default();
-        let amount = holding.set(&ask.holder, item.want, item.most);
+        let amount = holding.allocate(&demand.holder, item.want, item.most);
         let spare = holding.spare(item.most);
-        self.forget(&item.subject);
+        self.remove_if_empty(&item.subject);
         Part { amount, spare, subject: item.subject.clone() }
     }
 
@@ -126,7 +128,7 @@
         self.holdings.retain(|_, holding| !holding.is_empty());
     }
 
-    fn forget(&mut self, subject: &Subject) {
+    fn remove_if_empty(&mut self, subject: &Subject) {
         if self.holdings.get(subject).is_some_and(Holding::is_empty) {
             self.holdings.remove(subject);
         }
--- a/src/quota/meter.rs
+++ b/src/quota/meter.rs
@@ -15,111 +15,119 @@
 use crate::id::Incarnation;
 use crate::id::NodeId;
 
-/// Pause between two asks where nobody waits: parts follow what callers send as fast as it
-/// usually moves between entries.
-const PERIOD: Duration = Duration::from_millis(500);
-/// The same where a request waits: some that come together are asked for together.
-const SOON: Duration = Duration::from_millis(15);
-/// An entry says so often that it is there.
-const ALIVE: Duration = Duration::from_secs(30);
-/// How long it is known that nobody had more to give: until then a request beyond the part is
-/// refused at once.
-const EXHAUSTED: Duration = Duration::from_millis(500);
-/// How long what was given for requests that wait is kept for them: until their tasks have run.
-const PROMISED: Duration = Duration::from_millis(100);
-/// More than is needed by so much is given back; less is not worth a message.
-const SLACK: u32 = 1;
-/// Part of what is used that may be kept beyond it: from one half second to the next an entry's
-/// share of a team's requests seldom grows by more.
-const SPARE_PART: u32 = 2;
-/// Without an answer for so long, no control is there: an election is over sooner. Requests are
-/// refused at once then, as waiting would bring them nothing.
-const ABSENT: Duration = Duration::from_millis(2500);
-/// Shortest time after which a refused caller may come back.
-const BACK_LEAST: Duration = Duration::from_millis(100);
+/// Time between two demands when no request waits: about as fast as load usually moves between
+/// entries.
+const DEMAND_INTERVAL: Duration = Duration::from_millis(500);
+/// Shortest time between two demands when requests wait, so that requests that arrive together
+/// share one demand.
+const MIN_DEMAND_INTERVAL: Duration = Duration::from_millis(15);
+/// Time without changes after which an empty demand is sent as a keepalive.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(30);
+/// How long requests beyond the allocation are refused at once after control could not grant all
+/// that was demanded.
+const EXHAUSTED_DURATION: Duration = Duration::from_millis(500);
+/// How long a grant is reserved for the requests that waited for it, until their tasks have run.
+const RESERVATION_DURATION: Duration = Duration::from_millis(100);
+/// Requests beyond the need that aren't given back, as they aren't worth a message.
+const MAX_EXCESS: u32 = 1;
+/// The spare allocation is at most what is used divided by this: an entry's share of a team's
+/// requests seldom grows by more within half a second.
+const SPARE_DIVISOR: u32 = 2;
+/// Time without an answer after which control is presumed unreachable; elections take less.
+/// Requests are then refused at once, as waiting wouldn't help them.
+const CONTROL_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Shortest time after which a refused caller may retry.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// An entry's side: what it holds of each allowance, and what it let pass.
+/// Enforces the allocations of one entry: what it holds of each allowance, and the requests that
+/// it passed.
 #[derive(Clone, Debug)]
 pub struct Meter {
     accounts: HashMap<Subject, Account, Xxh3DefaultBuilder>,
-    asked: Option<(Ask, Moment)>,
-    /// When this start began.
-    began: Moment,
-    due: Moment,
+    /// The demand that waits for an answer, and when it was last sent.
+    in_flight: Option<(Ask, Moment)>,
+    /// When this incarnation began.
+    started_at: Moment,
+    next_demand_at: Moment,
     holder: NodeId,
     incarnation: Incarnation,
     is_leaving: bool,
     sequence: u64,
-    told_at: Moment,
-    /// Since when an ask has had no answer.
+    last_demand_at: Moment,
+    /// Since when a demand has had no answer.
     unanswered_since: Option<Moment>,
     window: Duration,
 }
 
-/// What becomes of a request.
+/// Whether a request may pass.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Take {
-    /// It passes, counted at this moment.
+    /// The request passes and is counted at this moment.
     Passed(Moment),
-    /// The allowance is used up; come back after this.
+    /// The allowance is used up; the caller may retry after this time.
     Refused(Duration),
-    /// No control is there to give more; come back after this.
+    /// Control can't be reached to grant more; the caller may retry after this time.
     Unconfirmed(Duration),
-    /// Control is asked for more; ask again when it has answered.
+    /// More was demanded from control; try again when it has answered.
     Wait,
 }
 
-/// The part of one allowance.
+/// What an entry holds of one allowance.
 #[derive(Clone, Debug)]
 struct Account {
-    amount: u32,
-    /// Configuration by which it was last asked for.
-    asked: ConfigNumber,
+    allocation: u32,
+    /// Configuration that the last demand was based on.
+    demand_number: ConfigNumber,
     exhausted_until: Moment,
+    /// The whole allowance.
     most: u32,
+    /// Configuration that the allowance comes from.
     number: ConfigNumber,
     passed: Window,
-    /// What is kept until then for requests that wait and have not tried again yet.
-    promised: (u32, Moment),
-    /// Requests that found it used up since the last answer.
-    short: u32,
+    /// Requests that were granted for waiting requests that haven't tried again yet, and until
+    /// when they are reserved.
+    reserved: (u32, Moment),
+    /// Requests since the last grant that had to wait.
+    waiting: u32,
+    /// Requests that the entry may hold beyond its need.
     spare: u32,
 }
 
 impl Meter {
-    /// An ask without an answer is sent again after this; an election takes longer, a lost frame
-    /// does not.
+    /// Time without an answer after which a demand is sent again, as its frame may be lost. An
+    /// election takes longer.
     pub const AGAIN: Duration = Duration::from_millis(400);
-    /// When callers may come back that were refused for want of control, to any entry.
+    /// Time after which a caller may retry, at any entry, when control can't be reached.
     pub const BACK_UNCONFIRMED: Duration = Duration::from_millis(300);
-    /// Share of a caller's time for which its request waits at most until control has given its
-    /// entry more: control answers within a few hundredths of a second, but for the second that an
-    /// election takes, and the request still has to run in time.
-    const PATIENCE: f64 = 0.25;
+    /// Largest share of a request's time budget that it waits for a grant. Control answers within a
+    /// few hundredths of a second, or a second during an election, and the request must still run
+    /// in time.
+    const MAX_WAIT_SHARE: f64 = 0.25;
 
-    /// One that holds nothing; `window` is the span in which allowances hold.
+    /// Creates one without allocations; `window` is the span in which allowances hold.
     pub fn new(holder: NodeId, incarnation: Incarnation, window: Duration) -> Self {
         Self {
             accounts: HashMap::default(),
-            asked: None,
-            began: Moment::ZERO,
-            due: Moment::ZERO,
+            in_flight: None,
+            started_at: Moment::ZERO,
+            next_demand_at: Moment::ZERO,
             holder,
             incarnation,
             is_leaving: false,
             sequence: 0,
-            told_at: Moment::ZERO,
+            last_demand_at: Moment::ZERO,
             unanswered_since: None,
             window,
         }
     }
 
-    /// How long a request may wait, with `budget` until its deadline.
+    /// Longest that a request may wait for a grant, with `budget` until its deadline.
     pub fn patience(budget: Duration) -> Duration {
-        budget.mul_f64(Self::PATIENCE)
+        budget.mul_f64(Self::MAX_WAIT_SHARE)
     }
 
-    /// A request wants to pass; `most` is the allowance in the configuration of this number.
+    /// Lets a request pass if the allocation has room for it; `most` is the allowance in the
+    /// configuration of this number.
     pub fn take(
         &mut self,
         now: Moment,
@@ -137,60 +145,61 @@
         };
         account.configure(number, most);
         account.passed.roll(now);
-        if account.passed.sum() < account.amount {
+        if account.passed.sum() < account.allocation {
             account.passed.add(now);
-            account.promised.0 = account.promised.0.saturating_sub(1);
+            account.reserved.0 = account.reserved.0.saturating_sub(1);
             return Take::Passed(now);
         }
         if now < account.exhausted_until || account.passed.sum() >= account.most {
-            return Take::Refused(account.back_after(now));
+            return Take::Refused(account.retry_after(now));
         }
         if self.is_leaving {
-            return Take::Refused(BACK_LEAST);
+            return Take::Refused(MIN_RETRY_AFTER);
         }
-        if self.unanswered_since.is_some_and(|since| now >= since + ABSENT) {
+        if self.unanswered_since.is_some_and(|since| now >= since + CONTROL_TIMEOUT) {
             return Take::Unconfirmed(Self::BACK_UNCONFIRMED);
         }
-        account.short += 1;
-        self.due = self.due.min(now.max(self.told_at + SOON));
+        account.waiting += 1;
+        self.next_demand_at =
+            self.next_demand_at.min(now.max(self.last_demand_at + MIN_DEMAND_INTERVAL));
         Take::Wait
     }
 
-    /// What passed at this moment came to nothing: it did not run, and never will.
+    /// Uncounts a request that passed at this moment, did not run and never will.
     pub fn give_back(&mut self, subject: &Subject, at: Moment) {
         if let Some(account) = self.accounts.get_mut(subject) {
             account.passed.remove(at);
         }
     }
 
-    /// The process leaves: what it does not need is given back.
+    /// Starts to leave: allocations that aren't needed are given back.
     pub fn leave(&mut self, now: Moment) {
         self.is_leaving = true;
-        self.due = now;
+        self.next_demand_at = now;
     }
 
-    /// What control is to be told now.
+    /// The demand that is due to be sent to control, if any.
     pub fn next(&mut self, now: Moment) -> Option<Ask> {
-        if let Some((ask, at)) = &mut self.asked {
+        if let Some((demand, at)) = &mut self.in_flight {
             if now < *at + Self::AGAIN {
                 return None;
             }
             *at = now;
-            ask.age = now.saturating_sub(self.began);
-            return Some(ask.clone());
+            demand.age = now.saturating_sub(self.started_at);
+            return Some(demand.clone());
         }
-        if now < self.due {
+        if now < self.next_demand_at {
             return None;
         }
-        self.due = now + PERIOD;
-        let items = self.items(now);
-        if items.is_empty() && now < self.told_at + ALIVE && !self.is_leaving {
+        self.next_demand_at = now + DEMAND_INTERVAL;
+        let items = self.changes(now);
+        if items.is_empty() && now < self.last_demand_at + KEEPALIVE_INTERVAL && !self.is_leaving {
             return None;
         }
         self.sequence += 1;
-        self.told_at = now;
-        let ask = Ask {
-            age: now.saturating_sub(self.began),
+        self.last_demand_at = now;
+        let demand = Ask {
+            age: now.saturating_sub(self.started_at),
             holder: self.holder.clone(),
             incarnation: self.incarnation,
             is_leaving: self.is_leaving,
@@ -198,27 +207,29 @@
             sequence: self.sequence,
         };
         if self.is_leaving {
-            // There is no answer to wait for: nothing more is asked.
-            self.due = Moment::MAX;
+            // Nothing more is demanded, so no answer is awaited.
+            self.next_demand_at = Moment::MAX;
         } else {
-            self.asked = Some((ask.clone(), now));
+            self.in_flight = Some((demand.clone(), now));
             self.unanswered_since = Some(now);
         }
-        Some(ask)
+        Some(demand)
     }
 
     /// When [`Self::next`] is due.
     pub fn wake(&self) -> Moment {
-        // Who holds nothing has nothing to say before a request comes.
+        // Without accounts there is nothing to demand until a request arrives.
         let is_idle = self.accounts.is_empty() && !self.is_leaving;
-        let due = if is_idle { Moment::MAX } else { self.due };
-        self.asked.as_ref().map_or(due, |(_, at)| *at + Self::AGAIN)
+        let due = if is_idle { Moment::MAX } else { self.next_demand_at };
+        self.in_flight.as_ref().map_or(due, |(_, at)| *at + Self::AGAIN)
     }
 
-    /// Takes control's answer; whether it was one to the ask that waits.
+    /// Applies a grant. Returns `false` if it doesn't answer the demand in flight.
     pub fn grant(&mut self, now: Moment, grant: &Grant) -> bool {
-        // An older answer may tell of parts that were given back since.
-        let Some((ask, _)) = self.asked.take_if(|(ask, _)| ask.sequence == grant.sequence) else {
+        // An older grant may contain allocations that were given back since.
+        let Some((demand, _)) =
+            self.in_flight.take_if(|(demand, _)| demand.sequence == grant.sequence)
+        else {
             return false;
         };
         self.unanswered_since = None;
@@ -226,43 +237,45 @@
             return false;
         }
         if grant.is_over {
-            self.begin_anew(now);
+            self.begin_incarnation(now);
             return true;
         }
-        for part in &grant.parts {
-            let wanted = ask.items.iter().find(|item| item.subject == part.subject);
-            let Some(account) = self.accounts.get_mut(&part.subject) else { continue };
-            account.take_over(now, part, wanted.map_or(0, |item| item.want));
+        for allocation in &grant.parts {
+            let demanded = demand.items.iter().find(|item| item.subject == allocation.subject);
+            let Some(account) = self.accounts.get_mut(&allocation.subject) else { continue };
+            account.apply(now, allocation, demanded.map_or(0, |item| item.want));
         }
         true
     }
 
-    /// Control took this start for one that is over, as it was silent for long, and gives its
-    /// parts to others. What passed still counts.
-    fn begin_anew(&mut self, now: Moment) {
+    /// Begins a new incarnation without allocations, because control presumed this one to have
+    /// ended after a long silence. The requests that passed still count.
+    fn begin_incarnation(&mut self, now: Moment) {
         self.incarnation += 1;
-        self.began = now;
-        self.due = now;
+        self.started_at = now;
+        self.next_demand_at = now;
         self.sequence = 0;
-        self.accounts.values_mut().for_each(|account| account.amount = 0);
+        self.accounts.values_mut().for_each(|account| account.allocation = 0);
     }
 
-    /// Parts that should be others than they are. What is given back is not used from here on.
-    fn items(&mut self, now: Moment) -> Vec<Item> {
+    /// The allocations that should change. What is given back is not used from here on.
+    fn changes(&mut self, now: Moment) -> Vec<Item> {
         let mut items = Vec::new();
         for (subject, account) in &mut self.accounts {
             account.passed.roll(now);
             let need = account.need(now);
-            if account.amount.abs_diff(need) <= SLACK && account.amount >= need && need > 0
-                || account.amount == need
+            if account.allocation.abs_diff(need) <= MAX_EXCESS
+                && account.allocation >= need
+                && need > 0
+                || account.allocation == need
             {
                 continue;
             }
-            account.amount = account.amount.min(need);
-            account.asked = account.number;
+            account.allocation = account.allocation.min(need);
+            account.demand_number = account.number;
             items.push(Item { most: account.most, subject: subject.clone(), want: need });
         }
-        self.accounts.retain(|_, account| account.amount > 0 || account.need(now) > 0);
+        self.accounts.retain(|_, account| account.allocation > 0 || account.need(now) > 0);
         items
     }
 }
@@ -270,62 +283,62 @@
 impl Account {
     fn new(number: ConfigNumber, most: u32, window: Duration) -> Self {
         Self {
-            amount: 0,
-            asked: number,
+            allocation: 0,
+            demand_number: number,
             exhausted_until: Moment::ZERO,
             most,
             number,
             passed: Window::new(window),
-            promised: (0, Moment::ZERO),
-            short: 0,
+            reserved: (0, Moment::ZERO),
+            waiting: 0,
             spare: 0,
         }
     }
 
-    /// Takes over the allowance of a newer configuration. Of one that has shrunk the part shrinks
-    /// as well, before control has said so: the others' parts do, too.
+    /// Applies the allowance of a newer configuration. If it has shrunk, the allocation shrinks in
+    /// proportion without waiting for control, as those of the other entries do.
     fn configure(&mut self, number: ConfigNumber, most: u32) {
         if number <= self.number {
             return;
         }
         if most < self.most {
-            let share = Share::of(self.amount, self.most);
-            self.amount = share.requests(most).min(self.amount);
+            let share = Share::of(self.allocation, self.most);
+            self.allocation = share.requests(most).min(self.allocation);
         }
         self.most = most;
         self.number = number;
         self.exhausted_until = Moment::ZERO;
     }
 
-    /// What it should hold: never less than what has passed, which counts until it is too old.
+    /// Requests that the entry should hold: never less than those that passed and haven't expired.
     fn need(&self, now: Moment) -> u32 {
-        let (promised, until) = self.promised;
-        let promised = if now < until { promised } else { 0 };
-        let used = self.passed.sum() + self.short + promised;
-        // The first entries that a team calls would else keep all that the others will need.
-        let most = used.div_ceil(SPARE_PART);
-        used + self.spare.min(most)
+        let (reserved, until) = self.reserved;
+        let reserved = if now < until { reserved } else { 0 };
+        let used = self.passed.sum() + self.waiting + reserved;
+        // Otherwise the first entries that a team calls would hold all that the others need later.
+        let max_spare = used.div_ceil(SPARE_DIVISOR);
+        used + self.spare.min(max_spare)
     }
 
-    fn take_over(&mut self, now: Moment, part: &Part, wanted: u32) {
-        self.spare = part.spare;
-        // Requests that wait count once more when they try again, which they do before long.
-        let free = part.amount.saturating_sub(self.passed.sum());
-        self.promised = (self.short.min(free), now + PROMISED);
-        self.short = 0;
+    fn apply(&mut self, now: Moment, allocation: &Part, demanded: u32) {
+        self.spare = allocation.spare;
+        // Waiting requests count again when they try again, so they are reserved only briefly.
+        let free = allocation.amount.saturating_sub(self.passed.sum());
+        self.reserved = (self.waiting.min(free), now + RESERVATION_DURATION);
+        self.waiting = 0;
         self.exhausted_until = Moment::ZERO;
-        if part.amount < wanted {
-            self.exhausted_until = now + EXHAUSTED;
+        if allocation.amount < demanded {
+            self.exhausted_until = now + EXHAUSTED_DURATION;
         }
-        // Asked for by an older configuration, it may be more than is left of it by now.
-        self.amount = match self.asked < self.number {
-            true => self.amount.min(part.amount),
-            false => part.amount,
+        // A demand based on an older configuration may grant more than the current one allows.
+        self.allocation = match self.demand_number < self.number {
+            true => self.allocation.min(allocation.amount),
+            false => allocation.amount,
         };
     }
 
-    fn back_after(&self, now: Moment) -> Duration {
-        let free = self.passed.next().unwrap_or(now + self.passed.length());
-        free.saturating_sub(now).max(BACK_LEAST)
+    fn retry_after(&self, now: Moment) -> Duration {
+        let expiry = self.passed.next_expiry().unwrap_or(now + self.passed.length());
+        expiry.saturating_sub(now).max(MIN_RETRY_AFTER)
     }
 }
--- a/src/quota/terms.rs
+++ b/src/quota/terms.rs
@@ -2,26 +2,26 @@
 
 use crate::team::Limit;
 
-/// Part of what the operator tolerates beyond a limit that is handed out. Parts are given back up
-/// to half a second after they could have been, so that a team would else get less than its
-/// limit; the rest is for clocks that run unevenly.
-const USED: f64 = 0.9;
+/// Share of the tolerated excess that is handed out with a limit. Entries give allocations back
+/// up to half a second late, so without it a team would get less than its limit. The rest covers
+/// the drift of clocks.
+const USED_TOLERANCE: f64 = 0.9;
 
 /// How limits are counted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Terms {
-    /// Share beyond a limit that the operator tolerates.
+    /// Share of a limit that the operator tolerates beyond it.
     pub overage: f64,
-    /// Requests beyond that which the operator tolerates.
+    /// Requests within a window that the operator tolerates in addition.
     pub tolerance: f64,
     /// Span in which a limit holds, wherever it begins.
     pub window: Duration,
 }
 
 impl Terms {
-    /// Most requests within a window.
+    /// Requests that a limit allows within a window.
     pub fn most(&self, limit: Limit) -> u32 {
         let limit = limit.rate * self.window.as_secs_f64() + limit.burst;
-        (limit * (1.0 + USED * self.overage) + USED * self.tolerance) as u32
+        (limit * (1.0 + USED_TOLERANCE * self.overage) + USED_TOLERANCE * self.tolerance) as u32
     }
 }
--- a/tests/suite/quota.rs
+++ b/tests/suite/quota.rs
@@ -1,7 +1,7 @@
-//! Allowances of the whole fleet, in virtual time.
+//! Tests of `hemlockfield::quota`, in virtual time.
 
 mod bound;
 mod calm;
 mod ledger;
 mod meter;
-mod world;
+mod simulation;
--- a/tests/suite/quota/meter.rs
+++ b/tests/suite/quota/meter.rs
@@ -1,4 +1,4 @@
-//! One entry's parts of allowances.
+//! Tests of one entry's limiter.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use hemlockfield::quota::Subject;
 use hemlockfield::quota::Take;
 
-use super::world::WINDOW;
+use super::simulation::WINDOW;
 
 const MOST: u32 = 100;
 
@@ -21,86 +21,86 @@
     Subject::Team("port".into())
 }
 
-fn meter() -> Meter {
+fn limiter() -> Meter {
     Meter::new("entry-1".into(), 1, WINDOW)
 }
 
-fn take(meter: &mut Meter, now: Duration) -> Take {
-    meter.take(now, &subject(), 1, MOST)
+fn take(limiter: &mut Meter, now: Duration) -> Take {
+    limiter.take(now, &subject(), 1, MOST)
 }
 
-/// Control's answer to an ask, with this part.
-fn grant(ask: &Ask, amount: u32) -> Grant {
-    let part = Part { amount, spare: 0, subject: subject() };
-    Grant { incarnation: 1, is_over: false, parts: vec![part], sequence: ask.sequence }
+/// Control's answer to a demand, with this allocation.
+fn grant(demand: &Ask, amount: u32) -> Grant {
+    let allocation = Part { amount, spare: 0, subject: subject() };
+    Grant { incarnation: 1, is_over: false, parts: vec![allocation], sequence: demand.sequence }
 }
 
-/// An entry that was given this part for its first request, which has not passed yet.
-fn holding(amount: u32) -> Meter {
-    let mut meter = meter();
-    take(&mut meter, ms(0));
-    let ask = meter.next(ms(40)).expect("an ask");
-    meter.grant(ms(60), &grant(&ask, amount));
-    meter
+/// A limiter that holds this allocation, granted for a first request that hasn't passed yet.
+fn with_allocation(amount: u32) -> Meter {
+    let mut limiter = limiter();
+    take(&mut limiter, ms(0));
+    let demand = limiter.next(ms(40)).expect("a demand");
+    limiter.grant(ms(60), &grant(&demand, amount));
+    limiter
 }
 
-// The first request of a team waits for control; the answer lets it pass, and the next one waits
+// The first request of a team waits for control, and passes after the grant. The next one waits
 // again.
 #[test]
-fn take_first() {
-    let mut meter = meter();
-    assert_eq!(take(&mut meter, ms(0)), Take::Wait);
-    let ask = meter.next(ms(40)).expect("an ask");
-    assert!(meter.grant(ms(60), &grant(&ask, 1)));
-    assert_eq!(take(&mut meter, ms(60)), Take::Passed(ms(60)));
-    assert_eq!(take(&mut meter, ms(70)), Take::Wait);
+fn acquire_first_request() {
+    let mut limiter = limiter();
+    assert_eq!(take(&mut limiter, ms(0)), Take::Wait);
+    let demand = limiter.next(ms(40)).expect("a demand");
+    assert!(limiter.grant(ms(60), &grant(&demand, 1)));
+    assert_eq!(take(&mut limiter, ms(60)), Take::Passed(ms(60)));
+    assert_eq!(take(&mut limiter, ms(70)), Take::Wait);
 }
 
-// Control can't be reached. For as long as an election takes requests wait; after that waiting
-// would bring them nothing, and each is refused at once. What the entry holds still passes.
+// Control can't be reached. Requests wait for as long as an election takes and are refused at once
+// after that, as waiting wouldn't help them. Requests within the allocation still pass.
 #[test]
-fn take_control_absent() {
-    let mut meter = holding(2);
-    assert_eq!(take(&mut meter, ms(60)), Take::Passed(ms(60)));
-    meter.next(ms(600));
-    assert_eq!(take(&mut meter, ms(700)), Take::Passed(ms(700)));
-    assert_eq!(take(&mut meter, ms(800)), Take::Wait);
-    meter.next(ms(1_000));
-    meter.next(ms(1_500));
-    assert!(matches!(take(&mut meter, ms(3_600)), Take::Unconfirmed(_)));
+fn acquire_without_control() {
+    let mut limiter = with_allocation(2);
+    assert_eq!(take(&mut limiter, ms(60)), Take::Passed(ms(60)));
+    limiter.next(ms(600));
+    assert_eq!(take(&mut limiter, ms(700)), Take::Passed(ms(700)));
+    assert_eq!(take(&mut limiter, ms(800)), Take::Wait);
+    limiter.next(ms(1_000));
+    limiter.next(ms(1_500));
+    assert!(matches!(take(&mut limiter, ms(3_600)), Take::Unconfirmed(_)));
 }
 
-// Nobody has more to give. What goes beyond the part is refused at once, with the time at which
-// the oldest request counts no more.
+// The allowance is used up. Requests beyond the allocation are refused at once, with the time until
+// the oldest request expires.
 #[test]
-fn take_used_up() {
-    let mut meter = meter();
-    take(&mut meter, ms(0));
-    take(&mut meter, ms(0));
-    let ask = meter.next(ms(40)).expect("an ask");
-    meter.grant(ms(60), &grant(&ask, 1));
-    take(&mut meter, ms(60));
-    let Take::Refused(after) = take(&mut meter, ms(100)) else { panic!("not refused") };
+fn acquire_exhausted_allowance() {
+    let mut limiter = limiter();
+    take(&mut limiter, ms(0));
+    take(&mut limiter, ms(0));
+    let demand = limiter.next(ms(40)).expect("a demand");
+    limiter.grant(ms(60), &grant(&demand, 1));
+    take(&mut limiter, ms(60));
+    let Take::Refused(after) = take(&mut limiter, ms(100)) else { panic!("not refused") };
     assert!(after >= WINDOW - ms(40) && after <= WINDOW + ms(500), "{after:?}");
 }
 
-// A request that did not run makes room for another one.
+// A request that did not run must not count against the allocation.
 #[test]
-fn give_back_makes_room() {
-    let mut meter = holding(1);
-    take(&mut meter, ms(60));
-    meter.give_back(&subject(), ms(60));
-    assert_eq!(take(&mut meter, ms(80)), Take::Passed(ms(80)));
+fn refund_request_not_run() {
+    let mut limiter = with_allocation(1);
+    take(&mut limiter, ms(60));
+    limiter.give_back(&subject(), ms(60));
+    assert_eq!(take(&mut limiter, ms(80)), Take::Passed(ms(80)));
 }
 
-// An answer to an older ask comes late. The part that it tells of was given back since, and
-// others use it.
+// A duplicate of an older grant arrives late. Its allocation was given back since and may be used by
+// other entries, so it must not be applied.
 #[test]
-fn grant_older_answer() {
-    let mut meter = meter();
-    take(&mut meter, ms(0));
-    let first = meter.next(ms(40)).expect("an ask");
-    meter.grant(ms(60), &grant(&first, 5));
-    meter.next(ms(600)).expect("an ask that gives back");
-    assert!(!meter.grant(ms(620), &grant(&first, 5)));
+fn apply_older_grant() {
+    let mut limiter = limiter();
+    take(&mut limiter, ms(0));
+    let first = limiter.next(ms(40)).expect("a demand");
+    limiter.grant(ms(60), &grant(&first, 5));
+    limiter.next(ms(600)).expect("a demand that gives back");
+    assert!(!limiter.grant(ms(620), &grant(&first, 5)));
 }
