--- a/src/node/attached/hub.rs
+++ b/src/node/attached/hub.rs
@@ -320,7 +320,7 @@
         self.next_ask += 1;
         let asked = Asked::Quota(from, ticket);
         let order = Order::Quota(ask);
-        self.ask(now, self.next_ask, asked, order, quota::Meter::AGAIN, outputs);
+        self.ask(now, self.next_ask, asked, order, quota::Limiter::RESEND_INTERVAL, outputs);
     }
 
     fn submit(&mut self, now: Moment, ticket: u64, version: Version, outputs: &mut Vec<Output>) {
--- a/src/node/core.rs
+++ b/src/node/core.rs
@@ -266,7 +266,7 @@
             }
             Input::Quota(ticket, ask) => {
                 let order = Order::Quota(ask);
-                let done = self.clerk.ask(now, ticket, order, quota::Meter::AGAIN);
+                let done = self.clerk.ask(now, ticket, order, quota::Limiter::RESEND_INTERVAL);
                 self.carry_out(now, done, &mut outputs);
             }
             Input::Read(ticket) => outputs.push(Output::Read(ticket, None)),
--- a/src/node/traffic/allowances.rs
+++ b/src/node/traffic/allowances.rs
@@ -16,7 +16,7 @@
 use crate::id::ConfigNumber;
 use crate::id::NodeId;
 use crate::node::Input;
-use crate::quota::Meter;
+use crate::quota::Limiter;
 use crate::quota::Subject;
 use crate::quota::Take;
 use crate::quota::Terms;
@@ -29,7 +29,7 @@
 
 /// What this entry holds of the teams' allowances.
 pub(in crate::node) struct Allowances {
-    meter: Mutex<Meter>,
+    meter: Mutex<Limiter>,
     poke: (Sender<()>, Receiver<()>),
     terms: Terms,
     waiting: Mutex<Vec<Sender<()>>>,
@@ -46,7 +46,7 @@
     pub(super) fn new(id: NodeId, terms: Terms) -> Self {
         let incarnation = crate::node::incarnation();
         Self {
-            meter: Mutex::new(Meter::new(id, incarnation, terms.window)),
+            meter: Mutex::new(Limiter::new(id, incarnation, terms.window)),
             poke: bounded(1),
             terms,
             waiting: Mutex::default(),
@@ -65,7 +65,7 @@
         let Some(limit) = team.limit else { return Ok(None) };
         let most = self.terms.most(limit);
         let subject = Subject::Team(team.name.clone());
-        let until = shared.now() + Meter::patience(budget);
+        let until = shared.now() + Limiter::max_wait(budget);
         loop {
             let now = shared.now();
             let (taken, answered) = self.take(now, &subject, number, most);
@@ -81,7 +81,7 @@
                     self.look_soon();
                     timeout(until - now, answered.recv()).await.ok();
                 }
-                Take::Wait => return Err(unconfirmed(team, Meter::BACK_UNCONFIRMED)),
+                Take::Wait => return Err(unconfirmed(team, Limiter::UNCONFIRMED_RETRY_AFTER)),
                 Take::Unconfirmed(after) => return Err(unconfirmed(team, after)),
             }
         }
@@ -98,7 +98,7 @@
     ) -> (Take, Receiver<()>) {
         let (sender, receiver) = bounded(1);
         let mut meter = self.meter();
-        let taken = meter.take(now, subject, number, most);
+        let taken = meter.acquire(now, subject, number, most);
         if taken == Take::Wait {
             let mut waiting = self.waiting();
             waiting.retain(|sender| !sender.is_closed());
@@ -117,7 +117,7 @@
         self.poke.0.try_send(()).ok();
     }
 
-    fn meter(&self) -> MutexGuard<'_, Meter> {
+    fn meter(&self) -> MutexGuard<'_, Limiter> {
         self.meter.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -129,7 +129,7 @@
 impl Passed {
     /// It did not run, and never will.
     pub(super) fn give_back(self) {
-        self.allowances.meter().give_back(&self.subject, self.at);
+        self.allowances.meter().refund(&self.subject, self.at);
     }
 }
 
@@ -143,7 +143,7 @@
     let allowances = Arc::clone(&shared.allowances);
     while !shared.done.is_closed() {
         let now = shared.now();
-        let ask = allowances.meter().next(now);
+        let ask = allowances.meter().next_demand(now);
         let Some(ask) = ask else {
             let due = allowances.meter().wake().saturating_sub(now);
             timeout(due.min(LONGEST), allowances.poke.1.recv()).await.ok();
@@ -151,8 +151,10 @@
         };
         let (sender, receiver) = bounded(1);
         shared.tell(Input::Quota(ask, sender));
-        let Ok(Ok(grant)) = timeout(Meter::AGAIN, receiver.recv()).await else { continue };
-        allowances.meter().grant(shared.now(), &grant);
+        let Ok(Ok(grant)) = timeout(Limiter::RESEND_INTERVAL, receiver.recv()).await else {
+            continue;
+        };
+        allowances.meter().apply(shared.now(), &grant);
         for waiting in std::mem::take(&mut *allowances.waiting()) {
             waiting.try_send(()).ok();
         }
--- a/src/quota.rs
+++ b/src/quota.rs
@@ -10,7 +10,7 @@
 //! allocation of another entry. Counters that entries exchange are too old when a team begins to
 //! send five times its limit, and those of a partitioned entry never arrive.
 //!
-//! **How.** Entries hold allocations of each allowance. A [`Meter`] at an entry counts the requests
+//! **How.** Entries hold allocations of each allowance. A [`Limiter`] at an entry counts the requests
 //! that passed within the window, and passes none beyond its allocation. The replicated [`Ledger`]
 //! moves allocations: an entry stops using what it gives back before it reports that, and gets
 //! more only after the change is committed. So at any moment the allocations, and with them the
@@ -25,7 +25,7 @@
 mod holding;
 mod keeper;
 mod ledger;
-mod meter;
+mod limiter;
 mod share;
 mod subject;
 mod terms;
@@ -38,8 +38,8 @@
 pub use grant::Part;
 pub use keeper::Keeper;
 pub use ledger::Ledger;
-pub use meter::Meter;
-pub use meter::Take;
+pub use limiter::Limiter;
+pub use limiter::Take;
 pub use share::Share;
 pub use subject::Subject;
 pub use terms::Terms;
--- a/src/quota/meter.rs
+++ b/src/quota/limiter.rs
@@ -42,7 +42,7 @@
 /// Enforces the allocations of one entry: what it holds of each allowance, and the requests that
 /// it passed.
 #[derive(Clone, Debug)]
-pub struct Meter {
+pub struct Limiter {
     accounts: HashMap<Subject, Account, Xxh3DefaultBuilder>,
     /// The demand that waits for an answer, and when it was last sent.
     in_flight: Option<(Ask, Moment)>,
@@ -93,12 +93,12 @@
     spare: u32,
 }
 
-impl Meter {
+impl Limiter {
     /// Time without an answer after which a demand is sent again, as its frame may be lost. An
     /// election takes longer.
-    pub const AGAIN: Duration = Duration::from_millis(400);
+    pub const RESEND_INTERVAL: Duration = Duration::from_millis(400);
     /// Time after which a caller may retry, at any entry, when control can't be reached.
-    pub const BACK_UNCONFIRMED: Duration = Duration::from_millis(300);
+    pub const UNCONFIRMED_RETRY_AFTER: Duration = Duration::from_millis(300);
     /// Largest share of a request's time budget that it waits for a grant. Control answers within a
     /// few hundredths of a second, or a second during an election, and the request must still run
     /// in time.
@@ -122,13 +122,13 @@
     }
 
     /// Longest that a request may wait for a grant, with `budget` until its deadline.
-    pub fn patience(budget: Duration) -> Duration {
+    pub fn max_wait(budget: Duration) -> Duration {
         budget.mul_f64(Self::MAX_WAIT_SHARE)
     }
 
     /// Lets a request pass if the allocation has room for it; `most` is the allowance in the
     /// configuration of this number.
-    pub fn take(
+    pub fn acquire(
         &mut self,
         now: Moment,
         subject: &Subject,
@@ -157,7 +157,7 @@
             return Take::Refused(MIN_RETRY_AFTER);
         }
         if self.unanswered_since.is_some_and(|since| now >= since + CONTROL_TIMEOUT) {
-            return Take::Unconfirmed(Self::BACK_UNCONFIRMED);
+            return Take::Unconfirmed(Self::UNCONFIRMED_RETRY_AFTER);
         }
         account.waiting += 1;
         self.next_demand_at =
@@ -166,7 +166,7 @@
     }
 
     /// Uncounts a request that passed at this moment, did not run and never will.
-    pub fn give_back(&mut self, subject: &Subject, at: Moment) {
+    pub fn refund(&mut self, subject: &Subject, at: Moment) {
         if let Some(account) = self.accounts.get_mut(subject) {
             account.passed.remove(at);
         }
@@ -179,9 +179,9 @@
     }
 
     /// The demand that is due to be sent to control, if any.
-    pub fn next(&mut self, now: Moment) -> Option<Ask> {
+    pub fn next_demand(&mut self, now: Moment) -> Option<Ask> {
         if let Some((demand, at)) = &mut self.in_flight {
-            if now < *at + Self::AGAIN {
+            if now < *at + Self::RESEND_INTERVAL {
                 return None;
             }
             *at = now;
@@ -216,16 +216,16 @@
         Some(demand)
     }
 
-    /// When [`Self::next`] is due.
+    /// When [`Self::next_demand`] is due.
     pub fn wake(&self) -> Moment {
         // Without accounts there is nothing to demand until a request arrives.
         let is_idle = self.accounts.is_empty() && !self.is_leaving;
         let due = if is_idle { Moment::MAX } else { self.next_demand_at };
-        self.in_flight.as_ref().map_or(due, |(_, at)| *at + Self::AGAIN)
+        self.in_flight.as_ref().map_or(due, |(_, at)| *at + Self::RESEND_INTERVAL)
     }
 
     /// Applies a grant. Returns `false` if it doesn't answer the demand in flight.
-    pub fn grant(&mut self, now: Moment, grant: &Grant) -> bool {
+    pub fn apply(&mut self, now: Moment, grant: &Grant) -> bool {
         // An older grant may contain allocations that were given back since.
         let Some((demand, _)) =
             self.in_flight.take_if(|(demand, _)| demand.sequence == grant.sequence)
--- a/tests/suite/quota.rs
+++ b/tests/suite/quota.rs
@@ -3,5 +3,5 @@
 mod bound;
 mod calm;
 mod ledger;
-mod meter;
+mod limiter;
 mod simulation;
--- a/tests/suite/quota/meter.rs
+++ b/tests/suite/quota/limiter.rs
@@ -4,7 +4,7 @@
 
 use hemlockfield::quota::Ask;
 use hemlockfield::quota::Grant;
-use hemlockfield::quota::Meter;
+use hemlockfield::quota::Limiter;
 use hemlockfield::quota::Part;
 use hemlockfield::quota::Subject;
 use hemlockfield::quota::Take;
@@ -21,12 +21,12 @@
     Subject::Team("port".into())
 }
 
-fn limiter() -> Meter {
-    Meter::new("entry-1".into(), 1, WINDOW)
+fn limiter() -> Limiter {
+    Limiter::new("entry-1".into(), 1, WINDOW)
 }
 
-fn take(limiter: &mut Meter, now: Duration) -> Take {
-    limiter.take(now, &subject(), 1, MOST)
+fn acquire(limiter: &mut Limiter, now: Duration) -> Take {
+    limiter.acquire(now, &subject(), 1, MOST)
 }
 
 /// Control's answer to a demand, with this allocation.
@@ -36,11 +36,11 @@
 }
 
 /// A limiter that holds this allocation, granted for a first request that hasn't passed yet.
-fn with_allocation(amount: u32) -> Meter {
+fn with_allocation(amount: u32) -> Limiter {
     let mut limiter = limiter();
-    take(&mut limiter, ms(0));
-    let demand = limiter.next(ms(40)).expect("a demand");
-    limiter.grant(ms(60), &grant(&demand, amount));
+    acquire(&mut limiter, ms(0));
+    let demand = limiter.next_demand(ms(40)).expect("a demand");
+    limiter.apply(ms(60), &grant(&demand, amount));
     limiter
 }
 
@@ -49,11 +49,11 @@
 #[test]
 fn acquire_first_request() {
     let mut limiter = limiter();
-    assert_eq!(take(&mut limiter, ms(0)), Take::Wait);
-    let demand = limiter.next(ms(40)).expect("a demand");
-    assert!(limiter.grant(ms(60), &grant(&demand, 1)));
-    assert_eq!(take(&mut limiter, ms(60)), Take::Passed(ms(60)));
-    assert_eq!(take(&mut limiter, ms(70)), Take::Wait);
+    assert_eq!(acquire(&mut limiter, ms(0)), Take::Wait);
+    let demand = limiter.next_demand(ms(40)).expect("a demand");
+    assert!(limiter.apply(ms(60), &grant(&demand, 1)));
+    assert_eq!(acquire(&mut limiter, ms(60)), Take::Passed(ms(60)));
+    assert_eq!(acquire(&mut limiter, ms(70)), Take::Wait);
 }
 
 // Control can't be reached. Requests wait for as long as an election takes and are refused at once
@@ -61,13 +61,13 @@
 #[test]
 fn acquire_without_control() {
     let mut limiter = with_allocation(2);
-    assert_eq!(take(&mut limiter, ms(60)), Take::Passed(ms(60)));
-    limiter.next(ms(600));
-    assert_eq!(take(&mut limiter, ms(700)), Take::Passed(ms(700)));
-    assert_eq!(take(&mut limiter, ms(800)), Take::Wait);
-    limiter.next(ms(1_000));
-    limiter.next(ms(1_500));
-    assert!(matches!(take(&mut limiter, ms(3_600)), Take::Unconfirmed(_)));
+    assert_eq!(acquire(&mut limiter, ms(60)), Take::Passed(ms(60)));
+    limiter.next_demand(ms(600));
+    assert_eq!(acquire(&mut limiter, ms(700)), Take::Passed(ms(700)));
+    assert_eq!(acquire(&mut limiter, ms(800)), Take::Wait);
+    limiter.next_demand(ms(1_000));
+    limiter.next_demand(ms(1_500));
+    assert!(matches!(acquire(&mut limiter, ms(3_600)), Take::Unconfirmed(_)));
 }
 
 // The allowance is used up. Requests beyond the allocation are refused at once, with the time until
@@ -75,12 +75,12 @@
 #[test]
 fn acquire_exhausted_allowance() {
     let mut limiter = limiter();
-    take(&mut limiter, ms(0));
-    take(&mut limiter, ms(0));
-    let demand = limiter.next(ms(40)).expect("a demand");
-    limiter.grant(ms(60), &grant(&demand, 1));
-    take(&mut limiter, ms(60));
-    let Take::Refused(after) = take(&mut limiter, ms(100)) else { panic!("not refused") };
+    acquire(&mut limiter, ms(0));
+    acquire(&mut limiter, ms(0));
+    let demand = limiter.next_demand(ms(40)).expect("a demand");
+    limiter.apply(ms(60), &grant(&demand, 1));
+    acquire(&mut limiter, ms(60));
+    let Take::Refused(after) = acquire(&mut limiter, ms(100)) else { panic!("not refused") };
     assert!(after >= WINDOW - ms(40) && after <= WINDOW + ms(500), "{after:?}");
 }
 
@@ -88,9 +88,9 @@
 #[test]
 fn refund_request_not_run() {
     let mut limiter = with_allocation(1);
-    take(&mut limiter, ms(60));
-    limiter.give_back(&subject(), ms(60));
-    assert_eq!(take(&mut limiter, ms(80)), Take::Passed(ms(80)));
+    acquire(&mut limiter, ms(60));
+    limiter.refund(&subject(), ms(60));
+    assert_eq!(acquire(&mut limiter, ms(80)), Take::Passed(ms(80)));
 }
 
 // A duplicate of an older grant arrives late. Its allocation was given back since and may be used by
@@ -98,9 +98,9 @@
 #[test]
 fn apply_older_grant() {
     let mut limiter = limiter();
-    take(&mut limiter, ms(0));
-    let first = limiter.next(ms(40)).expect("a demand");
-    limiter.grant(ms(60), &grant(&first, 5));
-    limiter.next(ms(600)).expect("a demand that gives back");
-    assert!(!limiter.grant(ms(620), &grant(&first, 5)));
+    acquire(&mut limiter, ms(0));
+    let first = limiter.next_demand(ms(40)).expect("a demand");
+    limiter.apply(ms(60), &grant(&first, 5));
+    limiter.next_demand(ms(600)).expect("a demand that gives back");
+    assert!(!limiter.apply(ms(620), &grant(&first, 5)));
 }
--- a/tests/suite/quota/simulation.rs
+++ b/tests/suite/quota/simulation.rs
@@ -10,7 +10,7 @@
 use hemlockfield::quota::Grant;
 use hemlockfield::quota::Keeper;
 use hemlockfield::quota::Ledger;
-use hemlockfield::quota::Meter;
+use hemlockfield::quota::Limiter;
 use hemlockfield::quota::Subject;
 use hemlockfield::quota::Take;
 use rand::Rng;
@@ -53,7 +53,7 @@
     incarnation: u64,
     /// Number and allowance of the configuration that it uses.
     config: (u64, u32),
-    limiter: Meter,
+    limiter: Limiter,
     /// Rate of its clock.
     clock_rate: f64,
     started_at: Duration,
@@ -98,7 +98,7 @@
             partitioned_until: Duration::ZERO,
             incarnation: 1,
             config: (1, most),
-            limiter: Meter::new(entry_name(at), 1, window),
+            limiter: Limiter::new(entry_name(at), 1, window),
             clock_rate: random.random_range(0.99..1.01),
             started_at: Duration::ZERO,
             is_up: true,
@@ -133,7 +133,7 @@
     fn try_pass(&mut self, at: usize) -> bool {
         let entry = &mut self.entries[at];
         let now = entry.local_time(self.now);
-        match entry.limiter.take(now, &subject(), entry.config.0, entry.config.1) {
+        match entry.limiter.acquire(now, &subject(), entry.config.0, entry.config.1) {
             Take::Passed(_) => self.passed.push(self.now),
             Take::Wait => return false,
             Take::Refused(_) | Take::Unconfirmed(_) => self.refused += 1,
@@ -165,9 +165,9 @@
             return;
         }
         let now = entry.local_time(self.now);
-        let demand = entry.limiter.next(now);
+        let demand = entry.limiter.next_demand(now);
         let waiting_before = entry.waiting.len();
-        entry.waiting.retain(|since| self.now < *since + Meter::patience(BUDGET));
+        entry.waiting.retain(|since| self.now < *since + Limiter::max_wait(BUDGET));
         self.refused += waiting_before - entry.waiting.len();
         if let Some(demand) = demand.filter(|_| self.now >= self.entries[at].partitioned_until) {
             self.send(Message::Ask(demand));
@@ -212,12 +212,12 @@
             grant.incarnation = entry.incarnation;
             for sequence in (1..=grant.sequence + 5).rev() {
                 grant.sequence = sequence;
-                if entry.limiter.grant(now, &grant) {
+                if entry.limiter.apply(now, &grant) {
                     break;
                 }
             }
         } else {
-            entry.limiter.grant(now, &grant);
+            entry.limiter.apply(now, &grant);
         }
         self.entries[at].retry_at = Some(self.now + 2 * STEP);
     }
@@ -283,7 +283,7 @@
         entry.incarnation += 1;
         entry.config = (number, most);
         let window = if self.mutant == Mutant::HalfWindow { WINDOW / 2 } else { WINDOW };
-        entry.limiter = Meter::new(entry_name(at), entry.incarnation, window);
+        entry.limiter = Limiter::new(entry_name(at), entry.incarnation, window);
         entry.started_at = self.now;
     }
 
