--- a/src/node/traffic/allowances.rs
+++ b/src/node/traffic/allowances.rs
@@ -16,9 +16,9 @@
 use crate::id::ConfigNumber;
 use crate::id::NodeId;
 use crate::node::Input;
+use crate::quota::Decision;
 use crate::quota::Limiter;
 use crate::quota::Subject;
-use crate::quota::Take;
 use crate::quota::Terms;
 use crate::team::Team;
 
@@ -70,19 +70,19 @@
             let now = shared.now();
             let (taken, answered) = self.take(now, &subject, number, most);
             match taken {
-                Take::Passed(at) => {
+                Decision::Passed(at) => {
                     return Ok(Some(Passed { allowances: Arc::clone(self), at, subject }));
                 }
-                Take::Refused(after) => {
+                Decision::Refused(after) => {
                     let text = format!("`{}` asks more than its {most} in a window", team.name);
                     return Err(Refusal::not_run(429, text, after));
                 }
-                Take::Wait if now < until => {
+                Decision::Wait if now < until => {
                     self.look_soon();
                     timeout(until - now, answered.recv()).await.ok();
                 }
-                Take::Wait => return Err(unconfirmed(team, Limiter::UNCONFIRMED_RETRY_AFTER)),
-                Take::Unconfirmed(after) => return Err(unconfirmed(team, after)),
+                Decision::Wait => return Err(unconfirmed(team, Limiter::UNCONFIRMED_RETRY_AFTER)),
+                Decision::Unconfirmed(after) => return Err(unconfirmed(team, after)),
             }
         }
     }
@@ -95,11 +95,11 @@
         subject: &Subject,
         number: ConfigNumber,
         most: u32,
-    ) -> (Take, Receiver<()>) {
+    ) -> (Decision, Receiver<()>) {
         let (sender, receiver) = bounded(1);
         let mut meter = self.meter();
         let taken = meter.acquire(now, subject, number, most);
-        if taken == Take::Wait {
+        if taken == Decision::Wait {
             let mut waiting = self.waiting();
             waiting.retain(|sender| !sender.is_closed());
             waiting.push(sender);
--- a/src/quota/limiter.rs
+++ b/src/quota/limiter.rs
@@ -61,7 +61,7 @@
 
 /// Whether a request may pass.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Take {
+pub enum Decision {
     /// The request passes and is counted at this moment.
     Passed(Moment),
     /// The allowance is used up; the caller may retry after this time.
@@ -134,7 +134,7 @@
         subject: &Subject,
         number: ConfigNumber,
         most: u32,
-    ) -> Take {
+    ) -> Decision {
         let window = self.window;
         let account = match self.accounts.get_mut(subject) {
             Some(account) => account,
@@ -148,21 +148,21 @@
         if account.passed.sum() < account.allocation {
             account.passed.add(now);
             account.reserved.0 = account.reserved.0.saturating_sub(1);
-            return Take::Passed(now);
+            return Decision::Passed(now);
         }
         if now < account.exhausted_until || account.passed.sum() >= account.most {
-            return Take::Refused(account.retry_after(now));
+            return Decision::Refused(account.retry_after(now));
         }
         if self.is_leaving {
-            return Take::Refused(MIN_RETRY_AFTER);
+            return Decision::Refused(MIN_RETRY_AFTER);
         }
         if self.unanswered_since.is_some_and(|since| now >= since + CONTROL_TIMEOUT) {
-            return Take::Unconfirmed(Self::UNCONFIRMED_RETRY_AFTER);
+            return Decision::Unconfirmed(Self::UNCONFIRMED_RETRY_AFTER);
         }
         account.waiting += 1;
         self.next_demand_at =
             self.next_demand_at.min(now.max(self.last_demand_at + MIN_DEMAND_INTERVAL));
-        Take::Wait
+        Decision::Wait
     }
 
     /// Uncounts a request that passed at this moment, did not run and never will.
--- a/tests/suite/quota/limiter.rs
+++ b/tests/suite/quota/limiter.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 
 use hemlockfield::quota::Ask;
+use hemlockfield::quota::Decision;
 use hemlockfield::quota::Grant;
 use hemlockfield::quota::Limiter;
 use hemlockfield::quota::Part;
 use hemlockfield::quota::Subject;
-use hemlockfield::quota::Take;
 
 use super::simulation::WINDOW;
 
@@ -25,7 +25,7 @@
     Limiter::new("entry-1".into(), 1, WINDOW)
 }
 
-fn acquire(limiter: &mut Limiter, now: Duration) -> Take {
+fn acquire(limiter: &mut Limiter, now: Duration) -> Decision {
     limiter.acquire(now, &subject(), 1, MOST)
 }
 
@@ -49,11 +49,11 @@
 #[test]
 fn acquire_first_request() {
     let mut limiter = limiter();
-    assert_eq!(acquire(&mut limiter, ms(0)), Take::Wait);
+    assert_eq!(acquire(&mut limiter, ms(0)), Decision::Wait);
     let demand = limiter.next_demand(ms(40)).expect("a demand");
     assert!(limiter.apply(ms(60), &grant(&demand, 1)));
-    assert_eq!(acquire(&mut limiter, ms(60)), Take::Passed(ms(60)));
-    assert_eq!(acquire(&mut limiter, ms(70)), Take::Wait);
+    assert_eq!(acquire(&mut limiter, ms(60)), Decision::Passed(ms(60)));
+    assert_eq!(acquire(&mut limiter, ms(70)), Decision::Wait);
 }
 
 // Control can't be reached. Requests wait for as long as an election takes and are refused at once
@@ -61,13 +61,13 @@
 #[test]
 fn acquire_without_control() {
     let mut limiter = with_allocation(2);
-    assert_eq!(acquire(&mut limiter, ms(60)), Take::Passed(ms(60)));
+    assert_eq!(acquire(&mut limiter, ms(60)), Decision::Passed(ms(60)));
     limiter.next_demand(ms(600));
-    assert_eq!(acquire(&mut limiter, ms(700)), Take::Passed(ms(700)));
-    assert_eq!(acquire(&mut limiter, ms(800)), Take::Wait);
+    assert_eq!(acquire(&mut limiter, ms(700)), Decision::Passed(ms(700)));
+    assert_eq!(acquire(&mut limiter, ms(800)), Decision::Wait);
     limiter.next_demand(ms(1_000));
     limiter.next_demand(ms(1_500));
-    assert!(matches!(acquire(&mut limiter, ms(3_600)), Take::Unconfirmed(_)));
+    assert!(matches!(acquire(&mut limiter, ms(3_600)), Decision::Unconfirmed(_)));
 }
 
 // The allowance is used up. Requests beyond the allocation are refused at once, with the time until
@@ -80,7 +80,7 @@
     let demand = limiter.next_demand(ms(40)).expect("a demand");
     limiter.apply(ms(60), &grant(&demand, 1));
     acquire(&mut limiter, ms(60));
-    let Take::Refused(after) = acquire(&mut limiter, ms(100)) else { panic!("not refused") };
+    let Decision::Refused(after) = acquire(&mut limiter, ms(100)) else { panic!("not refused") };
     assert!(after >= WINDOW - ms(40) && after <= WINDOW + ms(500), "{after:?}");
 }
 
@@ -90,7 +90,7 @@
     let mut limiter = with_allocation(1);
     acquire(&mut limiter, ms(60));
     limiter.refund(&subject(), ms(60));
-    assert_eq!(acquire(&mut limiter, ms(80)), Take::Passed(ms(80)));
+    assert_eq!(acquire(&mut limiter, ms(80)), Decision::Passed(ms(80)));
 }
 
 // A duplicate of an older grant arrives late. Its allocation was given back since and may be used by
--- a/tests/suite/quota/simulation.rs
+++ b/tests/suite/quota/simulation.rs
@@ -7,12 +7,12 @@
 use hemlockfield::id::NodeId;
 use hemlockfield::quota::Action;
 use hemlockfield::quota::Ask;
+use hemlockfield::quota::Decision;
 use hemlockfield::quota::Grant;
 use hemlockfield::quota::Keeper;
 use hemlockfield::quota::Ledger;
 use hemlockfield::quota::Limiter;
 use hemlockfield::quota::Subject;
-use hemlockfield::quota::Take;
 use rand::Rng;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -134,9 +134,9 @@
         let entry = &mut self.entries[at];
         let now = entry.local_time(self.now);
         match entry.limiter.acquire(now, &subject(), entry.config.0, entry.config.1) {
-            Take::Passed(_) => self.passed.push(self.now),
-            Take::Wait => return false,
-            Take::Refused(_) | Take::Unconfirmed(_) => self.refused += 1,
+            Decision::Passed(_) => self.passed.push(self.now),
+            Decision::Wait => return false,
+            Decision::Refused(_) | Decision::Unconfirmed(_) => self.refused += 1,
         }
         true
     }
