--- a/src/node/office.rs
+++ b/src/node/office.rs
@@ -19,7 +19,7 @@
 use crate::quorum::Recovered;
 use crate::quorum::Replica;
 use crate::quota;
-use crate::quota::Keeper;
+use crate::quota::Coordinator;
 use crate::wire::Frame;
 use crate::wire::Verdict;
 
@@ -52,7 +52,7 @@
     ledger: Ledger,
     next_ticket: u64,
     /// Gathers what entries ask of allowances.
-    keeper: Keeper,
+    keeper: Coordinator,
     proof_at: Moment,
     proposals: BTreeMap<u64, Proposal>,
     /// Answers to what entries asked, by the position of the record.
@@ -143,7 +143,7 @@
             leads: false,
             ledger: Ledger::new(claim::Limits::default()),
             granted: BTreeMap::new(),
-            keeper: Keeper::new(quota::Terms::default().window),
+            keeper: Coordinator::new(quota::Terms::default().window),
             next_ticket: 0,
             proof_at: Moment::ZERO,
             proposals: BTreeMap::new(),
@@ -156,7 +156,7 @@
 
     /// The same, counting allowances over windows of this length.
     pub fn with_window(self, window: Duration) -> Self {
-        Self { keeper: Keeper::new(window), ..self }
+        Self { keeper: Coordinator::new(window), ..self }
     }
 
     /// Takes one input, and says what to do about it.
--- a/src/quota.rs
+++ b/src/quota.rs
@@ -21,9 +21,9 @@
 
 mod action;
 mod ask;
+mod coordinator;
 mod grant;
 mod holding;
-mod keeper;
 mod ledger;
 mod limiter;
 mod share;
@@ -34,9 +34,9 @@
 pub use action::Action;
 pub use ask::Ask;
 pub use ask::Item;
+pub use coordinator::Coordinator;
 pub use grant::Grant;
 pub use grant::Part;
-pub use keeper::Keeper;
 pub use ledger::Ledger;
 pub use limiter::Decision;
 pub use limiter::Limiter;
--- a/src/quota/keeper.rs
+++ b/src/quota/coordinator.rs
@@ -30,7 +30,7 @@
 /// A new leader doesn't know when incarnations began or ended and counts from the start of its
 /// term. It frees allocations later than necessary, but never too early.
 #[derive(Clone, Debug)]
-pub struct Keeper {
+pub struct Coordinator {
     next_batch_at: Moment,
     last_demand_at: BTreeMap<NodeId, Moment>,
     checked_at: Moment,
@@ -42,7 +42,7 @@
     window: Duration,
 }
 
-impl Keeper {
+impl Coordinator {
     /// Creates one without demands; `window` is the span in which allowances hold.
     pub fn new(window: Duration) -> Self {
         Self {
--- a/tests/suite/quota/simulation.rs
+++ b/tests/suite/quota/simulation.rs
@@ -7,9 +7,9 @@
 use hemlockfield::id::NodeId;
 use hemlockfield::quota::Action;
 use hemlockfield::quota::Ask;
+use hemlockfield::quota::Coordinator;
 use hemlockfield::quota::Decision;
 use hemlockfield::quota::Grant;
-use hemlockfield::quota::Keeper;
 use hemlockfield::quota::Ledger;
 use hemlockfield::quota::Limiter;
 use hemlockfield::quota::Subject;
@@ -67,7 +67,7 @@
     entries: Vec<Entry>,
     /// Whether messages are lost and duplicated.
     pub(super) is_lossy: bool,
-    keeper: Keeper,
+    coordinator: Coordinator,
     /// Until when there is no leader.
     leaderless_until: Duration,
     ledger: Ledger,
@@ -108,7 +108,7 @@
         Self {
             entries: (0..entries).map(entry).collect(),
             is_lossy: false,
-            keeper: keeper(mutant),
+            coordinator: coordinator(mutant),
             leaderless_until: Duration::ZERO,
             ledger: Ledger::default(),
             messages: BTreeMap::new(),
@@ -147,7 +147,7 @@
         self.deliver();
         self.commit();
         if self.now >= self.leaderless_until {
-            let (waiting, actions) = self.keeper.take(self.now, &self.ledger);
+            let (waiting, actions) = self.coordinator.take(self.now, &self.ledger);
             let demands: Vec<Ask> = waiting.into_iter().map(|(_, _, demand)| demand).collect();
             if !demands.is_empty() || !actions.is_empty() {
                 self.proposed.push_back((self.now + 2 * STEP, demands, actions));
@@ -194,7 +194,7 @@
         for message in due.into_values().flatten() {
             match message {
                 Message::Ask(demand) if self.now >= self.leaderless_until => {
-                    self.keeper.push(self.now, demand.holder.clone(), 0, demand);
+                    self.coordinator.push(self.now, demand.holder.clone(), 0, demand);
                 }
                 Message::Ask(_) => (),
                 Message::Grant(at, grant) => self.receive_grant(at, grant),
@@ -254,7 +254,7 @@
     /// Replaces the leader after a pause without one.
     pub(super) fn change_leader(&mut self, pause: Duration) {
         self.leaderless_until = self.now + pause;
-        self.keeper = keeper(self.mutant);
+        self.coordinator = coordinator(self.mutant);
         // The new leader's log may contain what was proposed or not.
         let is_kept = self.random.random_bool(0.5);
         self.proposed.retain(|_| is_kept);
@@ -324,7 +324,7 @@
     }
 }
 
-fn keeper(mutant: Mutant) -> Keeper {
+fn coordinator(mutant: Mutant) -> Coordinator {
     let window = if mutant == Mutant::ReleasesAtOnce { Duration::ZERO } else { WINDOW };
-    Keeper::new(window)
+    Coordinator::new(window)
 }
