--- a/src/feed/message.rs
+++ b/src/feed/message.rs
@@ -42,7 +42,7 @@
         /// Names the ask at its sender.
         ticket: u64,
         /// The parts.
-        ask: quota::Ask,
+        ask: quota::Demand,
     },
     /// What an entry holds of allowances from now on.
     Grant {
--- a/src/node/attached/hub.rs
+++ b/src/node/attached/hub.rs
@@ -310,7 +310,7 @@
         now: Moment,
         from: NodeId,
         ticket: u64,
-        ask: quota::Ask,
+        ask: quota::Demand,
         outputs: &mut Vec<Output>,
     ) {
         if ask.holder != from {
--- a/src/node/core.rs
+++ b/src/node/core.rs
@@ -100,7 +100,7 @@
     /// An upstream's own report: draining, where it told, and healthy.
     Probed(ServiceId, UpstreamId, Option<bool>, bool),
     /// This entry wants other parts of allowances.
-    Quota(u64, quota::Ask),
+    Quota(u64, quota::Demand),
     /// Somebody asks for the newest configuration.
     Read(u64),
     /// The seeds were exchanged.
--- a/src/node/input.rs
+++ b/src/node/input.rs
@@ -46,7 +46,7 @@
         upstream: UpstreamId,
     },
     /// This entry wants other parts of allowances; the sender takes what it holds then.
-    Quota(quota::Ask, Sender<quota::Grant>),
+    Quota(quota::Demand, Sender<quota::Grant>),
     /// Somebody asks for the newest configuration; `None` where it can't be told.
     Read(Sender<Option<Option<Version>>>),
     /// The seeds were exchanged.
--- a/src/node/office.rs
+++ b/src/node/office.rs
@@ -75,7 +75,7 @@
     /// Message of another replica.
     Receive(NodeId, quorum::Message),
     /// An entry wants other parts of allowances, by way of a process and its ticket.
-    Quota(NodeId, u64, quota::Ask),
+    Quota(NodeId, u64, quota::Demand),
     /// A control asks up to which index it has to know the log, with its ticket.
     Read(NodeId, u64),
     /// Submission of an operator, by way of a process and its ticket.
@@ -317,7 +317,7 @@
         now: Moment,
         from: NodeId,
         ticket: u64,
-        ask: quota::Ask,
+        ask: quota::Demand,
         outputs: &mut Vec<Output>,
     ) {
         if self.leads {
--- a/src/quota.rs
+++ b/src/quota.rs
@@ -20,8 +20,8 @@
 //! nobody knows how many requests it had passed.
 
 mod action;
-mod ask;
 mod coordinator;
+mod demand;
 mod grant;
 mod holding;
 mod ledger;
@@ -32,9 +32,9 @@
 mod window;
 
 pub use action::Action;
-pub use ask::Ask;
-pub use ask::Item;
 pub use coordinator::Coordinator;
+pub use demand::Demand;
+pub use demand::Item;
 pub use grant::Grant;
 pub use grant::Part;
 pub use ledger::Ledger;
--- a/src/quota/action.rs
+++ b/src/quota/action.rs
@@ -1,7 +1,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use super::Ask;
+use super::Demand;
 use crate::id::Incarnation;
 use crate::id::NodeId;
 
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Action {
     /// An entry demands other allocations.
-    Ask(Ask),
+    Ask(Demand),
     /// This incarnation of an entry has ended or is presumed to have.
     End(NodeId, Incarnation),
     /// Frees the allocations of an ended incarnation: the requests that it passed are out of
--- a/src/quota/coordinator.rs
+++ b/src/quota/coordinator.rs
@@ -2,7 +2,7 @@
 use std::time::Duration;
 
 use super::Action;
-use super::Ask;
+use super::Demand;
 use super::Ledger;
 use super::Window;
 use crate::clock::Moment;
@@ -22,7 +22,7 @@
 const LEAVE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A demand with the node and the ticket that its answer goes to.
-pub(crate) type Pending = (NodeId, u64, Ask);
+pub(crate) type Pending = (NodeId, u64, Demand);
 
 /// Batches the demands of the entries at the leader, and frees the allocations of ended
 /// incarnations.
@@ -57,7 +57,7 @@
     }
 
     /// Adds a demand to the batch.
-    pub fn push(&mut self, now: Moment, from: NodeId, ticket: u64, demand: Ask) {
+    pub fn push(&mut self, now: Moment, from: NodeId, ticket: u64, demand: Demand) {
         if self.pending.is_empty() {
             self.next_batch_at = self.next_batch_at.max(now);
         }
--- a/src/quota/ask.rs
+++ b/src/quota/demand.rs
@@ -11,7 +11,7 @@
 ///
 /// The entry has already stopped using what it gives back. Sending it again is idempotent.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Ask {
+pub struct Demand {
     /// How long this incarnation has run: the previous one ended before it began.
     pub age: Duration,
     /// The entry.
--- a/src/quota/ledger.rs
+++ b/src/quota/ledger.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 
 use super::Action;
-use super::Ask;
+use super::Demand;
 use super::Grant;
 use super::Item;
 use super::Part;
@@ -64,9 +64,9 @@
         current.map(|(id, holder)| (id, holder.incarnation))
     }
 
-    fn apply_demand(&mut self, demand: &Ask) -> Option<Grant> {
+    fn apply_demand(&mut self, demand: &Demand) -> Option<Grant> {
         if self.has_ended(demand) {
-            let Ask { incarnation, sequence, .. } = *demand;
+            let Demand { incarnation, sequence, .. } = *demand;
             return Some(Grant { incarnation, is_over: true, parts: Vec::new(), sequence });
         }
         if !self.accept(demand) {
@@ -76,19 +76,19 @@
         if demand.is_leaving {
             self.end(&demand.holder, demand.incarnation);
         }
-        let Ask { incarnation, sequence, .. } = *demand;
+        let Demand { incarnation, sequence, .. } = *demand;
         Some(Grant { incarnation, is_over: false, parts, sequence })
     }
 
     /// Whether a demand comes from an incarnation that was presumed to have ended.
-    fn has_ended(&self, demand: &Ask) -> bool {
+    fn has_ended(&self, demand: &Demand) -> bool {
         let known = self.holders.get(&demand.holder);
         known.is_some_and(|known| known.has_ended && known.incarnation == demand.incarnation)
     }
 
     /// Records a demand and returns `true`, unless it is older than the newest one of its entry. A
     /// demand of a newer incarnation ends the previous one.
-    fn accept(&mut self, demand: &Ask) -> bool {
+    fn accept(&mut self, demand: &Demand) -> bool {
         let known = self.holders.get(&demand.holder).copied();
         if let Some(known) = known {
             if (demand.incarnation, demand.sequence) < (known.incarnation, known.sequence) {
@@ -98,13 +98,13 @@
                 self.end(&demand.holder, known.incarnation);
             }
         }
-        let Ask { holder, incarnation, sequence, .. } = demand;
+        let Demand { holder, incarnation, sequence, .. } = demand;
         let (incarnation, sequence) = (*incarnation, *sequence);
         self.holders.insert(holder.clone(), Holder { has_ended: false, incarnation, sequence });
         true
     }
 
-    fn allocate(&mut self, demand: &Ask, item: &Item) -> Part {
+    fn allocate(&mut self, demand: &Demand, item: &Item) -> Part {
         let holding = self.holdings.entry(item.subject.clone()).or_default();
         let amount = holding.allocate(&demand.holder, item.want, item.most);
         let spare = holding.spare(item.most);
--- a/src/quota/limiter.rs
+++ b/src/quota/limiter.rs
@@ -3,7 +3,7 @@
 
 use xxhash_rust::xxh3::Xxh3DefaultBuilder;
 
-use super::Ask;
+use super::Demand;
 use super::Grant;
 use super::Item;
 use super::Part;
@@ -45,7 +45,7 @@
 pub struct Limiter {
     accounts: HashMap<Subject, Account, Xxh3DefaultBuilder>,
     /// The demand that waits for an answer, and when it was last sent.
-    in_flight: Option<(Ask, Moment)>,
+    in_flight: Option<(Demand, Moment)>,
     /// When this incarnation began.
     started_at: Moment,
     next_demand_at: Moment,
@@ -179,7 +179,7 @@
     }
 
     /// The demand that is due to be sent to control, if any.
-    pub fn next_demand(&mut self, now: Moment) -> Option<Ask> {
+    pub fn next_demand(&mut self, now: Moment) -> Option<Demand> {
         if let Some((demand, at)) = &mut self.in_flight {
             if now < *at + Self::RESEND_INTERVAL {
                 return None;
@@ -198,7 +198,7 @@
         }
         self.sequence += 1;
         self.last_demand_at = now;
-        let demand = Ask {
+        let demand = Demand {
             age: now.saturating_sub(self.started_at),
             holder: self.holder.clone(),
             incarnation: self.incarnation,
--- a/src/wire/frame.rs
+++ b/src/wire/frame.rs
@@ -72,7 +72,7 @@
     /// Put a configuration in force.
     Submit(Version),
     /// Move parts of allowances to an entry, or from it.
-    Quota(quota::Ask),
+    Quota(quota::Demand),
 }
 
 /// What became of a submission.
--- a/tests/suite/quota/ledger.rs
+++ b/tests/suite/quota/ledger.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use hemlockfield::quota::Action;
-use hemlockfield::quota::Ask;
+use hemlockfield::quota::Demand;
 use hemlockfield::quota::Item;
 use hemlockfield::quota::Ledger;
 use hemlockfield::quota::Subject;
@@ -19,7 +19,7 @@
     let items = vec![Item { most, subject: Subject::Team("port".into()), want }];
     let age = Duration::ZERO;
     let holder = holder.into();
-    Action::Ask(Ask { age, holder, incarnation, is_leaving: false, items, sequence })
+    Action::Ask(Demand { age, holder, incarnation, is_leaving: false, items, sequence })
 }
 
 /// The allocation that a demand is granted; `None` if the demand is obsolete.
--- a/tests/suite/quota/simulation.rs
+++ b/tests/suite/quota/simulation.rs
@@ -6,9 +6,9 @@
 
 use hemlockfield::id::NodeId;
 use hemlockfield::quota::Action;
-use hemlockfield::quota::Ask;
 use hemlockfield::quota::Coordinator;
 use hemlockfield::quota::Decision;
+use hemlockfield::quota::Demand;
 use hemlockfield::quota::Grant;
 use hemlockfield::quota::Ledger;
 use hemlockfield::quota::Limiter;
@@ -43,7 +43,7 @@
 /// A message in flight; a grant with the index of its entry.
 #[derive(Clone, Debug)]
 enum Message {
-    Ask(Ask),
+    Ask(Demand),
     Grant(usize, Grant),
 }
 
@@ -75,7 +75,7 @@
     mutant: Mutant,
     pub(super) now: Duration,
     pub(super) passed: Vec<Duration>,
-    proposed: VecDeque<(Duration, Vec<Ask>, Vec<Action>)>,
+    proposed: VecDeque<(Duration, Vec<Demand>, Vec<Action>)>,
     random: ChaCha8Rng,
     pub(super) refused: usize,
     /// All configurations: number, allowance and when it was accepted.
@@ -148,7 +148,7 @@
         self.commit();
         if self.now >= self.leaderless_until {
             let (waiting, actions) = self.coordinator.take(self.now, &self.ledger);
-            let demands: Vec<Ask> = waiting.into_iter().map(|(_, _, demand)| demand).collect();
+            let demands: Vec<Demand> = waiting.into_iter().map(|(_, _, demand)| demand).collect();
             if !demands.is_empty() || !actions.is_empty() {
                 self.proposed.push_back((self.now + 2 * STEP, demands, actions));
             }
