--- a/src/quota/grant.rs
+++ b/src/quota/grant.rs
@@ -13,14 +13,14 @@
     /// continues with a new incarnation.
     pub is_over: bool,
     /// One for each item of the demand.
-    pub parts: Vec<Part>,
+    pub parts: Vec<Allocation>,
     /// Sequence number of the demand.
     pub sequence: u64,
 }
 
 /// The allocation of one allowance that an entry holds.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Part {
+pub struct Allocation {
     /// Requests within any window.
     pub amount: u32,
     /// Requests that an entry may hold beyond its need, for uneven load.
--- a/src/quota/ledger.rs
+++ b/src/quota/ledger.rs
@@ -5,10 +5,10 @@
 use serde::Serialize;
 
 use super::Action;
+use super::Allocation;
 use super::Demand;
 use super::Grant;
 use super::Item;
-use super::Part;
 use super::Subject;
 use super::holding::Holding;
 use crate::id::Incarnation;
@@ -104,12 +104,12 @@
         true
     }
 
-    fn allocate(&mut self, demand: &Demand, item: &Item) -> Part {
+    fn allocate(&mut self, demand: &Demand, item: &Item) -> Allocation {
         let holding = self.holdings.entry(item.subject.clone()).or_default();
         let amount = holding.allocate(&demand.holder, item.want, item.most);
         let spare = holding.spare(item.most);
         self.remove_if_empty(&item.subject);
-        Part { amount, spare, subject: item.subject.clone() }
+        Allocation { amount, spare, subject: item.subject.clone() }
     }
 
     fn end(&mut self, holder: &NodeId, incarnation: Incarnation) {
--- a/src/quota/limiter.rs
+++ b/src/quota/limiter.rs
@@ -3,10 +3,10 @@
 
 use xxhash_rust::xxh3::Xxh3DefaultBuilder;
 
+use super::Allocation;
 use super::Demand;
 use super::Grant;
 use super::Item;
-use super::Part;
 use super::Share;
 use super::Subject;
 use super::Window;
@@ -320,7 +320,7 @@
         used + self.spare.min(max_spare)
     }
 
-    fn apply(&mut self, now: Moment, allocation: &Part, demanded: u32) {
+    fn apply(&mut self, now: Moment, allocation: &Allocation, demanded: u32) {
         self.spare = allocation.spare;
         // Waiting requests count again when they try again, so they are reserved only briefly.
         let free = allocation.amount.saturating_sub(self.passed.sum());
--- a/tests/suite/quota/limiter.rs
+++ b/tests/suite/quota/limiter.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
+use hemlockfield::quota::Allocation;
 use hemlockfield::quota::Decision;
 use hemlockfield::quota::Demand;
 use hemlockfield::quota::Grant;
 use hemlockfield::quota::Limiter;
-use hemlockfield::quota::Part;
 use hemlockfield::quota::Subject;
 
 use super::simulation::WINDOW;
@@ -31,7 +31,7 @@
 
 /// Control's answer to a demand, with this allocation.
 fn grant(demand: &Demand, amount: u32) -> Grant {
-    let allocation = Part { amount, spare: 0, subject: subject() };
+    let allocation = Allocation { amount, spare: 0, subject: subject() };
     Grant { incarnation: 1, is_over: false, parts: vec![allocation], sequence: demand.sequence }
 }
 
