--- a/src/node/office.rs
+++ b/src/node/office.rs
@@ -143,7 +143,7 @@
             leads: false,
             ledger: Ledger::new(claim::Limits::default()),
             granted: BTreeMap::new(),
-            keeper: Coordinator::new(quota::Terms::default().window),
+            keeper: Coordinator::new(quota::Config::default().window),
             next_ticket: 0,
             proof_at: Moment::ZERO,
             proposals: BTreeMap::new(),
--- a/src/node/traffic/allowances.rs
+++ b/src/node/traffic/allowances.rs
@@ -16,10 +16,10 @@
 use crate::id::ConfigNumber;
 use crate::id::NodeId;
 use crate::node::Input;
+use crate::quota::Config;
 use crate::quota::Decision;
 use crate::quota::Limiter;
 use crate::quota::Subject;
-use crate::quota::Terms;
 use crate::team::Team;
 
 use super::Shared;
@@ -31,7 +31,7 @@
 pub(in crate::node) struct Allowances {
     meter: Mutex<Limiter>,
     poke: (Sender<()>, Receiver<()>),
-    terms: Terms,
+    terms: Config,
     waiting: Mutex<Vec<Sender<()>>>,
 }
 
@@ -43,7 +43,7 @@
 }
 
 impl Allowances {
-    pub(super) fn new(id: NodeId, terms: Terms) -> Self {
+    pub(super) fn new(id: NodeId, terms: Config) -> Self {
         let incarnation = crate::node::incarnation();
         Self {
             meter: Mutex::new(Limiter::new(id, incarnation, terms.window)),
@@ -63,7 +63,7 @@
         budget: Duration,
     ) -> Result<Option<Passed>, Refusal> {
         let Some(limit) = team.limit else { return Ok(None) };
-        let most = self.terms.most(limit);
+        let most = self.terms.allowance(limit);
         let subject = Subject::Team(team.name.clone());
         let until = shared.now() + Limiter::max_wait(budget);
         loop {
--- a/src/quota.rs
+++ b/src/quota.rs
@@ -20,6 +20,7 @@
 //! nobody knows how many requests it had passed.
 
 mod action;
+mod config;
 mod coordinator;
 mod demand;
 mod grant;
@@ -28,10 +29,10 @@
 mod limiter;
 mod share;
 mod subject;
-mod terms;
 mod window;
 
 pub use action::Action;
+pub use config::Config;
 pub use coordinator::Coordinator;
 pub use demand::Demand;
 pub use demand::Item;
@@ -42,5 +43,4 @@
 pub use limiter::Limiter;
 pub use share::Share;
 pub use subject::Subject;
-pub use terms::Terms;
 pub use window::Window;
--- a/src/quota/terms.rs
+++ b/src/quota/config.rs
@@ -9,7 +9,7 @@
 
 /// How limits are counted.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct Config {
     /// Share of a limit that the operator tolerates beyond it.
     pub overage: f64,
     /// Requests within a window that the operator tolerates in addition.
@@ -18,9 +18,9 @@
     pub window: Duration,
 }
 
-impl Terms {
+impl Config {
     /// Requests that a limit allows within a window.
-    pub fn most(&self, limit: Limit) -> u32 {
+    pub fn allowance(&self, limit: Limit) -> u32 {
         let limit = limit.rate * self.window.as_secs_f64() + limit.burst;
         (limit * (1.0 + USED_TOLERANCE * self.overage) + USED_TOLERANCE * self.tolerance) as u32
     }
--- a/src/settings/quota.rs
+++ b/src/settings/quota.rs
@@ -4,7 +4,7 @@
 use super::Fraction;
 use super::Mistakes;
 use super::Tree;
-use crate::quota::Terms;
+use crate::quota::Config;
 
 /// Default for `window`: long against a request, short against a working day.
 const WINDOW: Duration = Duration::from_secs(5);
@@ -13,13 +13,13 @@
 /// Most requests beyond a limit that may be tolerated.
 const TOLERANCE_MOST: f64 = 1e6;
 
-impl Default for Terms {
+impl Default for Config {
     fn default() -> Self {
         Self { overage: 0.0, tolerance: 0.0, window: WINDOW }
     }
 }
 
-impl Terms {
+impl Config {
     pub(super) fn read(tree: &Tree, mistakes: &Mistakes) -> Option<Self> {
         let fields = Fields::open(tree, mistakes, &["overage", "tolerance", "window"])?;
         Some(Self {
--- a/src/settings/settings.rs
+++ b/src/settings/settings.rs
@@ -75,7 +75,7 @@
     /// Processes known from the start, in the order of their names.
     pub peers: Vec<Peer>,
     /// How limits of teams are counted.
-    pub quota: quota::Terms,
+    pub quota: quota::Config,
     /// Recording of decisions; off unless set.
     pub record: Option<Record>,
     /// How much may be tried again.
@@ -140,7 +140,7 @@
             metrics: part("metrics").and_then(|tree| Metrics::read(tree, mistakes)),
             peers: peers(&fields),
             quota: part("quota")
-                .and_then(|tree| quota::Terms::read(tree, mistakes))
+                .and_then(|tree| quota::Config::read(tree, mistakes))
                 .unwrap_or_default(),
             record: part("record").and_then(|tree| Record::read(tree, mistakes)),
             retry: part("retry").and_then(|tree| Retry::read(tree, mistakes)).unwrap_or_default(),
