--- a/src/quota/config.rs
+++ b/src/quota/config.rs
@@ -7,7 +7,7 @@
 /// the drift of clocks.
 const USED_TOLERANCE: f64 = 0.9;
 
-/// How limits are counted.
+/// Configuration of how limits are counted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Config {
     /// Share of a limit that the operator tolerates beyond it.
--- a/src/quota/share.rs
+++ b/src/quota/share.rs
@@ -4,7 +4,7 @@
 /// The whole of an allowance.
 const WHOLE: u64 = 1 << 32;
 
-/// Allocation of an allowance, as a fraction of it.
+/// Share of an allowance, as a fraction of the whole.
 ///
 /// Fractions that entries got under different configurations add up to no more than the whole of
 /// any of them. Numbers of requests don't: an entry that goes from a limit of 300 to one of 100
