--- a/src/quota/limiter.rs
+++ b/src/quota/limiter.rs
@@ -21,7 +21,7 @@
 /// Shortest time between two demands when requests wait, so that requests that arrive together
 /// share one demand.
 const MIN_DEMAND_INTERVAL: Duration = Duration::from_millis(15);
-/// Time without changes after which an empty demand is sent as a keepalive.
+/// Time since the last demand after which an empty one is sent as a keepalive.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(30);
 /// How long requests beyond the allocation are refused at once after control could not grant all
 /// that was demanded.
