--- a/src/admission/pattern.rs
+++ b/src/admission/pattern.rs
@@ -5,7 +5,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::Job;
-use super::Trial;
+use super::Simulation;
 use crate::clock::Moment;
 use crate::rule::Class;
 
@@ -24,7 +24,7 @@
 /// is 1,600; 600 is what 40 callers send at once who each ask for 15 hulls.
 const BURST: usize = 600;
 
-/// The load patterns that the gate is made for, each as a [`Trial`] over eight
+/// The load patterns that the gate is made for, each as a [`Simulation`] over eight
 /// slots of 25 ms (320 requests a second).
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Pattern {
@@ -63,21 +63,21 @@
     }
 
     /// Ten seconds of an even load, as a share of what `slots` can serve.
-    pub fn even(slots: usize, load: f64, seed: u64) -> Trial {
+    pub fn even(slots: usize, load: f64, seed: u64) -> Simulation {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut trial = Trial { slots, ..Trial::default() };
+        let mut simulation = Simulation { slots, ..Simulation::default() };
         let rate = slots as f64 / SERVICE.as_secs_f64() * load;
-        trial.add(&mut rng, rate, Duration::ZERO, Duration::from_secs(10), &lookup);
-        trial
+        simulation.add(&mut rng, rate, Duration::ZERO, Duration::from_secs(10), &lookup);
+        simulation
     }
 
     /// The pattern with its random parts from `seed`.
-    pub fn trial(self, seed: u64) -> Trial {
+    pub fn simulation(self, seed: u64) -> Simulation {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut trial = Trial { slots: SLOTS, ..Trial::default() };
+        let mut simulation = Simulation { slots: SLOTS, ..Simulation::default() };
         let seconds = Duration::from_secs;
         let mut add = |rate: f64, from: u64, until: u64, make: &dyn Fn(&mut _, _) -> Job| {
-            trial.add(&mut rng, rate, seconds(from), seconds(until), make);
+            simulation.add(&mut rng, rate, seconds(from), seconds(until), make);
         };
         match self {
             Self::Burst => add(CAPACITY / 8.0, 0, 4, &lookup),
@@ -101,12 +101,12 @@
         }
         if self == Self::Burst {
             let burst = (0..BURST).map(|_| lookup(&mut rng, seconds(2)));
-            trial.jobs.extend(burst);
+            simulation.jobs.extend(burst);
         }
         if self == Self::SlowUpstream {
-            trial.slow = Some((seconds(2), seconds(6), 40));
+            simulation.slow = Some((seconds(2), seconds(6), 40));
         }
-        trial
+        simulation
     }
 }
 
--- a/src/admission/trial.rs
+++ b/src/admission/simulation.rs
@@ -16,7 +16,7 @@
 use crate::id::ClassId;
 use crate::id::Key;
 
-/// One request of a trial.
+/// One request of a simulation.
 #[derive(Clone, Debug)]
 pub struct Job {
     /// When it comes.
@@ -62,7 +62,7 @@
 /// Puts a [`Queue`] between callers and one service of a number of slots, in
 /// virtual time. More requests than slots wait inside the service, in order.
 #[derive(Clone, Debug, Default)]
-pub struct Trial {
+pub struct Simulation {
     /// Requests in any order.
     pub jobs: Vec<Job>,
     /// From, until and by how much the service is slower.
@@ -88,10 +88,10 @@
     ran: Vec<bool>,
     holds: Vec<bool>,
     sequence: u64,
-    trial: &'a Trial,
+    simulation: &'a Simulation,
 }
 
-impl Trial {
+impl Simulation {
     /// Adds requests between `from` and `until` that come independently, on
     /// average `rate` a second.
     pub fn add(
@@ -126,7 +126,7 @@
             queue,
             ran: vec![false; count],
             sequence: 0,
-            trial: self,
+            simulation: self,
         };
         for (place, job) in self.jobs.iter().enumerate() {
             run.plan(job.at, Event::Arrive, place);
@@ -171,7 +171,7 @@
     }
 
     fn arrive(&mut self, now: Moment, place: usize) {
-        let job = &self.trial.jobs[place];
+        let job = &self.simulation.jobs[place];
         let arrival = Arrival {
             caller: job.caller.clone(),
             class: job.class.clone(),
@@ -204,7 +204,7 @@
         if self.fates[place].is_some() {
             return;
         }
-        let after = now - self.trial.jobs[place].at;
+        let after = now - self.simulation.jobs[place].at;
         self.fates[place] = Some(Fate::Answered { after });
         self.release(now, place);
         self.tell(now, Input::Finish { outcome: Outcome::Served, ticket: place as u64 });
@@ -223,7 +223,7 @@
     fn hold(&mut self, now: Moment, place: usize) {
         self.busy += 1;
         self.holds[place] = true;
-        self.plan(now + self.trial.service(now, place), Event::End, place);
+        self.plan(now + self.simulation.service(now, place), Event::End, place);
     }
 
     fn tell(&mut self, now: Moment, input: Input) {
@@ -231,7 +231,7 @@
             match output {
                 Output::Refuse { reason, retry_after, ticket } => {
                     let place = ticket as usize;
-                    let after = now - self.trial.jobs[place].at;
+                    let after = now - self.simulation.jobs[place].at;
                     assert!(!self.ran[place], "a request that ran was refused as not run");
                     self.fates[place] = Some(Fate::Refused { after, reason, retry_after });
                 }
@@ -239,7 +239,7 @@
                     let place = ticket as usize;
                     assert!(!self.ran[place], "a request was run twice");
                     self.ran[place] = true;
-                    match self.busy < self.trial.slots {
+                    match self.busy < self.simulation.slots {
                         true => self.hold(now, place),
                         false => self.inside.push_back(place),
                     }
--- a/src/bench/admission.rs
+++ b/src/bench/admission.rs
@@ -62,8 +62,8 @@
 fn even(slots: usize, load: f64, kind: Kind, seeds: u64) -> String {
     let mut received = Received::default();
     for seed in 0..seeds {
-        let trial = Pattern::even(slots, load, seed);
-        let fates = trial.run(queue(kind, seed, slots).as_mut());
+        let simulation = Pattern::even(slots, load, seed);
+        let fates = simulation.run(queue(kind, seed, slots).as_mut());
         fates.into_iter().for_each(|fate| received.add(fate));
     }
     received.answered.sort_unstable();
@@ -84,13 +84,13 @@
     let mut inputs = 0;
     let mut spent = Duration::ZERO;
     for seed in 0..seeds {
-        let trial = pattern.trial(seed);
-        let mut queue = queue(kind, seed, trial.slots);
+        let simulation = pattern.simulation(seed);
+        let mut queue = queue(kind, seed, simulation.slots);
         let started = Instant::now();
-        let fates = trial.run(queue.as_mut());
+        let fates = simulation.run(queue.as_mut());
         spent += started.elapsed();
-        inputs += trial.jobs.len() * 2;
-        for (job, fate) in trial.jobs.iter().zip(fates) {
+        inputs += simulation.jobs.len() * 2;
+        for (job, fate) in simulation.jobs.iter().zip(fates) {
             if concerns(pattern, job) {
                 received.add(fate);
             }
--- a/tests/suite/admission.rs
+++ b/tests/suite/admission.rs
@@ -16,7 +16,7 @@
 use hemlockfield::admission::Outcome;
 use hemlockfield::admission::Output;
 use hemlockfield::admission::Pattern;
-use hemlockfield::admission::Trial;
+use hemlockfield::admission::Simulation;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
@@ -34,9 +34,9 @@
 }
 
 impl Received {
-    fn of(trial: &Trial, fates: &[Fate], whose: &dyn Fn(&Job) -> bool) -> Self {
+    fn of(simulation: &Simulation, fates: &[Fate], whose: &dyn Fn(&Job) -> bool) -> Self {
         let mut received = Self::default();
-        for (_, fate) in trial.jobs.iter().zip(fates).filter(|(job, _)| whose(job)) {
+        for (_, fate) in simulation.jobs.iter().zip(fates).filter(|(job, _)| whose(job)) {
             match fate {
                 Fate::Answered { after } => received.answered.push(*after),
                 Fate::Late { ran: true } => received.late_ran += 1,
@@ -78,10 +78,10 @@
 
 /// The pattern through the gate and through the plain queue.
 fn both(pattern: Pattern, seed: u64, whose: &dyn Fn(&Job) -> bool) -> (Received, Received) {
-    let trial = pattern.trial(seed);
-    let gated = trial.run(&mut gate(seed, Some(trial.slots)));
-    let plain = trial.run(&mut Fifo::new(trial.slots));
-    (Received::of(&trial, &gated, whose), Received::of(&trial, &plain, whose))
+    let simulation = pattern.simulation(seed);
+    let gated = simulation.run(&mut gate(seed, Some(simulation.slots)));
+    let plain = simulation.run(&mut Fifo::new(simulation.slots));
+    (Received::of(&simulation, &gated, whose), Received::of(&simulation, &plain, whose))
 }
 
 fn anyone(_: &Job) -> bool {
@@ -109,11 +109,11 @@
     // refused: the queue is long but shrinks, so it is not taken for a standing
     // one.
     for seed in 0..SEEDS {
-        let mut trial = Pattern::Burst.trial(seed);
-        let burst = trial.jobs.len() - 500;
-        trial.jobs.truncate(burst);
-        let fates = trial.run(&mut gate(seed, Some(trial.slots)));
-        let received = Received::of(&trial, &fates, &anyone);
+        let mut simulation = Pattern::Burst.simulation(seed);
+        let burst = simulation.jobs.len() - 500;
+        simulation.jobs.truncate(burst);
+        let fates = simulation.run(&mut gate(seed, Some(simulation.slots)));
+        let received = Received::of(&simulation, &fates, &anyone);
         assert_eq!(received.answered.len(), received.count(), "{received:?}");
     }
 }
@@ -205,11 +205,11 @@
     // The same with nobody saying how many slots there are: the gate finds out
     // from latency, and callers get 90% of what the slots can give.
     for seed in 0..SEEDS {
-        let trial = Pattern::Overload.trial(seed);
+        let simulation = Pattern::Overload.simulation(seed);
         let mut gate = gate(seed, None);
-        let fates = trial.run(&mut gate);
+        let fates = simulation.run(&mut gate);
         let during = |job: &Job| job.at >= millis(2000) && job.at < millis(12_000);
-        let received = Received::of(&trial, &fates, &during);
+        let received = Received::of(&simulation, &fates, &during);
         assert!(received.answered.len() >= 2880, "of 3200: {}", received.answered.len());
         assert!(at(&received.answered, 99) <= millis(150));
     }
@@ -227,9 +227,9 @@
     let mut busy = 0.0;
     for seed in 0..SEEDS {
         for (load, sum) in [(3.0, &mut overload), (0.9, &mut busy)] {
-            let trial = Pattern::even(slots, load, seed);
-            let fates = trial.run(&mut gate(seed, Some(slots)));
-            *sum += Received::of(&trial, &fates, &anyone).share() / SEEDS as f64;
+            let simulation = Pattern::even(slots, load, seed);
+            let fates = simulation.run(&mut gate(seed, Some(slots)));
+            *sum += Received::of(&simulation, &fates, &anyone).share() / SEEDS as f64;
         }
     }
     assert!(overload * 3.0 >= 0.95, "{overload}");
--- a/tests/suite/replay/gate.rs
+++ b/tests/suite/replay/gate.rs
@@ -7,7 +7,7 @@
 use hemlockfield::admission::Output;
 use hemlockfield::admission::Pattern;
 use hemlockfield::admission::Queue;
-use hemlockfield::admission::Trial;
+use hemlockfield::admission::Simulation;
 use hemlockfield::clock::Moment;
 use hemlockfield::replay::Expect;
 use hemlockfield::replay::Input;
@@ -83,9 +83,9 @@
 
 /// A hundred requests at one moment on a light load; 40 can end in their half second.
 fn burst() -> Vec<Line> {
-    let mut trial = light();
+    let mut simulation = light();
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
-    trial.jobs.extend((0..100).map(|_| lookup(&mut rng, millis(1000))));
+    simulation.jobs.extend((0..100).map(|_| lookup(&mut rng, millis(1000))));
     let refuse = json!({"gate": {"Refuse": {}}});
     let run = json!({"gate": {"Run": {}}});
     let expects = [
@@ -94,30 +94,30 @@
         expect(1600, decided(0, 500), "nobody waits past the deadline unanswered"),
         expect(2600, started(&[], 1600, 100, 1.0), "the burst leaves no queue behind"),
     ];
-    lines(&trial, expects)
+    lines(&simulation, expects)
 }
 
 /// One caller sends twice the capacity.
 fn hot_caller() -> Vec<Line> {
-    let mut trial = light();
+    let mut simulation = light();
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
     let hot = |rng: &mut ChaCha8Rng, at| Job { caller: "hot".into(), ..lookup(rng, at) };
-    trial.add(&mut rng, 160.0, millis(500), millis(2000), &hot);
+    simulation.add(&mut rng, 160.0, millis(500), millis(2000), &hot);
     let run = json!({"gate": {"Run": {}}});
     let expects = [
         expect(2000, count(500, run, Some(114), None), "95% of the capacity is used"),
         expect(2200, started(&["hot"], 0, 200, 0.95), "the others don't pay for one caller"),
         expect(2600, Expect::Waiting { most: 2 }, "nothing stands when it is over"),
     ];
-    lines(&trial, expects)
+    lines(&simulation, expects)
 }
 
 /// Three times the capacity for a second, half of it before and after.
 fn overload() -> Vec<Line> {
-    let mut trial = Trial { slots: SLOTS, ..Trial::default() };
+    let mut simulation = Simulation { slots: SLOTS, ..Simulation::default() };
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
-    trial.add(&mut rng, 40.0, Moment::ZERO, millis(3500), &lookup);
-    trial.add(&mut rng, 200.0, millis(500), millis(1500), &lookup);
+    simulation.add(&mut rng, 40.0, Moment::ZERO, millis(3500), &lookup);
+    simulation.add(&mut rng, 200.0, millis(500), millis(1500), &lookup);
     let run = json!({"gate": {"Run": {}}});
     let expects = [
         expect(1500, count(500, run, Some(76), None), "goodput is 95% of the capacity"),
@@ -126,14 +126,14 @@
         expect(2500, Expect::Waiting { most: 1 }, "no queue a second after the load"),
         expect(3500, started(&[], 2500, 100, 0.95), "callers are served as before"),
     ];
-    lines(&trial, expects)
+    lines(&simulation, expects)
 }
 
-fn light() -> Trial {
-    let mut trial = Trial { slots: SLOTS, ..Trial::default() };
+fn light() -> Simulation {
+    let mut simulation = Simulation { slots: SLOTS, ..Simulation::default() };
     let mut rng = ChaCha8Rng::seed_from_u64(!SEED);
-    trial.add(&mut rng, 10.0, Moment::ZERO, millis(2600), &lookup);
-    trial
+    simulation.add(&mut rng, 10.0, Moment::ZERO, millis(2600), &lookup);
+    simulation
 }
 
 fn lookup(rng: &mut ChaCha8Rng, at: Moment) -> Job {
@@ -162,10 +162,10 @@
     }
 }
 
-/// Inputs of the trial with the expectations at their moments, after the inputs then.
-fn lines(trial: &Trial, expects: impl IntoIterator<Item = Line>) -> Vec<Line> {
+/// Inputs of the simulation with the expectations at their moments, after the inputs then.
+fn lines(simulation: &Simulation, expects: impl IntoIterator<Item = Line>) -> Vec<Line> {
     let mut taped = Taped::new();
-    trial.run(&mut taped);
+    simulation.run(&mut taped);
     taped.lines.extend(expects);
     taped.lines.sort_by_key(|line| line.at_us);
     taped.lines
--- a/tests/suite/replay/record.rs
+++ b/tests/suite/replay/record.rs
@@ -45,9 +45,9 @@
     let path = folder.path().join("entry.jsonl");
     let recorder = recorder(&path, LIMIT);
     let mut taped = Taped::new();
-    let mut trial = Pattern::Burst.trial(3);
-    trial.jobs.truncate(120);
-    trial.run(&mut taped);
+    let mut simulation = Pattern::Burst.simulation(3);
+    simulation.jobs.truncate(120);
+    simulation.run(&mut taped);
     let gate = Tape::new(&recorder, "gate/shop".into());
     for line in &taped.lines {
         line.machine.iter().for_each(|machine| gate.machine(line.at_us.0, || machine.clone()));
