--- a/src/admission.rs
+++ b/src/admission.rs
@@ -43,7 +43,7 @@
 pub use pattern::Pattern;
 pub use queue::Queue;
 pub use reason::Reason;
-pub use simulation::Fate;
+pub use simulation::Disposition;
 pub use simulation::Job;
 pub use simulation::Simulation;
 pub use start::Start;
--- a/src/admission/simulation.rs
+++ b/src/admission/simulation.rs
@@ -37,7 +37,7 @@
 
 /// What a caller received.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Fate {
+pub enum Disposition {
     /// The whole answer in time.
     Answered {
         /// Time since the request.
@@ -81,7 +81,7 @@
 struct Run<'a> {
     busy: usize,
     events: BTreeMap<(Moment, u64), (Event, usize)>,
-    fates: Vec<Option<Fate>>,
+    dispositions: Vec<Option<Disposition>>,
     inside: VecDeque<usize>,
     queue: &'a mut dyn Queue,
     /// Which requests are in the service, and which of them hold a slot.
@@ -114,13 +114,13 @@
         }
     }
 
-    /// Runs all requests through `queue`; fates are in the order of `jobs`.
-    pub fn run(&self, queue: &mut dyn Queue) -> Vec<Fate> {
+    /// Runs all requests through `queue`; dispositions are in the order of `jobs`.
+    pub fn run(&self, queue: &mut dyn Queue) -> Vec<Disposition> {
         let count = self.jobs.len();
         let mut run = Run {
             busy: 0,
             events: BTreeMap::new(),
-            fates: vec![None; count],
+            dispositions: vec![None; count],
             holds: vec![false; count],
             inside: VecDeque::new(),
             queue,
@@ -133,7 +133,10 @@
             run.plan(job.at + job.patience, Event::Deadline, place);
         }
         run.all();
-        run.fates.into_iter().map(|fate| fate.unwrap_or(Fate::Late { ran: false })).collect()
+        run.dispositions
+            .into_iter()
+            .map(|disposition| disposition.unwrap_or(Disposition::Late { ran: false }))
+            .collect()
     }
 
     fn service(&self, now: Moment, place: usize) -> Duration {
@@ -184,12 +187,12 @@
     }
 
     fn deadline(&mut self, now: Moment, place: usize) {
-        if self.fates[place].is_some() {
+        if self.dispositions[place].is_some() {
             return;
         }
         let ticket = place as u64;
         let ran = self.ran[place];
-        self.fates[place] = Some(Fate::Late { ran });
+        self.dispositions[place] = Some(Disposition::Late { ran });
         if !ran {
             self.tell(now, Input::Cancel { ticket });
             return;
@@ -201,11 +204,11 @@
     }
 
     fn end(&mut self, now: Moment, place: usize) {
-        if self.fates[place].is_some() {
+        if self.dispositions[place].is_some() {
             return;
         }
         let after = now - self.simulation.jobs[place].at;
-        self.fates[place] = Some(Fate::Answered { after });
+        self.dispositions[place] = Some(Disposition::Answered { after });
         self.release(now, place);
         self.tell(now, Input::Finish { outcome: Outcome::Served, ticket: place as u64 });
     }
@@ -233,7 +236,8 @@
                     let place = ticket as usize;
                     let after = now - self.simulation.jobs[place].at;
                     assert!(!self.ran[place], "a request that ran was refused as not run");
-                    self.fates[place] = Some(Fate::Refused { after, reason, retry_after });
+                    self.dispositions[place] =
+                        Some(Disposition::Refused { after, reason, retry_after });
                 }
                 Output::Run { ticket } => {
                     let place = ticket as usize;
--- a/src/bench/admission.rs
+++ b/src/bench/admission.rs
@@ -8,7 +8,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::admission::Fate;
+use crate::admission::Disposition;
 use crate::admission::Fifo;
 use crate::admission::Gate;
 use crate::admission::Input;
@@ -63,8 +63,8 @@
     let mut received = Received::default();
     for seed in 0..seeds {
         let simulation = Pattern::even(slots, load, seed);
-        let fates = simulation.run(queue(kind, seed, slots).as_mut());
-        fates.into_iter().for_each(|fate| received.add(fate));
+        let dispositions = simulation.run(queue(kind, seed, slots).as_mut());
+        dispositions.into_iter().for_each(|disposition| received.add(disposition));
     }
     received.answered.sort_unstable();
     let answered = received.answered.len() as f64 * 100.0;
@@ -87,12 +87,12 @@
         let simulation = pattern.simulation(seed);
         let mut queue = queue(kind, seed, simulation.slots);
         let started = Instant::now();
-        let fates = simulation.run(queue.as_mut());
+        let dispositions = simulation.run(queue.as_mut());
         spent += started.elapsed();
         inputs += simulation.jobs.len() * 2;
-        for (job, fate) in simulation.jobs.iter().zip(fates) {
+        for (job, disposition) in simulation.jobs.iter().zip(dispositions) {
             if concerns(pattern, job) {
-                received.add(fate);
+                received.add(disposition);
             }
         }
     }
@@ -148,15 +148,15 @@
 }
 
 impl Received {
-    fn add(&mut self, fate: Fate) {
+    fn add(&mut self, disposition: Disposition) {
         self.callers += 1;
-        match fate {
-            Fate::Answered { after } => self.answered.push(after),
-            Fate::Late { ran } => {
+        match disposition {
+            Disposition::Answered { after } => self.answered.push(after),
+            Disposition::Late { ran } => {
                 self.late += 1;
                 self.ran += usize::from(ran);
             }
-            Fate::Refused { after, .. } => self.refused.push(after),
+            Disposition::Refused { after, .. } => self.refused.push(after),
         }
     }
 }
--- a/tests/suite/admission.rs
+++ b/tests/suite/admission.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use hemlockfield::admission::Arrival;
-use hemlockfield::admission::Fate;
+use hemlockfield::admission::Disposition;
 use hemlockfield::admission::Fifo;
 use hemlockfield::admission::Gate;
 use hemlockfield::admission::Input;
@@ -34,14 +34,20 @@
 }
 
 impl Received {
-    fn of(simulation: &Simulation, fates: &[Fate], whose: &dyn Fn(&Job) -> bool) -> Self {
+    fn of(
+        simulation: &Simulation,
+        dispositions: &[Disposition],
+        whose: &dyn Fn(&Job) -> bool,
+    ) -> Self {
         let mut received = Self::default();
-        for (_, fate) in simulation.jobs.iter().zip(fates).filter(|(job, _)| whose(job)) {
-            match fate {
-                Fate::Answered { after } => received.answered.push(*after),
-                Fate::Late { ran: true } => received.late_ran += 1,
-                Fate::Late { ran: false } => received.late += 1,
-                Fate::Refused { after, retry_after, .. } => {
+        for (_, disposition) in
+            simulation.jobs.iter().zip(dispositions).filter(|(job, _)| whose(job))
+        {
+            match disposition {
+                Disposition::Answered { after } => received.answered.push(*after),
+                Disposition::Late { ran: true } => received.late_ran += 1,
+                Disposition::Late { ran: false } => received.late += 1,
+                Disposition::Refused { after, retry_after, .. } => {
                     received.refused.push(*after);
                     received.returns.push(*retry_after);
                 }
@@ -112,8 +118,8 @@
         let mut simulation = Pattern::Burst.simulation(seed);
         let burst = simulation.jobs.len() - 500;
         simulation.jobs.truncate(burst);
-        let fates = simulation.run(&mut gate(seed, Some(simulation.slots)));
-        let received = Received::of(&simulation, &fates, &anyone);
+        let dispositions = simulation.run(&mut gate(seed, Some(simulation.slots)));
+        let received = Received::of(&simulation, &dispositions, &anyone);
         assert_eq!(received.answered.len(), received.count(), "{received:?}");
     }
 }
@@ -207,9 +213,9 @@
     for seed in 0..SEEDS {
         let simulation = Pattern::Overload.simulation(seed);
         let mut gate = gate(seed, None);
-        let fates = simulation.run(&mut gate);
+        let dispositions = simulation.run(&mut gate);
         let during = |job: &Job| job.at >= millis(2000) && job.at < millis(12_000);
-        let received = Received::of(&simulation, &fates, &during);
+        let received = Received::of(&simulation, &dispositions, &during);
         assert!(received.answered.len() >= 2880, "of 3200: {}", received.answered.len());
         assert!(at(&received.answered, 99) <= millis(150));
     }
@@ -228,8 +234,8 @@
     for seed in 0..SEEDS {
         for (load, sum) in [(3.0, &mut overload), (0.9, &mut busy)] {
             let simulation = Pattern::even(slots, load, seed);
-            let fates = simulation.run(&mut gate(seed, Some(slots)));
-            *sum += Received::of(&simulation, &fates, &anyone).share() / SEEDS as f64;
+            let dispositions = simulation.run(&mut gate(seed, Some(slots)));
+            *sum += Received::of(&simulation, &dispositions, &anyone).share() / SEEDS as f64;
         }
     }
     assert!(overload * 3.0 >= 0.95, "{overload}");
