--- a/src/admission.rs
+++ b/src/admission.rs
@@ -30,7 +30,7 @@
 mod reason;
 mod simulation;
 mod standing;
-mod start;
+mod startup;
 mod waiter;
 
 pub use fifo::Fifo;
@@ -46,4 +46,4 @@
 pub use simulation::Disposition;
 pub use simulation::Job;
 pub use simulation::Simulation;
-pub use start::Start;
+pub use startup::Startup;
--- a/src/node/traffic/serve.rs
+++ b/src/node/traffic/serve.rs
@@ -9,7 +9,7 @@
 use http::Method;
 use rand::Rng;
 
-use crate::admission::Start;
+use crate::admission::Startup;
 use crate::boundary::Call;
 use crate::clock::Moment;
 use crate::exchange;
@@ -97,7 +97,7 @@
         return true;
     }
     let budget = shared.boundary.call(request, peer.ip()).budget.unwrap_or(BUDGET);
-    let longest = Start::patience(shared.now(), budget);
+    let longest = Startup::max_wait(shared.now(), budget);
     let ready = shared.wait_until_ready(longest).fuse();
     let gone = caller_gone(!request.body.is_empty(), outlet).fuse();
     pin_mut!(gone, ready);
--- a/tests/suite/admission.rs
+++ b/tests/suite/admission.rs
@@ -2,7 +2,7 @@
 //! receive, and what a plain queue gives them instead.
 
 mod any;
-mod start;
+mod startup;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/tests/suite/admission/start.rs
+++ b/tests/suite/admission/startup.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hemlockfield::admission::Start;
+use hemlockfield::admission::Startup;
 use rstest::rstest;
 
 fn ms(count: u64) -> Duration {
@@ -18,6 +18,6 @@
 #[case::short_deadline(100, 1_500, 750)]
 #[case::cut_off(2_500, 6_000, 0)]
 #[case::long_cut_off(60_000, 6_000, 0)]
-fn patience_cases(#[case] age: u64, #[case] budget: u64, #[case] waits: u64) {
-    assert_eq!(Start::patience(ms(age), ms(budget)), ms(waits));
+fn max_wait_cases(#[case] age: u64, #[case] budget: u64, #[case] waits: u64) {
+    assert_eq!(Startup::max_wait(ms(age), ms(budget)), ms(waits));
 }
