--- a/src/admission/pattern.rs
+++ b/src/admission/pattern.rs
@@ -20,7 +20,7 @@
 /// Callers of the even load.
 const CALLERS: u32 = 40;
 
-/// Requests of a burst: ten times what the slots serve within the patience
+/// Requests of a burst: ten times what the slots serve within the timeout
 /// is 1,600; 600 is what 40 callers send at once who each ask for 15 hulls.
 const BURST: usize = 600;
 
@@ -63,11 +63,11 @@
     }
 
     /// Ten seconds of an even load, as a share of what `slots` can serve.
-    pub fn even(slots: usize, load: f64, seed: u64) -> Simulation {
+    pub fn steady(slots: usize, load: f64, seed: u64) -> Simulation {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut simulation = Simulation { slots, ..Simulation::default() };
         let rate = slots as f64 / SERVICE.as_secs_f64() * load;
-        simulation.add(&mut rng, rate, Duration::ZERO, Duration::from_secs(10), &lookup);
+        simulation.add_arrivals(&mut rng, rate, Duration::ZERO, Duration::from_secs(10), &lookup);
         simulation
     }
 
@@ -77,7 +77,7 @@
         let mut simulation = Simulation { slots: SLOTS, ..Simulation::default() };
         let seconds = Duration::from_secs;
         let mut add = |rate: f64, from: u64, until: u64, make: &dyn Fn(&mut _, _) -> Job| {
-            simulation.add(&mut rng, rate, seconds(from), seconds(until), make);
+            simulation.add_arrivals(&mut rng, rate, seconds(from), seconds(until), make);
         };
         match self {
             Self::Burst => add(CAPACITY / 8.0, 0, 4, &lookup),
@@ -117,8 +117,8 @@
         class: "lookup".into(),
         key: None,
         long: false,
-        patience: PATIENCE,
-        service: SERVICE.mul_f64(rng.random_range(0.5..1.5)),
+        timeout: PATIENCE,
+        service_time: SERVICE.mul_f64(rng.random_range(0.5..1.5)),
     }
 }
 
@@ -128,15 +128,15 @@
 
 fn hot_key(rng: &mut ChaCha8Rng, at: Moment) -> Job {
     let key = Some("hull-4711".into());
-    Job { key, service: SERVICE * 16, ..lookup(rng, at) }
+    Job { key, service_time: SERVICE * 16, ..lookup(rng, at) }
 }
 
 fn upload(rng: &mut ChaCha8Rng, at: Moment) -> Job {
     Job {
         class: "upload".into(),
         long: true,
-        patience: Duration::from_secs(30),
-        service: Duration::from_secs(2),
+        timeout: Duration::from_secs(30),
+        service_time: Duration::from_secs(2),
         ..lookup(rng, at)
     }
 }
--- a/src/admission/simulation.rs
+++ b/src/admission/simulation.rs
@@ -30,9 +30,9 @@
     /// Whether it is marked as long.
     pub long: bool,
     /// How long the caller waits for the end of the answer.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// How long it takes in a slot of a sound upstream.
-    pub service: Duration,
+    pub service_time: Duration,
 }
 
 /// What a caller received.
@@ -94,7 +94,7 @@
 impl Simulation {
     /// Adds requests between `from` and `until` that come independently, on
     /// average `rate` a second.
-    pub fn add(
+    pub fn add_arrivals(
         &mut self,
         rng: &mut ChaCha8Rng,
         rate: f64,
@@ -130,7 +130,7 @@
         };
         for (place, job) in self.jobs.iter().enumerate() {
             run.plan(job.at, Event::Arrive, place);
-            run.plan(job.at + job.patience, Event::Deadline, place);
+            run.plan(job.at + job.timeout, Event::Deadline, place);
         }
         run.all();
         run.dispositions
@@ -140,7 +140,7 @@
     }
 
     fn service(&self, now: Moment, place: usize) -> Duration {
-        let service = self.jobs[place].service;
+        let service = self.jobs[place].service_time;
         match self.slow {
             Some((from, until, factor)) if from <= now && now < until => service * factor,
             _ => service,
@@ -178,7 +178,7 @@
         let arrival = Arrival {
             caller: job.caller.clone(),
             class: job.class.clone(),
-            deadline: now + job.patience,
+            deadline: now + job.timeout,
             key: job.key.clone(),
             long: job.long,
             ticket: place as u64,
--- a/src/bench/admission.rs
+++ b/src/bench/admission.rs
@@ -62,7 +62,7 @@
 fn even(slots: usize, load: f64, kind: Kind, seeds: u64) -> String {
     let mut received = Received::default();
     for seed in 0..seeds {
-        let simulation = Pattern::even(slots, load, seed);
+        let simulation = Pattern::steady(slots, load, seed);
         let dispositions = simulation.run(queue(kind, seed, slots).as_mut());
         dispositions.into_iter().for_each(|disposition| received.add(disposition));
     }
--- a/tests/suite/admission.rs
+++ b/tests/suite/admission.rs
@@ -233,7 +233,7 @@
     let mut busy = 0.0;
     for seed in 0..SEEDS {
         for (load, sum) in [(3.0, &mut overload), (0.9, &mut busy)] {
-            let simulation = Pattern::even(slots, load, seed);
+            let simulation = Pattern::steady(slots, load, seed);
             let dispositions = simulation.run(&mut gate(seed, Some(slots)));
             *sum += Received::of(&simulation, &dispositions, &anyone).share() / SEEDS as f64;
         }
--- a/tests/suite/replay/gate.rs
+++ b/tests/suite/replay/gate.rs
@@ -102,7 +102,7 @@
     let mut simulation = light();
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
     let hot = |rng: &mut ChaCha8Rng, at| Job { caller: "hot".into(), ..lookup(rng, at) };
-    simulation.add(&mut rng, 160.0, millis(500), millis(2000), &hot);
+    simulation.add_arrivals(&mut rng, 160.0, millis(500), millis(2000), &hot);
     let run = json!({"gate": {"Run": {}}});
     let expects = [
         expect(2000, count(500, run, Some(114), None), "95% of the capacity is used"),
@@ -116,8 +116,8 @@
 fn overload() -> Vec<Line> {
     let mut simulation = Simulation { slots: SLOTS, ..Simulation::default() };
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
-    simulation.add(&mut rng, 40.0, Moment::ZERO, millis(3500), &lookup);
-    simulation.add(&mut rng, 200.0, millis(500), millis(1500), &lookup);
+    simulation.add_arrivals(&mut rng, 40.0, Moment::ZERO, millis(3500), &lookup);
+    simulation.add_arrivals(&mut rng, 200.0, millis(500), millis(1500), &lookup);
     let run = json!({"gate": {"Run": {}}});
     let expects = [
         expect(1500, count(500, run, Some(76), None), "goodput is 95% of the capacity"),
@@ -132,7 +132,7 @@
 fn light() -> Simulation {
     let mut simulation = Simulation { slots: SLOTS, ..Simulation::default() };
     let mut rng = ChaCha8Rng::seed_from_u64(!SEED);
-    simulation.add(&mut rng, 10.0, Moment::ZERO, millis(2600), &lookup);
+    simulation.add_arrivals(&mut rng, 10.0, Moment::ZERO, millis(2600), &lookup);
     simulation
 }
 
@@ -143,8 +143,8 @@
         class: "lookup".into(),
         key: None,
         long: false,
-        patience: millis(500),
-        service: Duration::from_micros(rng.random_range(12_500..37_500)),
+        timeout: millis(500),
+        service_time: Duration::from_micros(rng.random_range(12_500..37_500)),
     }
 }
 
