--- a/src/bench/retry.rs
+++ b/src/bench/retry.rs
@@ -10,10 +10,10 @@
 
 use crate::retry::Count;
 use crate::retry::Decide;
-use crate::retry::Loss;
+use crate::retry::Outage;
 use crate::retry::Policy;
 use crate::retry::Report;
-use crate::retry::Storm;
+use crate::retry::Simulation;
 
 /// Lookups for one row about hedges.
 const LOOKUPS: usize = 200_000;
@@ -49,17 +49,17 @@
     let mut table = String::from(
         "loss        avoids  decider  tries a request  worst second  answered  not run  failed\n",
     );
-    for loss in [Loss::Domain, Loss::Silence, Loss::Everything] {
+    for outage in [Outage::Domain, Outage::Silence, Outage::Everything] {
         for avoid in [false, true] {
             for ours in [true, false] {
-                let _ = writeln!(table, "{}", storm(loss, avoid, ours, seeds));
+                let _ = writeln!(table, "{}", storm(outage, avoid, ours, seeds));
             }
         }
     }
     table
 }
 
-fn storm(loss: Loss, avoid: bool, ours: bool, seeds: u64) -> String {
+fn storm(outage: Outage, avoid: bool, ours: bool, seeds: u64) -> String {
     let make = |seed| -> Box<dyn Decide> {
         match ours {
             true => Box::new(Policy::new(ChaCha8Rng::seed_from_u64(seed))),
@@ -68,16 +68,17 @@
     };
     let mut sum = Report::default();
     for seed in 0..seeds {
-        let report = Storm { avoid, idempotent: true, loss, seed }.run(&make);
+        let report = Simulation { avoids_failed: avoid, idempotent: true, outage, seed }.run(&make);
         sum.add(&report);
     }
-    let percent = |count: u32| format!("{:.1}%", f64::from(count) * 100.0 / f64::from(sum.first));
+    let percent =
+        |count: u32| format!("{:.1}%", f64::from(count) * 100.0 / f64::from(sum.requests));
     format!(
         "{:<11} {avoid:<7} {:<8} {:<16.3} {:<13.3} {:<9} {:<8} {}",
-        format!("{loss:?}"),
+        format!("{outage:?}"),
         if ours { "policy" } else { "3 tries" },
         sum.amplification(),
-        sum.worst,
+        sum.worst_amplification,
         percent(sum.answered),
         percent(sum.not_run),
         percent(sum.failed),
--- a/src/retry/storm.rs
+++ b/src/retry/simulation.rs
@@ -20,11 +20,11 @@
 const AVOID: u32 = 5;
 /// Seconds in all, and from which to which the loss lasts.
 const SECONDS: u32 = 20;
-const LOSS: std::ops::Range<u32> = 5..15;
+const OUTAGE_SECONDS: std::ops::Range<u32> = 5..15;
 
 /// What is lost for ten seconds, with nothing ejected meanwhile.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Loss {
+pub enum Outage {
     /// A failure domain, whose connections are refused.
     Domain,
     /// Every upstream refuses because it is full.
@@ -39,7 +39,7 @@
     /// Requests that got their answer.
     pub answered: u32,
     /// Requests.
-    pub first: u32,
+    pub requests: u32,
     /// Requests that were told to have failed.
     pub failed: u32,
     /// Requests that were told to be not run.
@@ -49,7 +49,7 @@
     /// Requests that were told to be of unknown outcome.
     pub unknown: u32,
     /// Most tries for each request in one second of all entries.
-    pub worst: f64,
+    pub worst_amplification: f64,
 }
 
 /// Sends the requests of 44 entries to 30 upstreams in four failure domains
@@ -57,13 +57,13 @@
 /// worst case nothing turns away from what is lost; else an entry avoids an
 /// upstream for five seconds after a failed try, as the balance does.
 #[derive(Clone, Copy, Debug)]
-pub struct Storm {
+pub struct Simulation {
     /// Whether entries avoid upstreams that failed.
-    pub avoid: bool,
+    pub avoids_failed: bool,
     /// Whether the requests are idempotent.
     pub idempotent: bool,
     /// What is lost.
-    pub loss: Loss,
+    pub outage: Outage,
     /// Seed of all choices.
     pub seed: u64,
 }
@@ -91,11 +91,11 @@
 impl Report {
     /// Tries for each request.
     pub fn amplification(&self) -> f64 {
-        f64::from(self.tries) / f64::from(self.first.max(1))
+        f64::from(self.tries) / f64::from(self.requests.max(1))
     }
 }
 
-impl Storm {
+impl Simulation {
     /// Runs it; `make` gives each entry its own decider.
     pub fn run(&self, make: &dyn Fn(u64) -> Box<dyn Decide>) -> Report {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed);
@@ -104,7 +104,7 @@
         let mut avoided = vec![[0; UPSTREAMS]; ENTRIES];
         let mut report = Report::default();
         for second in 0..SECONDS {
-            let lost = LOSS.contains(&second);
+            let lost = OUTAGE_SECONDS.contains(&second);
             let mut this = Report::default();
             for _ in 0..RATE {
                 for (entry, avoided) in entries.iter_mut().zip(&mut avoided) {
@@ -112,7 +112,7 @@
                     self.request(&mut request, entry.as_mut(), &mut this);
                 }
             }
-            this.worst = this.amplification();
+            this.worst_amplification = this.amplification();
             if lost {
                 report.add(&this);
             }
@@ -122,7 +122,7 @@
 
     fn request(&self, request: &mut Request, entry: &mut dyn Decide, report: &mut Report) {
         entry.first();
-        report.first += 1;
+        report.requests += 1;
         let mut tried = Vec::new();
         loop {
             let upstream = request.pick(&tried);
@@ -132,7 +132,7 @@
                 report.answered += 1;
                 return;
             };
-            if self.avoid {
+            if self.avoids_failed {
                 request.avoided[upstream] = request.second + AVOID;
             }
             let attempt = Attempt {
@@ -156,10 +156,10 @@
     /// How a try at `upstream` goes wrong, and whether bytes went out.
     fn outcome(&self, lost: bool, upstream: usize) -> Option<(Outcome, bool)> {
         let gone = lost && upstream.is_multiple_of(DOMAINS);
-        match self.loss {
-            Loss::Domain => gone.then_some((Outcome::ConnectFailed, false)),
-            Loss::Everything => lost.then_some((Outcome::RefusedNotRun, true)),
-            Loss::Silence => gone.then_some((Outcome::Silent, true)),
+        match self.outage {
+            Outage::Domain => gone.then_some((Outcome::ConnectFailed, false)),
+            Outage::Everything => lost.then_some((Outcome::RefusedNotRun, true)),
+            Outage::Silence => gone.then_some((Outcome::Silent, true)),
         }
     }
 }
@@ -168,12 +168,12 @@
     /// Adds the counts of `other`, and keeps the worse worst second.
     pub fn add(&mut self, other: &Self) {
         self.answered += other.answered;
-        self.first += other.first;
+        self.requests += other.requests;
         self.failed += other.failed;
         self.not_run += other.not_run;
         self.tries += other.tries;
         self.unknown += other.unknown;
-        self.worst = self.worst.max(other.worst);
+        self.worst_amplification = self.worst_amplification.max(other.worst_amplification);
     }
 
     fn tell(&mut self, answer: Answer) {
--- a/tests/suite/retry.rs
+++ b/tests/suite/retry.rs
@@ -7,10 +7,10 @@
 use hemlockfield::retry::Count;
 use hemlockfield::retry::Decision;
 use hemlockfield::retry::Limits;
-use hemlockfield::retry::Loss;
+use hemlockfield::retry::Outage;
 use hemlockfield::retry::Outcome;
 use hemlockfield::retry::Policy;
-use hemlockfield::retry::Storm;
+use hemlockfield::retry::Simulation;
 use proptest::prelude::Just;
 use proptest::prelude::Strategy;
 use proptest::prelude::any;
@@ -136,35 +136,36 @@
 }
 
 #[rstest]
-#[case(Loss::Domain, 1.3)]
-#[case(Loss::Everything, 2.9)]
-#[case(Loss::Silence, 1.3)]
-fn decide_storm(#[case] loss: Loss, #[case] counted: f64) {
+#[case(Outage::Domain, 1.3)]
+#[case(Outage::Everything, 2.9)]
+#[case(Outage::Silence, 1.3)]
+fn decide_outage(#[case] outage: Outage, #[case] counted: f64) {
     // A failure domain goes, or everything refuses, and for ten seconds nothing
     // turns away from what is lost. Tries stay under 1.1 times the requests in
     // every second, because further tries are paid from a share of the first.
     // Three tries for each request make a third more load, or three times as
     // much when everything refuses.
     for seed in 0..SEEDS {
-        let storm = Storm { avoid: false, idempotent: true, loss, seed };
-        let ours = storm.run(&|seed| Box::new(policy(seed)));
-        assert!(ours.worst <= 1.1, "{ours:?}");
+        let simulation = Simulation { avoids_failed: false, idempotent: true, outage, seed };
+        let ours = simulation.run(&|seed| Box::new(policy(seed)));
+        assert!(ours.worst_amplification <= 1.1, "{ours:?}");
         assert_eq!(ours.unknown, 0);
-        let plain = storm.run(&|_| Box::new(Count(3)));
+        let plain = simulation.run(&|_| Box::new(Count(3)));
         assert!(plain.amplification() > counted, "{plain:?}");
     }
 }
 
 #[test]
-fn decide_storm_avoided() {
+fn decide_outage_avoided() {
     // The same loss while entries avoid an upstream that failed: nearly every
     // caller is answered, and the rest is told that it was not run.
     for seed in 0..SEEDS {
-        let storm = Storm { avoid: true, idempotent: false, loss: Loss::Domain, seed };
-        let ours = storm.run(&|seed| Box::new(policy(seed)));
-        assert!(ours.worst <= 1.1, "{ours:?}");
-        assert!(ours.answered * 100 >= ours.first * 98, "{ours:?}");
-        assert_eq!(ours.first, ours.answered + ours.not_run);
+        let simulation =
+            Simulation { avoids_failed: true, idempotent: false, outage: Outage::Domain, seed };
+        let ours = simulation.run(&|seed| Box::new(policy(seed)));
+        assert!(ours.worst_amplification <= 1.1, "{ours:?}");
+        assert!(ours.answered * 100 >= ours.requests * 98, "{ours:?}");
+        assert_eq!(ours.requests, ours.answered + ours.not_run);
     }
 }
 
