--- a/src/bench/retry.rs
+++ b/src/bench/retry.rs
@@ -8,8 +8,8 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::retry::Count;
 use crate::retry::Decide;
+use crate::retry::MaxAttempts;
 use crate::retry::Outage;
 use crate::retry::Policy;
 use crate::retry::Report;
@@ -63,7 +63,7 @@
     let make = |seed| -> Box<dyn Decide> {
         match ours {
             true => Box::new(Policy::new(ChaCha8Rng::seed_from_u64(seed))),
-            false => Box::new(Count(3)),
+            false => Box::new(MaxAttempts(3)),
         }
     };
     let mut sum = Report::default();
--- a/src/retry/count.rs
+++ b/src/retry/max_attempts.rs
@@ -7,9 +7,9 @@
 /// The simple thing that the policy is measured against: a number of tries for
 /// each request, where another try is safe.
 #[derive(Clone, Copy, Debug)]
-pub struct Count(pub u32);
+pub struct MaxAttempts(pub u32);
 
-impl Decide for Count {
+impl Decide for MaxAttempts {
     fn decide(&mut self, attempt: &Attempt) -> Decision {
         match attempt.is_safe() && attempt.tries < self.0 {
             true => Decision::Again { after: Duration::ZERO },
--- a/tests/suite/retry.rs
+++ b/tests/suite/retry.rs
@@ -4,9 +4,9 @@
 
 use hemlockfield::retry::Answer;
 use hemlockfield::retry::Attempt;
-use hemlockfield::retry::Count;
 use hemlockfield::retry::Decision;
 use hemlockfield::retry::Limits;
+use hemlockfield::retry::MaxAttempts;
 use hemlockfield::retry::Outage;
 use hemlockfield::retry::Outcome;
 use hemlockfield::retry::Policy;
@@ -150,7 +150,7 @@
         let ours = simulation.run(&|seed| Box::new(policy(seed)));
         assert!(ours.worst_amplification <= 1.1, "{ours:?}");
         assert_eq!(ours.unknown, 0);
-        let plain = simulation.run(&|_| Box::new(Count(3)));
+        let plain = simulation.run(&|_| Box::new(MaxAttempts(3)));
         assert!(plain.amplification() > counted, "{plain:?}");
     }
 }
