--- a/src/node/attached/spoke.rs
+++ b/src/node/attached/spoke.rs
@@ -33,7 +33,7 @@
 use crate::node::view;
 use crate::registry;
 use crate::registry::Announcement;
-use crate::retry::Sharing;
+use crate::retry::Participants;
 use crate::rule::Rules;
 use crate::timeline::Kind;
 use crate::wire::Frame;
@@ -63,7 +63,7 @@
     named: Arc<Vec<directory::Entry>>,
     published: u64,
     rules: Option<Arc<Rules>>,
-    sharing: Sharing,
+    participants: Participants,
     standing: Standing,
     subscriber: Subscriber,
     upstreams: BTreeMap<UpstreamId, Known>,
@@ -104,7 +104,7 @@
             named: Arc::default(),
             published: 0,
             rules: None,
-            sharing: Sharing::new(setup.retry_window),
+            participants: Participants::new(setup.retry_window),
             standing: Standing::Starting,
             subscriber: Subscriber::new(now, me, setup.seeds.clone(), draw()),
             upstreams: BTreeMap::new(),
@@ -239,7 +239,7 @@
     fn take(&mut self, now: Moment, news: News, outputs: &mut Vec<Output>) {
         self.entries = news.entries.max(1);
         if news.fresh {
-            self.sharing.tell(now, news.serving);
+            self.participants.update(now, news.serving);
         }
         self.breakers.set_entries(news.entries);
         if let Some(version) = news.configuration {
@@ -362,7 +362,7 @@
 
     fn services(&self, now: Moment) -> BTreeMap<ServiceId, view::Service> {
         let mut services: BTreeMap<ServiceId, view::Service> = BTreeMap::new();
-        let sharing = self.sharing.entries(now);
+        let sharing = self.participants.count(now);
         let ready = |known: &&Known| known.said.state == registry::State::Ready;
         for known in self.upstreams.values().filter(ready) {
             let said = &known.said;
--- a/src/retry/sharing.rs
+++ b/src/retry/participants.rs
@@ -20,7 +20,7 @@
 /// that no control tells anything has no part, and has one again after a whole window: until then
 /// the others may have shared it among them. So all that spend at a time were counted together.
 #[derive(Clone, Debug)]
-pub struct Sharing {
+pub struct Participants {
     /// Counts, and when each was first told; the last one goes on.
     counts: VecDeque<(Moment, usize)>,
     /// When a control told it again after a break.
@@ -29,14 +29,14 @@
     window: Duration,
 }
 
-impl Sharing {
+impl Participants {
     /// Nothing told yet; further tries count over `window`.
     pub fn new(window: Duration) -> Self {
         Self { counts: VecDeque::new(), regained_at: None, told_at: None, window }
     }
 
     /// A control that is in touch with the others tells how many entries take callers.
-    pub fn tell(&mut self, now: Moment, entries: usize) {
+    pub fn update(&mut self, now: Moment, entries: usize) {
         if self.told_at.is_some_and(|at| now >= at + LEASE) {
             self.regained_at = Some(now);
         }
@@ -48,7 +48,7 @@
     }
 
     /// Entries that share the burst with this one; `None` while it has no part in it.
-    pub fn entries(&self, now: Moment) -> Option<usize> {
+    pub fn count(&self, now: Moment) -> Option<usize> {
         let told_at = self.told_at?;
         let is_back = self.regained_at.is_some_and(|at| now < at + self.window);
         if is_back || now >= told_at + LEASE {
--- a/tests/suite/feed/budget.rs
+++ b/tests/suite/feed/budget.rs
@@ -15,8 +15,8 @@
 use hemlockfield::retry::Decision;
 use hemlockfield::retry::Limits;
 use hemlockfield::retry::Outcome;
+use hemlockfield::retry::Participants;
 use hemlockfield::retry::Policy;
-use hemlockfield::retry::Sharing;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
@@ -60,13 +60,13 @@
 struct Spender {
     entry: Entry,
     policy: Policy,
-    sharing: Sharing,
+    participants: Participants,
 }
 
 impl Spender {
     fn new(at: u64) -> Self {
         let policy = Policy::new(ChaCha8Rng::seed_from_u64(at));
-        Self { entry: entry(at), policy, sharing: Sharing::new(WINDOW) }
+        Self { entry: entry(at), policy, participants: Participants::new(WINDOW) }
     }
 
     /// Asks a control that has run for `age`.
@@ -84,13 +84,13 @@
         };
         let sends = publisher.poll(age, poll, &ledger);
         let Some((_, Message::News(news))) = sends.into_iter().next() else { panic!("no answer") };
-        self.sharing.tell(now, news.serving);
+        self.participants.update(now, news.serving);
     }
 
     /// Goes by what it was told of late.
     fn settle(&mut self, now: Duration, burst: f64) {
         self.policy.advance(now);
-        let entries = self.sharing.entries(now);
+        let entries = self.participants.count(now);
         self.policy.set_limits(Limits::part(SHARE, burst, WINDOW, entries));
     }
 
@@ -221,11 +221,11 @@
 // just have spent what they shared among fewer.
 #[test]
 fn sharing_told_again() {
-    let mut sharing = Sharing::new(WINDOW);
-    (0..20).for_each(|second| sharing.tell(ms(second * 1_000), 32));
-    assert_eq!(sharing.entries(ms(19_000)), Some(32));
-    assert_eq!(sharing.entries(ms(24_000)), None);
-    (50..70).for_each(|second| sharing.tell(ms(second * 1_000), 32));
-    assert_eq!(sharing.entries(ms(59_000)), None);
-    assert_eq!(sharing.entries(ms(60_000)), Some(32));
+    let mut participants = Participants::new(WINDOW);
+    (0..20).for_each(|second| participants.update(ms(second * 1_000), 32));
+    assert_eq!(participants.count(ms(19_000)), Some(32));
+    assert_eq!(participants.count(ms(24_000)), None);
+    (50..70).for_each(|second| participants.update(ms(second * 1_000), 32));
+    assert_eq!(participants.count(ms(59_000)), None);
+    assert_eq!(participants.count(ms(60_000)), Some(32));
 }
