--- a/src/node/traffic/service.rs
+++ b/src/node/traffic/service.rs
@@ -156,7 +156,7 @@
     fn limit_retries(&self, now: Moment, sharing: Option<usize>) {
         if self.retry.pooled {
             let settings::Retry { burst, share, window, .. } = self.retry;
-            let limits = retry::Limits::part(share, burst, window, sharing);
+            let limits = retry::Limits::per_entry(share, burst, window, sharing);
             let limits = retry::Limits { is_first: self.is_first, ..limits };
             self.policy(now).set_limits(limits);
         }
--- a/src/retry/limits.rs
+++ b/src/retry/limits.rs
@@ -29,7 +29,7 @@
     /// One entry's part of what all do together: in any `window` they make at most `share` of
     /// their first tries and `burst` more, which `entries` of them share; `None` for an entry
     /// without a part in it.
-    pub fn part(share: f64, burst: f64, window: Duration, entries: Option<usize>) -> Self {
+    pub fn per_entry(share: f64, burst: f64, window: Duration, entries: Option<usize>) -> Self {
         let most = entries.map_or(0.0, |entries| Self::MARGIN * burst / entries.max(1) as f64);
         let share = Self::MARGIN * share;
         Self { free_connects: true, is_first: false, most, share, window: Some(window) }
--- a/tests/suite/feed/budget.rs
+++ b/tests/suite/feed/budget.rs
@@ -91,7 +91,7 @@
     fn settle(&mut self, now: Duration, burst: f64) {
         self.policy.advance(now);
         let entries = self.participants.count(now);
-        self.policy.set_limits(Limits::part(SHARE, burst, WINDOW, entries));
+        self.policy.set_limits(Limits::per_entry(SHARE, burst, WINDOW, entries));
     }
 
     /// Sends a request to an upstream that is gone; whether it goes to another one.
--- a/tests/suite/retry.rs
+++ b/tests/suite/retry.rs
@@ -230,7 +230,7 @@
 /// One entry's budget: a fifth of its requests and two more, within ten seconds.
 fn pooled() -> Policy {
     let mut policy = policy(3);
-    let limits = Limits::part(0.2, 20.0, Duration::from_secs(10), Some(10));
+    let limits = Limits::per_entry(0.2, 20.0, Duration::from_secs(10), Some(10));
     policy.advance(Duration::ZERO);
     policy.set_limits(limits);
     policy
@@ -242,7 +242,7 @@
 #[test]
 fn decide_pooled_two_lists() {
     let (share, burst, window) = (0.2, 62.0, Duration::from_secs(10));
-    let limits = Limits::part(share, burst, window, Some(16));
+    let limits = Limits::per_entry(share, burst, window, Some(16));
     let mut firsts = 0;
     let mut again = 0;
     for _ in 0..16 {
@@ -310,7 +310,7 @@
 // No process before this one has spent anything: the whole part is there from the first second.
 #[test]
 fn decide_pooled_first_start() {
-    let limits = Limits::part(0.2, 20.0, Duration::from_secs(10), Some(10));
+    let limits = Limits::per_entry(0.2, 20.0, Duration::from_secs(10), Some(10));
     let mut policy = policy(3);
     policy.advance(Duration::ZERO);
     policy.set_limits(Limits { is_first: true, ..limits });
