--- a/src/bench/retry.rs
+++ b/src/bench/retry.rs
@@ -92,20 +92,20 @@
     let mut copies = 0;
     let mut wins = 0;
     for _ in 0..LOOKUPS {
-        policy.first();
+        policy.record_first();
         copies += 1;
         let first = rng.random_range(0..UPSTREAMS);
         let mut time = lookup(slow, first, &mut rng);
         let after = policy.hedge_after().filter(|after| hedged && *after < time);
-        if let Some(after) = after.filter(|_| policy.hedge(Duration::from_secs(5))) {
+        if let Some(after) = after.filter(|_| policy.try_hedge(Duration::from_secs(5))) {
             copies += 1;
             let second = (first + rng.random_range(1..UPSTREAMS)) % UPSTREAMS;
             let late = after + lookup(slow, second, &mut rng);
-            policy.hedged(late < time);
+            policy.record_hedge(late < time);
             wins += usize::from(late < time);
             time = time.min(late);
         }
-        policy.note(time);
+        policy.record_latency(time);
         times.push(time);
     }
     times.sort_unstable();
--- a/src/node/traffic/hedge.rs
+++ b/src/node/traffic/hedge.rs
@@ -47,13 +47,13 @@
     }
     let now = shared.now();
     let left = job.left(now);
-    if !service.policy(shared.now()).hedge(left) {
+    if !service.policy(shared.now()).try_hedge(left) {
         return first.await;
     }
     let Some(place) =
         Place::take(shared, service, upstreams, std::slice::from_ref(&overtaken), false)
     else {
-        service.policy(shared.now()).hedged(false);
+        service.policy(shared.now()).record_hedge(false);
         return first.await;
     };
     let request = job.request(now, shared.boundary.as_ref(), &place.upstream);
@@ -65,7 +65,7 @@
         tried = first => (tried, false),
         tried = second => (tried, true),
     };
-    service.policy(shared.now()).hedged(won && tried.is_served(shared.boundary.as_ref()));
+    service.policy(shared.now()).record_hedge(won && tried.is_served(shared.boundary.as_ref()));
     if won && tried.is_served(shared.boundary.as_ref()) {
         tell_overtaken(shared, job, overtaken, shared.now().saturating_sub(started));
     }
--- a/src/node/traffic/tries.rs
+++ b/src/node/traffic/tries.rs
@@ -43,11 +43,11 @@
     let mut ran = false;
     let mut tries = 0;
     let mut sends = 0;
-    service.policy(shared.now()).first();
+    service.policy(shared.now()).record_first();
     loop {
         // Where all others are taken or tried, the same one once more is better than none.
         let long = job.terms.long;
-        let can_risk = job.may_try() && service.policy(shared.now()).can_risk();
+        let can_risk = job.may_try() && service.policy(shared.now()).has_spare_retries();
         let try_one = || Place::take_trial(shared, service, upstreams, can_risk);
         let trial = (tries == 0).then(try_one).flatten();
         let place = trial
@@ -76,7 +76,7 @@
         sends += u32::from(tried.is_sent());
         let Some(outcome) = outcome else {
             return tried.into_answer().map_or_else(told_nothing, |(tried, answer)| {
-                service.policy(shared.now()).note(tried.latency());
+                service.policy(shared.now()).record_latency(tried.latency());
                 End::Answer(Box::new((tried, answer)))
             });
         };
--- a/src/replay/player.rs
+++ b/src/replay/player.rs
@@ -55,11 +55,11 @@
 fn advise(policy: &mut retry::Policy, input: Retry) -> Option<Output> {
     match input {
         Retry::Decide(attempt) => return Some(Output::Policy(policy.decide(&attempt))),
-        Retry::First => policy.first(),
-        Retry::Hedge { remaining } => return Some(Output::Hedge(policy.hedge(remaining))),
-        Retry::Hedged { won } => policy.hedged(won),
+        Retry::First => policy.record_first(),
+        Retry::Hedge { remaining } => return Some(Output::Hedge(policy.try_hedge(remaining))),
+        Retry::Hedged { won } => policy.record_hedge(won),
         Retry::Limit(limits) => policy.set_limits(limits),
-        Retry::Note { time } => policy.note(time),
+        Retry::Note { time } => policy.record_latency(time),
     }
     None
 }
--- a/src/replay/policy.rs
+++ b/src/replay/policy.rs
@@ -37,9 +37,9 @@
         self.policy.advance(now);
     }
 
-    /// As [`retry::Policy::can_risk`].
-    pub fn can_risk(&self) -> bool {
-        self.policy.can_risk()
+    /// As [`retry::Policy::has_spare_retries`].
+    pub fn has_spare_retries(&self) -> bool {
+        self.policy.has_spare_retries()
     }
 
     /// As [`retry::Policy::decide`].
@@ -48,16 +48,16 @@
         self.policy.decide(attempt)
     }
 
-    /// As [`retry::Policy::first`].
-    pub fn first(&mut self) {
+    /// As [`retry::Policy::record_first`].
+    pub fn record_first(&mut self) {
         self.note_down(|| Retry::First);
-        self.policy.first();
+        self.policy.record_first();
     }
 
-    /// As [`retry::Policy::hedge`].
-    pub fn hedge(&mut self, remaining: Duration) -> bool {
+    /// As [`retry::Policy::try_hedge`].
+    pub fn try_hedge(&mut self, remaining: Duration) -> bool {
         self.note_down(|| Retry::Hedge { remaining });
-        self.policy.hedge(remaining)
+        self.policy.try_hedge(remaining)
     }
 
     /// As [`retry::Policy::hedge_after`].
@@ -65,10 +65,10 @@
         self.policy.hedge_after()
     }
 
-    /// As [`retry::Policy::hedged`].
-    pub fn hedged(&mut self, won: bool) {
+    /// As [`retry::Policy::record_hedge`].
+    pub fn record_hedge(&mut self, won: bool) {
         self.note_down(|| Retry::Hedged { won });
-        self.policy.hedged(won);
+        self.policy.record_hedge(won);
     }
 
     /// As [`retry::Policy::set_limits`].
@@ -77,10 +77,10 @@
         self.policy.set_limits(limits);
     }
 
-    /// As [`retry::Policy::note`].
-    pub fn note(&mut self, time: Duration) {
+    /// As [`retry::Policy::record_latency`].
+    pub fn record_latency(&mut self, time: Duration) {
         self.note_down(|| Retry::Note { time });
-        self.policy.note(time);
+        self.policy.record_latency(time);
     }
 
     fn note_down(&self, input: impl FnOnce() -> Retry) {
--- a/src/retry/decide.rs
+++ b/src/retry/decide.rs
@@ -8,5 +8,5 @@
     fn decide(&mut self, attempt: &Attempt) -> Decision;
 
     /// Notes the first try of a request.
-    fn first(&mut self);
+    fn record_first(&mut self);
 }
--- a/src/retry/max_attempts.rs
+++ b/src/retry/max_attempts.rs
@@ -17,5 +17,5 @@
         }
     }
 
-    fn first(&mut self) {}
+    fn record_first(&mut self) {}
 }
--- a/src/retry/policy.rs
+++ b/src/retry/policy.rs
@@ -60,7 +60,7 @@
     }
 
     /// Notes the first try of a request.
-    pub fn first(&mut self) {
+    pub fn record_first(&mut self) {
         self.budget.first();
         self.hedge.first();
     }
@@ -83,12 +83,12 @@
     }
 
     /// Whether a request may be risked on an upstream that was at fault.
-    pub fn can_risk(&self) -> bool {
+    pub fn has_spare_retries(&self) -> bool {
         self.budget.left() >= SPARE
     }
 
     /// Notes that a whole answer took `time`, from the start of its try.
-    pub fn note(&mut self, time: Duration) {
+    pub fn record_latency(&mut self, time: Duration) {
         self.latency.note(time);
     }
 
@@ -99,14 +99,14 @@
     }
 
     /// Whether the second copy goes out now, with `remaining` time left. With
-    /// `true` the budget has paid, and [`Self::hedged`] must follow.
-    pub fn hedge(&mut self, remaining: Duration) -> bool {
+    /// `true` the budget has paid, and [`Self::record_hedge`] must follow.
+    pub fn try_hedge(&mut self, remaining: Duration) -> bool {
         let usual = self.latency.median().unwrap_or_default();
         self.hedge.is_on() && remaining > usual && self.budget.take()
     }
 
     /// Notes whether the second copy answered first.
-    pub fn hedged(&mut self, won: bool) {
+    pub fn record_hedge(&mut self, won: bool) {
         self.hedge.note(won);
     }
 
@@ -128,7 +128,7 @@
         self.decide(attempt)
     }
 
-    fn first(&mut self) {
-        self.first();
+    fn record_first(&mut self) {
+        self.record_first();
     }
 }
--- a/src/retry/simulation.rs
+++ b/src/retry/simulation.rs
@@ -121,7 +121,7 @@
     }
 
     fn request(&self, request: &mut Request, entry: &mut dyn Decide, report: &mut Report) {
-        entry.first();
+        entry.record_first();
         report.requests += 1;
         let mut tried = Vec::new();
         loop {
--- a/tests/suite/feed/budget.rs
+++ b/tests/suite/feed/budget.rs
@@ -97,7 +97,7 @@
     /// Sends a request to an upstream that is gone; whether it goes to another one.
     fn send(&mut self, now: Duration) -> bool {
         self.policy.advance(now);
-        self.policy.first();
+        self.policy.record_first();
         let attempt = Attempt {
             body_kept: true,
             head_sent: false,
--- a/tests/suite/replay/record.rs
+++ b/tests/suite/replay/record.rs
@@ -84,14 +84,14 @@
     let mut policy = Policy::new(4, tape);
     let mut outputs = Vec::new();
     for tries in (1..=3).cycle().take(90) {
-        policy.first();
-        policy.note(Duration::from_nanos(25_000_001));
+        policy.record_first();
+        policy.record_latency(Duration::from_nanos(25_000_001));
         let decision = policy.decide(&hemlockfield::retry::Attempt { tries, ..attempt() });
         outputs.push((Moment::ZERO, Output::Policy(decision)));
-        let hedge = policy.hedge(Duration::from_secs(1));
+        let hedge = policy.try_hedge(Duration::from_secs(1));
         outputs.push((Moment::ZERO, Output::Hedge(hedge)));
         if hedge {
-            policy.hedged(tries == 1);
+            policy.record_hedge(tries == 1);
         }
     }
     outputs
@@ -126,7 +126,7 @@
     for _ in 0..2 {
         let recorder = recorder(&path, 1024);
         let mut policy = Policy::new(4, Tape::new(&recorder, "policy/shop".into()));
-        (0..100).for_each(|_| policy.first());
+        (0..100).for_each(|_| policy.record_first());
         drop((policy, recorder));
         let length = std::fs::metadata(&path).expect("file").len();
         assert!(length <= 1024 && length > 900, "{length}");
--- a/tests/suite/retry.rs
+++ b/tests/suite/retry.rs
@@ -85,7 +85,7 @@
     // Answers take 100 ms and 50 ms are left: another try can't end in time.
     let mut policy = policy(1);
     for _ in 0..64 {
-        policy.note(Duration::from_millis(100));
+        policy.record_latency(Duration::from_millis(100));
     }
     let remaining = Duration::from_millis(50);
     let short = Attempt { remaining, ..attempt(true, true, Outcome::Cut) };
@@ -170,24 +170,24 @@
 }
 
 #[test]
-fn hedge_budget() {
+fn try_hedge_budget() {
     // Every lookup is late and every hedge wins: hedges stay within a twentieth
     // of the first tries and the two tokens saved up, and what they took is gone
     // for a try after a failure, too. One budget is what bounds the load.
     let mut policy = policy(1);
     assert_eq!(policy.hedge_after(), None);
-    (0..64).for_each(|_| policy.note(Duration::from_millis(20)));
+    (0..64).for_each(|_| policy.record_latency(Duration::from_millis(20)));
     assert_eq!(policy.hedge_after(), Some(Duration::from_millis(20)));
     let mut hedges = 0;
     for _ in 0..1000 {
-        policy.first();
-        if policy.hedge(Duration::from_secs(5)) {
-            policy.hedged(true);
+        policy.record_first();
+        if policy.try_hedge(Duration::from_secs(5)) {
+            policy.record_hedge(true);
             hedges += 1;
         }
     }
     assert!((45..=52).contains(&hedges), "{hedges}");
-    while policy.hedge(Duration::from_secs(5)) {}
+    while policy.try_hedge(Duration::from_secs(5)) {}
     let failed = attempt(true, true, Outcome::Cut);
     assert_eq!(policy.decide(&failed), Decision::Stop { answer: Answer::Failed });
 }
@@ -196,34 +196,34 @@
 // it gets. Lookups there wait for their whole time unless a second copy goes out, and none did
 // before the entry had seen 32 answers. After eight it knows enough.
 #[test]
-fn hedge_after_start() {
+fn hedge_after_few_answers() {
     let mut policy = policy(1);
-    (0..7).for_each(|_| policy.note(Duration::from_millis(20)));
+    (0..7).for_each(|_| policy.record_latency(Duration::from_millis(20)));
     assert_eq!(policy.hedge_after(), None);
-    policy.note(Duration::from_millis(20));
+    policy.record_latency(Duration::from_millis(20));
     assert_eq!(policy.hedge_after(), Some(Duration::from_millis(20)));
     // A slower time shows soon as well, and not only with the next 32.
-    (0..16).for_each(|_| policy.note(Duration::from_millis(40)));
+    (0..16).for_each(|_| policy.record_latency(Duration::from_millis(40)));
     assert_eq!(policy.hedge_after(), Some(Duration::from_millis(40)));
 }
 
 #[test]
-fn hedge_suspended() {
+fn hedge_after_suspended() {
     // The whole service is slow, so that no hedge answers first. After sixteen
     // the policy stops sending them, and looks again 500 requests later.
     let mut policy = policy(1);
-    (0..64).for_each(|_| policy.note(Duration::from_millis(20)));
+    (0..64).for_each(|_| policy.record_latency(Duration::from_millis(20)));
     let mut hedges = 0;
     while policy.hedge_after().is_some() {
-        policy.first();
-        if policy.hedge(Duration::from_secs(5)) {
-            policy.hedged(false);
+        policy.record_first();
+        if policy.try_hedge(Duration::from_secs(5)) {
+            policy.record_hedge(false);
             hedges += 1;
         }
     }
     assert_eq!(hedges, 16);
-    assert!(!policy.hedge(Duration::from_secs(5)));
-    (0..500).for_each(|_| policy.first());
+    assert!(!policy.try_hedge(Duration::from_secs(5)));
+    (0..500).for_each(|_| policy.record_first());
     assert!(policy.hedge_after().is_some());
 }
 
@@ -263,7 +263,7 @@
     let mut again = 0;
     for at in from..from + count {
         policy.advance(Duration::from_millis(100 * at));
-        policy.first();
+        policy.record_first();
         if broken.contains(&at) {
             again += usize::from(matches!(policy.decide(&cut), Decision::Again { .. }));
         }
@@ -288,7 +288,7 @@
     let mut again = Vec::new();
     for at in 0..600 {
         policy.advance(Duration::from_millis(100 * at));
-        policy.first();
+        policy.record_first();
         if matches!(policy.decide(&cut), Decision::Again { .. }) {
             again.push(at);
         }
@@ -321,11 +321,11 @@
 // only one further try is left no lookup is risked: the caller would lose what nobody sends
 // again, where another upstream would have served it.
 #[test]
-fn can_risk_nothing_left() {
+fn has_spare_retries_exhausted() {
     let mut policy = pooled();
-    assert!(!policy.can_risk());
+    assert!(!policy.has_spare_retries());
     lookups(&mut policy, 0, 120, 0..0);
-    assert!(policy.can_risk());
+    assert!(policy.has_spare_retries());
     lookups(&mut policy, 120, 18, 120..138);
-    assert!(!policy.can_risk());
+    assert!(!policy.has_spare_retries());
 }
