--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,35 +1,35 @@
-//! Who is served, who waits and who is refused when the fleet is full.
+//! Admission control: decides which requests run, wait or are refused.
 //!
-//! A [`Gate`] stands before each service in an entry. Load patterns, what
-//! happens without the gate, and its answer:
+//! Each entry has one [`Gate`] per service. The load patterns it handles, what happens without it,
+//! and how it responds:
 //!
-//! | pattern | without | answer |
+//! | pattern | without the gate | response |
 //! |---|---|---|
-//! | burst | everyone waits, and the last run only to miss their deadline | those that fit their deadline wait, the others are refused on arrival |
-//! | hot caller or key | its requests fill queue and slots, the others starve | turns by caller inside a class; a key gets half of the slots |
-//! | slow upstream | requests queue up behind it until each deadline | what can't end in time is not started; one trial at a time |
-//! | long jobs among short | uploads take every slot, lookups wait for minutes | long jobs get half of the slots |
-//! | overload | a queue as long as the deadline; all work is wasted | a queue that stands is cut to one service time, the rest is refused |
+//! | burst | everyone waits, and the last requests run only to miss their deadline | requests that can meet their deadline wait, the others are refused on arrival |
+//! | hot caller or key | its requests fill the queue and the slots, and the others starve | callers take turns within a class; one key gets at most half of the slots |
+//! | slow upstream | requests queue up behind it until each deadline | a request that can't finish in time is not started; one probe runs at a time |
+//! | long jobs among short ones | uploads take every slot, lookups wait for minutes | long jobs get at most half of the slots |
+//! | overload | the queue grows as long as the deadline allows and all work is wasted | a standing queue is cut to one service time, the rest is refused |
 //!
-//! A refusal always comes before anything ran, tells so, and says when to come
-//! back, with jitter so that refused callers don't return together.
+//! A request is only refused before any of it ran. The refusal says so and carries a jittered retry
+//! delay, so that refused callers don't return together.
 
+mod class_queue;
+mod duration_class;
 mod estimate;
 mod fifo;
 mod gate;
 mod input;
-mod keys;
-mod kind;
+mod key_counts;
 mod limit;
-mod line;
 mod outcome;
 mod output;
-mod pace;
+mod overload_detector;
 mod pattern;
 mod queue;
 mod reason;
+mod service_time;
 mod simulation;
-mod standing;
 mod startup;
 mod waiter;
 
--- a/src/admission/line.rs
+++ b/src/admission/class_queue.rs
@@ -3,25 +3,25 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use super::standing::Standing;
+use super::overload_detector::OverloadDetector;
 use crate::clock::Moment;
 use crate::id::CallerId;
 use crate::rule::Class;
 
-/// Requests of one class, with turns by caller.
+/// Waiting requests of one class, scheduled fairly among callers.
 ///
-/// The next turn goes to the caller with the fewest running requests, and
-/// among those alike to the one whose last turn is longest ago: slots are
-/// shared evenly by callers, however many requests each sends. In one queue
-/// they would be shared by requests, and a hot caller would get nearly all.
+/// The next request comes from the caller with the fewest running requests; ties go to the caller
+/// whose last turn was longest ago. Slots are thus shared evenly among callers, however many
+/// requests each sends. A single queue would share them by requests, and a hot caller would get
+/// nearly all.
 #[derive(Clone, Debug)]
-pub(super) struct Line {
-    /// What rules say about the class.
+pub(super) struct ClassQueue {
+    /// The configured class.
     pub(super) class: Class,
-    /// Slot time that the class has had, divided by its weight.
+    /// Stride scheduling pass: slot time that the class has used, divided by its weight.
     pub(super) pass: u64,
-    /// Whether its queue stands.
-    pub(super) standing: Standing,
+    /// Detects whether the queue of the class is standing.
+    pub(super) detector: OverloadDetector,
     arrivals: BTreeSet<(Moment, u64)>,
     order: BTreeSet<(usize, u64, CallerId)>,
     running: BTreeMap<CallerId, usize>,
@@ -36,7 +36,7 @@
     turn: u64,
 }
 
-impl Line {
+impl ClassQueue {
     pub(super) fn new(class: Class, now: Moment) -> Self {
         Self {
             arrivals: BTreeSet::new(),
@@ -44,7 +44,7 @@
             order: BTreeSet::new(),
             pass: 0,
             running: BTreeMap::new(),
-            standing: Standing::new(now),
+            detector: OverloadDetector::new(now),
             turn: 0,
             waiting: BTreeMap::new(),
         }
@@ -59,78 +59,78 @@
         }
         self.turn += 1;
         let waiting = Waiting { tickets: VecDeque::from([ticket]), turn: self.turn };
-        self.order.insert((self.runs(caller), self.turn, caller.clone()));
+        self.order.insert((self.running_count(caller), self.turn, caller.clone()));
         self.waiting.insert(caller.clone(), waiting);
     }
 
-    /// First waiting request, by turns, that `fits`.
+    /// Returns the first waiting request in turn order for which `fits` holds.
     pub(super) fn pick(&self, fits: impl Fn(u64) -> bool) -> Option<u64> {
         let callers = self.order.iter().filter_map(|entry| self.waiting.get(&entry.2));
         let mut tickets = callers.flat_map(|waiting| waiting.tickets.iter().copied());
         tickets.find(|ticket| fits(*ticket))
     }
 
-    /// Takes a waiting request out.
+    /// Removes a waiting request.
     pub(super) fn remove(&mut self, arrived: Moment, ticket: u64, caller: &CallerId) {
         self.arrivals.remove(&(arrived, ticket));
         let Some(waiting) = self.waiting.get_mut(caller) else { return };
         waiting.tickets.retain(|other| *other != ticket);
         if waiting.tickets.is_empty() {
             let turn = waiting.turn;
-            self.order.remove(&(self.runs(caller), turn, caller.clone()));
+            self.order.remove(&(self.running_count(caller), turn, caller.clone()));
             self.waiting.remove(caller);
         }
     }
 
-    /// Notes that a request of `caller` was started; the caller goes last
-    /// among those with as many running.
-    pub(super) fn start(&mut self, caller: &CallerId) {
+    /// Records that a request of `caller` started. The caller goes last among those with as many
+    /// running requests.
+    pub(super) fn record_start(&mut self, caller: &CallerId) {
         self.turn += 1;
         let turn = self.turn;
-        self.reorder(caller, Some(turn), |runs| runs + 1);
+        self.reorder(caller, Some(turn), |count| count + 1);
     }
 
-    /// Notes that a request of `caller` has ended.
-    pub(super) fn finish(&mut self, caller: &CallerId) {
-        self.reorder(caller, None, |runs| runs.saturating_sub(1));
+    /// Records that a request of `caller` ended.
+    pub(super) fn record_finish(&mut self, caller: &CallerId) {
+        self.reorder(caller, None, |count| count.saturating_sub(1));
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub(super) fn len(&self) -> usize {
         self.arrivals.len()
     }
 
-    /// Callers of which a request waits, and requests of `caller` that wait.
-    pub(super) fn crowd(&self, caller: &CallerId) -> (usize, usize) {
+    /// Number of callers with waiting requests, and number of waiting requests of `caller`.
+    pub(super) fn waiting_counts(&self, caller: &CallerId) -> (usize, usize) {
         let own = self.waiting.get(caller).map_or(0, |waiting| waiting.tickets.len());
         (self.waiting.len(), own)
     }
 
-    /// Whether `caller` has fewer running requests than every caller that waits.
+    /// Whether `caller` has fewer running requests than every caller with waiting requests.
     pub(super) fn is_next(&self, caller: &CallerId) -> bool {
-        self.order.first().is_none_or(|entry| self.runs(caller) < entry.0)
+        self.order.first().is_none_or(|entry| self.running_count(caller) < entry.0)
     }
 
-    /// Request that has waited longest, and since when.
+    /// Arrival time and ticket of the request that has waited longest.
     pub(super) fn oldest(&self) -> Option<(Moment, u64)> {
         self.arrivals.first().copied()
     }
 
-    /// Charges `time` of a slot.
+    /// Adds `time` in a slot to the pass of the class.
     pub(super) fn charge(&mut self, time: Duration) {
         self.pass += time.as_nanos() as u64 / self.class.weight.max(1) as u64;
     }
 
-    fn runs(&self, caller: &CallerId) -> usize {
+    fn running_count(&self, caller: &CallerId) -> usize {
         self.running.get(caller).copied().unwrap_or(0)
     }
 
     fn reorder(&mut self, caller: &CallerId, turn: Option<u64>, change: impl Fn(usize) -> usize) {
-        let before = self.runs(caller);
+        let before = self.running_count(caller);
         let after = change(before);
         match after {
             0 => self.running.remove(caller),
-            runs => self.running.insert(caller.clone(), runs),
+            count => self.running.insert(caller.clone(), count),
         };
         let Some(waiting) = self.waiting.get_mut(caller) else { return };
         self.order.remove(&(before, waiting.turn, caller.clone()));
--- a/src/admission/estimate.rs
+++ b/src/admission/estimate.rs
@@ -3,150 +3,159 @@
 use super::Arrival;
 use super::Gate;
 use super::Reason;
-use super::kind::Kind;
+use super::duration_class::DurationClass;
 use crate::clock::Moment;
 
-/// Share of the slots that long jobs may hold: lookups keep the other half,
-/// and uploads, of which there are few, still get several slots at once.
-const LONG_SHARE: usize = 2;
-/// The same where slots are learned: they may be twice those there are while
-/// they are being found, and half of that would be all there is.
-const LONG_SHARE_LEARNED: usize = 4;
-/// Share of the slots that requests about one key may hold, for the same
-/// reason: behind a locked record they would fill every slot.
-const KEY_SHARE: usize = 2;
-/// Most requests that wait, whatever the estimates say: a bound on memory, far
-/// above what is served within the longest wait.
-const MOST_WAITING: usize = 4096;
-/// Least wait that is kept before a standing queue; below it, timers decide.
-const TARGET: Duration = Duration::from_millis(5);
-
-/// What a gate expects of the near future, and what it leaves room for.
+/// Long jobs may hold one slot in this many. Lookups keep the other half, and uploads, which are
+/// few, still run several at once.
+const LONG_SLOTS_DIVISOR: usize = 2;
+/// Divisor for long jobs while the slots are learned. The learned limit may temporarily be twice
+/// the actual number of slots, so half of it would be all of them.
+const LONG_SLOTS_DIVISOR_LEARNED: usize = 4;
+/// Requests about one key may hold one slot in this many. Requests that wait for one locked record
+/// would otherwise fill every slot.
+const KEY_SLOTS_DIVISOR: usize = 2;
+/// Upper bound on waiting requests, to limit memory. It is far above what can be served within the
+/// longest wait.
+const WAITING_MAX: usize = 4096;
+/// Minimum target wait. Below it, timer resolution dominates.
+const TARGET_WAIT_MIN: Duration = Duration::from_millis(5);
+
+/// Estimates of waits and service times, and the limits derived from them.
 impl Gate {
-    /// Last moment at which it may be started to end in time.
-    pub(super) fn latest(&self, arrival: &Arrival) -> Moment {
-        arrival.deadline.saturating_sub(self.kind(arrival.long).pace.least())
+    /// Latest time at which the request can start and still finish by its deadline.
+    pub(super) fn latest_start(&self, arrival: &Arrival) -> Moment {
+        arrival
+            .deadline
+            .saturating_sub(self.duration_class(arrival.long).service_time.lower_quartile())
     }
 
-    /// Why a request is refused on arrival.
-    pub(super) fn objection(
+    /// Why the request must be refused on arrival, or `None` if it may wait.
+    pub(super) fn refusal_reason(
         &self,
         now: Moment,
         arrival: &Arrival,
-        line: usize,
+        queue: usize,
         until: Moment,
     ) -> Option<Reason> {
-        if arrival.deadline <= now || self.latest(arrival) <= now && !self.is_trial(arrival.long) {
+        if arrival.deadline <= now
+            || self.latest_start(arrival) <= now && !self.is_probe(arrival.long)
+        {
             return Some(Reason::Late);
         }
-        if self.has_room(arrival) {
-            // Whoever waits now may not hold the slot that is free.
+        if self.has_slot(arrival) {
+            // The waiting requests may not be allowed to use the free slot.
             return None;
         }
-        if self.keys.waiting(arrival.key.as_ref()) >= self.key_room() {
-            // They wait for each other and not for a slot, and would make the
-            // queue of everyone else look as if it stood.
+        if self.key_counts.waiting(arrival.key.as_ref()) >= self.key_slots() {
+            // These requests wait for each other rather than for a slot, and would make the whole
+            // queue look like a standing one.
             return Some(Reason::Full);
         }
-        let wait = self.forecast(now, arrival, line);
-        let stands = self.lines[line].standing.stands();
-        if stands && self.lines[line].len() >= self.kept(line) && wait > self.target(line) {
+        let wait = self.expected_wait(now, arrival, queue);
+        let is_overloaded = self.queues[queue].detector.is_overloaded();
+        if is_overloaded
+            && self.queues[queue].len() >= self.min_kept(queue)
+            && wait > self.target_wait(queue)
+        {
             return Some(Reason::Overload);
         }
-        let full = self.waiting.len() >= MOST_WAITING || now + wait > until;
-        (full && !self.is_trial(arrival.long)).then_some(Reason::Full)
+        let full = self.waiting.len() >= WAITING_MAX || now + wait > until;
+        (full && !self.is_probe(arrival.long)).then_some(Reason::Full)
     }
 
-    /// Whether nothing of the kind runs or waits: then one request is let
-    /// through against the estimate, which otherwise could never be mended
-    /// after a slow upstream has become fast again.
-    pub(super) fn is_trial(&self, long: bool) -> bool {
-        let kind = self.kind(long);
-        kind.running.is_empty() && kind.waiting == 0
+    /// Whether no request of this duration class runs or waits. One request is then admitted
+    /// despite the estimate, which could otherwise never recover after a slow upstream becomes fast
+    /// again.
+    pub(super) fn is_probe(&self, long: bool) -> bool {
+        let duration_class = self.duration_class(long);
+        duration_class.running.is_empty() && duration_class.waiting == 0
     }
 
-    /// Wait that a newcomer can expect: its turns among the callers of its
-    /// class, times the share of its class, at the pace of its kind.
-    pub(super) fn forecast(&self, now: Moment, arrival: &Arrival, line: usize) -> Duration {
-        let this = &self.lines[line];
-        let (callers, own) = this.crowd(&arrival.caller);
+    /// Expected wait of a new request: its turns among the callers of its class, divided by the
+    /// share of slots of the class, times the service time.
+    pub(super) fn expected_wait(&self, now: Moment, arrival: &Arrival, queue: usize) -> Duration {
+        let class_queue = &self.queues[queue];
+        let (callers, own) = class_queue.waiting_counts(&arrival.caller);
         let callers = callers + usize::from(own == 0);
-        let turns = match this.is_next(&arrival.caller) {
+        let turns = match class_queue.is_next(&arrival.caller) {
             true => 1,
             false => (own + 1) * callers,
         };
-        let kind = self.kind(arrival.long);
-        let turns = turns.min(this.len() + 1).min(kind.waiting + 1);
-        let rivals = self.lines.iter().enumerate();
-        let rivals = rivals.filter(|(place, other)| *place == line || other.len() > 0);
-        let weights: usize = rivals.map(|(_, other)| other.class.weight).sum();
-        let share = weights as f64 / this.class.weight.max(1) as f64;
-        let slots = self.room(arrival.long).max(1) as f64;
-        kind.service(now).mul_f64(turns as f64 * share / slots)
+        let duration_class = self.duration_class(arrival.long);
+        let turns = turns.min(class_queue.len() + 1).min(duration_class.waiting + 1);
+        let contenders = self.queues.iter().enumerate();
+        let contenders = contenders.filter(|(index, other)| *index == queue || other.len() > 0);
+        let weights: usize = contenders.map(|(_, other)| other.class.weight).sum();
+        let share = weights as f64 / class_queue.class.weight.max(1) as f64;
+        let slots = self.slots_for(arrival.long).max(1) as f64;
+        duration_class.expected_service_time(now).mul_f64(turns as f64 * share / slots)
     }
 
-    pub(super) fn is_alone(&self, ticket: u64) -> bool {
+    pub(super) fn is_only_request(&self, ticket: u64) -> bool {
         let Some(waiter) = self.waiting.get(&ticket) else { return false };
-        let kind = self.kind(waiter.arrival.long);
-        kind.running.is_empty() && kind.waiting == 1
+        let duration_class = self.duration_class(waiter.arrival.long);
+        duration_class.running.is_empty() && duration_class.waiting == 1
     }
 
-    /// Whether a slot is free that `arrival` may hold.
-    pub(super) fn has_room(&self, arrival: &Arrival) -> bool {
+    /// Whether a slot is free that `arrival` is allowed to use.
+    pub(super) fn has_slot(&self, arrival: &Arrival) -> bool {
         let slots = self.limit.slots();
-        let key = self.keys.running(arrival.key.as_ref());
+        let key = self.key_counts.running(arrival.key.as_ref());
         self.running.len() < slots
-            && self.kind(arrival.long).running.len() < self.room(arrival.long)
-            && key < self.key_room()
+            && self.duration_class(arrival.long).running.len() < self.slots_for(arrival.long)
+            && key < self.key_slots()
     }
 
-    /// Slots that requests about one key may hold together; as many may wait.
-    fn key_room(&self) -> usize {
-        (self.limit.slots() / KEY_SHARE).max(1)
+    /// Number of slots that requests about one key may hold together. As many may wait.
+    fn key_slots(&self) -> usize {
+        (self.limit.slots() / KEY_SLOTS_DIVISOR).max(1)
     }
 
-    /// Slots that requests of the kind may hold together.
-    pub(super) fn room(&self, long: bool) -> usize {
+    /// Number of slots that short requests, or long ones, may hold together.
+    pub(super) fn slots_for(&self, long: bool) -> usize {
         let slots = self.limit.slots();
-        let share = if self.limit.is_learned() { LONG_SHARE_LEARNED } else { LONG_SHARE };
-        if long { (slots / share).max(1) } else { slots }
+        let divisor =
+            if self.limit.is_learned() { LONG_SLOTS_DIVISOR_LEARNED } else { LONG_SLOTS_DIVISOR };
+        if long { (slots / divisor).max(1) } else { slots }
     }
 
-    /// Wait that is kept before a standing queue: one service time, so that a
-    /// slot that becomes free always finds a request.
-    pub(super) fn target(&self, line: usize) -> Duration {
-        TARGET.max(self.leader(line).pace.mean())
+    /// Wait to which a standing queue is cut: one service time, so that a freed slot always finds a
+    /// waiting request.
+    pub(super) fn target_wait(&self, queue: usize) -> Duration {
+        TARGET_WAIT_MIN.max(self.oldest_duration_class(queue).service_time.mean())
     }
 
-    /// Requests that wait in a class and are kept although its queue stands: one
-    /// for each slot. By time alone, one long request before a single slot would
-    /// have everyone refused, and the slot would then wait for the next arrival.
-    pub(super) fn kept(&self, line: usize) -> usize {
-        let oldest = self.lines[line].oldest().and_then(|oldest| self.waiting.get(&oldest.1));
-        self.room(oldest.is_some_and(|waiter| waiter.arrival.long))
+    /// Number of waiting requests of a class that are kept even if its queue is standing: one per
+    /// slot. Cutting by time alone, one long request in front of a single slot would get everyone
+    /// refused, and the slot would then idle until the next arrival.
+    pub(super) fn min_kept(&self, queue: usize) -> usize {
+        let oldest = self.queues[queue].oldest().and_then(|oldest| self.waiting.get(&oldest.1));
+        self.slots_for(oldest.is_some_and(|waiter| waiter.arrival.long))
     }
 
-    /// Request that has waited longest, where it is one too many.
-    pub(super) fn excess(&self, line: usize) -> Option<(Moment, u64)> {
-        let this = &self.lines[line];
-        let excess = this.standing.stands() && this.len() > self.kept(line);
-        excess.then(|| this.oldest()).flatten()
+    /// Oldest waiting request, if the queue is standing and holds more than it may keep.
+    pub(super) fn oldest_excess(&self, queue: usize) -> Option<(Moment, u64)> {
+        let class_queue = &self.queues[queue];
+        let excess =
+            class_queue.detector.is_overloaded() && class_queue.len() > self.min_kept(queue);
+        excess.then(|| class_queue.oldest()).flatten()
     }
 
-    /// Time that the requests of a class can be expected to take.
-    pub(super) fn service(&self, now: Moment, line: usize) -> Duration {
-        self.leader(line).service(now)
+    /// Expected service time of the requests of a class.
+    pub(super) fn expected_service_time(&self, now: Moment, queue: usize) -> Duration {
+        self.oldest_duration_class(queue).expected_service_time(now)
     }
 
-    /// Kind of the request that has waited longest. A class of uploads is so
-    /// judged by the time of uploads; by that of lookups, its queue would seem
-    /// to stand after each burst.
-    fn leader(&self, line: usize) -> &Kind {
-        let oldest = self.lines[line].oldest().and_then(|oldest| self.waiting.get(&oldest.1));
-        self.kind(oldest.is_some_and(|waiter| waiter.arrival.long))
+    /// Duration class of the request that has waited longest. A class of uploads is thus measured
+    /// by the service time of uploads; by that of lookups, its queue would look like a standing one
+    /// after each burst.
+    fn oldest_duration_class(&self, queue: usize) -> &DurationClass {
+        let oldest = self.queues[queue].oldest().and_then(|oldest| self.waiting.get(&oldest.1));
+        self.duration_class(oldest.is_some_and(|waiter| waiter.arrival.long))
     }
 
-    pub(super) fn kind(&self, long: bool) -> &Kind {
+    pub(super) fn duration_class(&self, long: bool) -> &DurationClass {
         if long { &self.long } else { &self.short }
     }
 }
--- a/src/admission/fifo.rs
+++ b/src/admission/fifo.rs
@@ -6,8 +6,8 @@
 use super::Queue;
 use crate::clock::Moment;
 
-/// The simple thing that the gate is measured against: one queue in the order
-/// of arrival before a fixed number of slots, and whoever waits too long goes.
+/// Baseline for comparison with the gate: one first-in, first-out queue in front of a fixed number
+/// of slots. A request leaves it only to run or when its caller gives up.
 #[derive(Debug)]
 pub struct Fifo {
     running: BTreeSet<u64>,
@@ -16,7 +16,7 @@
 }
 
 impl Fifo {
-    /// Makes an empty queue before `slots`.
+    /// Creates an empty queue in front of `slots`.
     pub fn new(slots: usize) -> Self {
         Self { running: BTreeSet::new(), slots, waiting: VecDeque::new() }
     }
--- a/src/admission/gate.rs
+++ b/src/admission/gate.rs
@@ -12,252 +12,255 @@
 use super::Output;
 use super::Queue;
 use super::Reason;
-use super::keys::Keys;
-use super::kind::Kind;
-use super::line::Line;
+use super::class_queue::ClassQueue;
+use super::duration_class::DurationClass;
+use super::key_counts::KeyCounts;
 use super::waiter::Running;
 use super::waiter::Waiter;
 use crate::clock::Moment;
 use crate::rule::Class;
 
-/// Shortest time after which a refused caller is asked back: long against a
-/// burst, short for a person who waits.
-const BACK: Duration = Duration::from_secs(1);
-/// Longest such time.
-const BACK_MOST: Duration = Duration::from_secs(30);
+/// Shortest retry delay for a refused caller, before jitter: long compared to a burst, short for a
+/// person who waits.
+const RETRY_AFTER_MIN: Duration = Duration::from_secs(1);
+/// Longest retry delay for a refused caller, before jitter.
+const RETRY_AFTER_MAX: Duration = Duration::from_secs(30);
 
-/// By how much a request that was cut counts as longer than it ran. It would
-/// have taken longer, nobody knows how much; taken as it is, requests that
-/// waited and were then cut would make a slow upstream look fast enough for
-/// the next ones. Doubling passes any deadline within a few rounds.
-const CUT: u32 = 2;
+/// Factor on the running time of a request that was cut off at its deadline. Its full service time
+/// is unknown but longer than the time it ran. Recorded unchanged, the short times of requests that
+/// waited first would make a slow upstream look fast enough for the next ones. Doubling exceeds any
+/// deadline within a few rounds.
+const LATE_FACTOR: u32 = 2;
 
-/// Decides for one service in one entry.
+/// Admission control for one service in one entry.
 #[derive(Clone, Debug)]
 pub struct Gate {
-    ends: BTreeSet<(Moment, u64)>,
-    pub(super) keys: Keys,
+    wait_ends: BTreeSet<(Moment, u64)>,
+    pub(super) key_counts: KeyCounts,
     pub(super) limit: Limit,
-    pub(super) lines: Vec<Line>,
-    pub(super) long: Kind,
-    /// Pass of the class that was served last.
+    pub(super) queues: Vec<ClassQueue>,
+    pub(super) long: DurationClass,
+    /// Highest pass of the classes served so far.
     pass: u64,
     rng: ChaCha8Rng,
     pub(super) running: BTreeMap<u64, Running>,
-    pub(super) short: Kind,
+    pub(super) short: DurationClass,
     pub(super) waiting: BTreeMap<u64, Waiter>,
 }
 
 impl Gate {
-    /// Makes a gate for `classes`, in the order of their priority; there must
-    /// be one at least, as checked rules have. `rng` jitters when to come back.
+    /// Creates a gate for `classes`, in order of priority. There must be at least one, which
+    /// validated rules guarantee. `rng` jitters the retry delays.
     pub fn new(classes: &[Class], rng: ChaCha8Rng, now: Moment) -> Self {
         Self {
-            ends: BTreeSet::new(),
-            keys: Keys::default(),
+            wait_ends: BTreeSet::new(),
+            key_counts: KeyCounts::default(),
             limit: Limit::default(),
-            lines: classes.iter().map(|class| Line::new(class.clone(), now)).collect(),
-            long: Kind::default(),
+            queues: classes.iter().map(|class| ClassQueue::new(class.clone(), now)).collect(),
+            long: DurationClass::default(),
             pass: 0,
             rng,
             running: BTreeMap::new(),
-            short: Kind::default(),
+            short: DurationClass::default(),
             waiting: BTreeMap::new(),
         }
     }
 
-    /// Takes one input and gives what follows from it.
+    /// Handles one input and returns the resulting outputs.
     pub fn handle(&mut self, now: Moment, input: Input) -> Vec<Output> {
         let mut outputs = Vec::new();
         match input {
             Input::Arrive(arrival) => self.arrive(now, arrival, &mut outputs),
-            Input::Cancel { ticket } => drop(self.leave(ticket)),
-            Input::Capacity { slots } => self.limit.give(slots),
+            Input::Cancel { ticket } => drop(self.dequeue(ticket)),
+            Input::Capacity { slots } => self.limit.set_slots(slots),
             Input::Finish { outcome, ticket } => self.finish(now, outcome, ticket),
             Input::Tick => {}
         }
         self.expire(now, &mut outputs);
         self.start(now, &mut outputs);
-        self.judge(now);
+        self.update_detectors(now);
         self.expire(now, &mut outputs);
         outputs
     }
 
     /// When [`Input::Tick`] is due next; `None` when nothing waits.
     pub fn wake(&self) -> Option<Moment> {
-        let ends = self.ends.first().map(|end| end.0);
-        let excess = |line| Some(self.excess(line)?.0 + self.target(line));
-        let oldest = (0..self.lines.len()).filter_map(excess).min();
-        ends.into_iter().chain(oldest).min()
+        let wait_end = self.wait_ends.first().map(|end| end.0);
+        let excess_end = |queue| Some(self.oldest_excess(queue)?.0 + self.target_wait(queue));
+        let first_excess_end = (0..self.queues.len()).filter_map(excess_end).min();
+        wait_end.into_iter().chain(first_excess_end).min()
     }
 
-    /// Requests that run.
+    /// Number of running requests.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Requests that may run at once.
+    /// Number of requests that may run at once.
     pub fn slots(&self) -> usize {
         self.limit.slots()
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
     fn arrive(&mut self, now: Moment, arrival: Arrival, outputs: &mut Vec<Output>) {
-        let class = |line: &Line| line.class.name == arrival.class;
-        let last = self.lines.len().saturating_sub(1);
-        let line = self.lines.iter().position(class).unwrap_or(last);
-        self.lines[line].standing.arrive();
-        let most = now + self.lines[line].class.wait;
-        let until = most.min(self.latest(&arrival));
-        let reason = self.objection(now, &arrival, line, until);
+        let class = |queue: &ClassQueue| queue.class.name == arrival.class;
+        let last = self.queues.len().saturating_sub(1);
+        let queue = self.queues.iter().position(class).unwrap_or(last);
+        self.queues[queue].detector.record_arrival();
+        let class_end = now + self.queues[queue].class.wait;
+        let until = class_end.min(self.latest_start(&arrival));
+        let reason = self.refusal_reason(now, &arrival, queue, until);
         if let Some(reason) = reason {
-            outputs.push(self.refuse(arrival.ticket, line, reason));
+            outputs.push(self.refuse(arrival.ticket, queue, reason));
             return;
         }
-        self.enter(Waiter { arrival, arrived: now, line, until });
+        self.enqueue(Waiter { arrival, arrived: now, queue, until });
     }
 
-    fn enter(&mut self, waiter: Waiter) {
-        let line = &mut self.lines[waiter.line];
-        if line.len() == 0 {
-            // A class that was idle saves up no turns: it would shut out the
-            // others for as long as it was away.
-            line.pass = line.pass.max(self.pass);
+    fn enqueue(&mut self, waiter: Waiter) {
+        let queue = &mut self.queues[waiter.queue];
+        if queue.len() == 0 {
+            // A class doesn't accumulate turns while it is idle; it would block the others for as
+            // long as it was idle.
+            queue.pass = queue.pass.max(self.pass);
         }
         let ticket = waiter.arrival.ticket;
-        line.push(waiter.arrived, ticket, &waiter.arrival.caller);
-        self.ends.insert((waiter.until, ticket));
-        self.keys.enter(waiter.arrival.key.as_ref());
-        self.kind_mut(waiter.arrival.long).waiting += 1;
+        queue.push(waiter.arrived, ticket, &waiter.arrival.caller);
+        self.wait_ends.insert((waiter.until, ticket));
+        self.key_counts.add_waiting(waiter.arrival.key.as_ref());
+        self.duration_class_mut(waiter.arrival.long).waiting += 1;
         self.waiting.insert(ticket, waiter);
     }
 
-    fn leave(&mut self, ticket: u64) -> Option<Waiter> {
+    fn dequeue(&mut self, ticket: u64) -> Option<Waiter> {
         let waiter = self.waiting.remove(&ticket)?;
-        self.ends.remove(&(waiter.until, ticket));
-        self.keys.leave(waiter.arrival.key.as_ref());
-        self.lines[waiter.line].remove(waiter.arrived, ticket, &waiter.arrival.caller);
-        self.kind_mut(waiter.arrival.long).waiting -= 1;
+        self.wait_ends.remove(&(waiter.until, ticket));
+        self.key_counts.remove_waiting(waiter.arrival.key.as_ref());
+        self.queues[waiter.queue].remove(waiter.arrived, ticket, &waiter.arrival.caller);
+        self.duration_class_mut(waiter.arrival.long).waiting -= 1;
         Some(waiter)
     }
 
     fn finish(&mut self, now: Moment, outcome: Outcome, ticket: u64) {
-        let Some(Running { arrival, line, since }) = self.running.remove(&ticket) else { return };
-        let time = now.saturating_sub(since);
+        let Some(Running { arrival, queue, started }) = self.running.remove(&ticket) else {
+            return;
+        };
+        let time = now.saturating_sub(started);
         let running = self.running.len() + 1;
-        self.lines[line].finish(&arrival.caller);
-        self.keys.finish(arrival.key.as_ref());
-        let kind = self.kind_mut(arrival.long);
-        kind.running.remove(&(since, ticket));
-        let tells = match outcome {
+        self.queues[queue].record_finish(&arrival.caller);
+        self.key_counts.remove_running(arrival.key.as_ref());
+        let duration_class = self.duration_class_mut(arrival.long);
+        duration_class.running.remove(&(started, ticket));
+        let sample = match outcome {
             Outcome::Served => Some(time),
-            // An early failure tells nothing about how long the work takes, and
-            // would make a broken upstream look fast.
-            Outcome::Failed => (time >= kind.pace.mean()).then_some(time),
-            Outcome::Late => Some(time * CUT),
+            // An early failure says nothing about the service time and would make a broken upstream
+            // look fast.
+            Outcome::Failed => (time >= duration_class.service_time.mean()).then_some(time),
+            Outcome::Late => Some(time * LATE_FACTOR),
             Outcome::Shed => None,
         };
-        if let Some(time) = tells {
-            kind.pace.note(time);
+        if let Some(time) = sample {
+            duration_class.service_time.record(time);
         }
         match outcome {
-            Outcome::Shed => self.limit.shed(),
-            _ if tells.is_some() && !arrival.long => self.limit.note(time, running),
+            Outcome::Shed => self.limit.record_shed(),
+            _ if sample.is_some() && !arrival.long => self.limit.record(time, running),
             _ => {}
         }
     }
 
-    fn judge(&mut self, now: Moment) {
-        for line in 0..self.lines.len() {
-            let service = self.service(now, line);
-            let slots = self.kept(line);
-            let line = &mut self.lines[line];
-            let waiting = line.len();
-            line.standing.judge(now, waiting, service, slots);
+    fn update_detectors(&mut self, now: Moment) {
+        for queue in 0..self.queues.len() {
+            let service_time = self.expected_service_time(now, queue);
+            let slots = self.min_kept(queue);
+            let queue = &mut self.queues[queue];
+            let waiting = queue.len();
+            queue.detector.update(now, waiting, service_time, slots);
         }
     }
 
-    /// Refuses what has waited too long, each at its moment.
+    /// Refuses requests that have waited too long.
     fn expire(&mut self, now: Moment, outputs: &mut Vec<Output>) {
-        while let Some((_, ticket)) = self.ends.first().copied().filter(|end| end.0 <= now) {
-            // A trial waits for nothing, so it is started below and not refused.
-            if self.is_alone(ticket) && self.has_room(&self.waiting[&ticket].arrival) {
+        while let Some((_, ticket)) = self.wait_ends.first().copied().filter(|end| end.0 <= now) {
+            // A probe that has a slot is started by `start` instead of being refused.
+            if self.is_only_request(ticket) && self.has_slot(&self.waiting[&ticket].arrival) {
                 break;
             }
-            self.give_up(now, ticket, outputs);
+            self.refuse_expired(now, ticket, outputs);
         }
-        for line in 0..self.lines.len() {
-            while let Some((arrived, ticket)) = self.excess(line) {
-                if arrived + self.target(line) > now {
+        for queue in 0..self.queues.len() {
+            while let Some((arrived, ticket)) = self.oldest_excess(queue) {
+                if arrived + self.target_wait(queue) > now {
                     break;
                 }
-                if let Some(waiter) = self.leave(ticket) {
-                    outputs.push(self.refuse(ticket, waiter.line, Reason::Overload));
+                if let Some(waiter) = self.dequeue(ticket) {
+                    outputs.push(self.refuse(ticket, waiter.queue, Reason::Overload));
                 }
             }
         }
     }
 
-    fn give_up(&mut self, now: Moment, ticket: u64, outputs: &mut Vec<Output>) {
-        let Some(waiter) = self.leave(ticket) else { return };
-        let waited = now >= waiter.arrived + self.lines[waiter.line].class.wait;
+    fn refuse_expired(&mut self, now: Moment, ticket: u64, outputs: &mut Vec<Output>) {
+        let Some(waiter) = self.dequeue(ticket) else { return };
+        let waited = now >= waiter.arrived + self.queues[waiter.queue].class.wait;
         let reason = if waited { Reason::Waited } else { Reason::Late };
-        outputs.push(self.refuse(ticket, waiter.line, reason));
+        outputs.push(self.refuse(ticket, waiter.queue, reason));
     }
 
-    /// Starts what the slots allow, by class and caller.
+    /// Starts requests while slots are free, by class and caller.
     fn start(&mut self, now: Moment, outputs: &mut Vec<Output>) {
         while self.running.len() < self.limit.slots() {
-            let Some(ticket) = self.next() else { return };
+            let Some(ticket) = self.next_ticket() else { return };
             let arrival = &self.waiting[&ticket].arrival;
-            let late = self.latest(arrival) < now;
-            if arrival.deadline <= now || late && !self.is_alone(ticket) {
-                // The pace has changed since it came.
-                self.give_up(now, ticket, outputs);
+            let late = self.latest_start(arrival) < now;
+            if arrival.deadline <= now || late && !self.is_only_request(ticket) {
+                // The service time estimate has changed since the request arrived.
+                self.refuse_expired(now, ticket, outputs);
                 continue;
             }
-            let Some(waiter) = self.leave(ticket) else { return };
-            self.run(now, waiter);
+            let Some(waiter) = self.dequeue(ticket) else { return };
+            self.dispatch(now, waiter);
             outputs.push(Output::Run { ticket });
         }
     }
 
-    fn next(&self) -> Option<u64> {
-        let mut order: Vec<usize> = (0..self.lines.len()).collect();
-        order.sort_by_key(|line| self.lines[*line].pass);
-        let fits = |ticket: u64| self.has_room(&self.waiting[&ticket].arrival);
-        order.into_iter().find_map(|line| self.lines[line].pick(fits))
+    fn next_ticket(&self) -> Option<u64> {
+        let mut order: Vec<usize> = (0..self.queues.len()).collect();
+        order.sort_by_key(|queue| self.queues[*queue].pass);
+        let fits = |ticket: u64| self.has_slot(&self.waiting[&ticket].arrival);
+        order.into_iter().find_map(|queue| self.queues[queue].pick(fits))
     }
 
-    fn run(&mut self, now: Moment, waiter: Waiter) {
-        let Waiter { arrival, line, .. } = waiter;
-        let kind = self.kind_mut(arrival.long);
-        kind.running.insert((now, arrival.ticket));
-        let cost = kind.pace.mean();
-        self.pass = self.pass.max(self.lines[line].pass);
-        self.lines[line].charge(cost);
-        self.lines[line].start(&arrival.caller);
-        self.lines[line].standing.start();
-        self.keys.start(arrival.key.as_ref());
-        self.running.insert(arrival.ticket, Running { arrival, line, since: now });
+    fn dispatch(&mut self, now: Moment, waiter: Waiter) {
+        let Waiter { arrival, queue, .. } = waiter;
+        let duration_class = self.duration_class_mut(arrival.long);
+        duration_class.running.insert((now, arrival.ticket));
+        let cost = duration_class.service_time.mean();
+        self.pass = self.pass.max(self.queues[queue].pass);
+        self.queues[queue].charge(cost);
+        self.queues[queue].record_start(&arrival.caller);
+        self.queues[queue].detector.record_start();
+        self.key_counts.add_running(arrival.key.as_ref());
+        self.running.insert(arrival.ticket, Running { arrival, queue, started: now });
     }
 
-    fn refuse(&mut self, ticket: u64, line: usize, reason: Reason) -> Output {
-        let line = &mut self.lines[line].standing;
+    fn refuse(&mut self, ticket: u64, queue: usize, reason: Reason) -> Output {
+        let detector = &mut self.queues[queue].detector;
         if reason != Reason::Late {
-            line.refuse();
+            detector.record_refusal();
         }
-        let back = BACK.mul_f64(line.pressure().clamp(1.0, 16.0)).min(BACK_MOST);
-        // Callers that were refused together would otherwise return together.
-        let retry_after = back.mul_f64(self.rng.random_range(0.5..1.5));
+        let retry_after =
+            RETRY_AFTER_MIN.mul_f64(detector.load_ratio().clamp(1.0, 16.0)).min(RETRY_AFTER_MAX);
+        // Without jitter, callers that were refused together would return together.
+        let retry_after = retry_after.mul_f64(self.rng.random_range(0.5..1.5));
         Output::Refuse { reason, retry_after, ticket }
     }
 
-    fn kind_mut(&mut self, long: bool) -> &mut Kind {
+    fn duration_class_mut(&mut self, long: bool) -> &mut DurationClass {
         if long { &mut self.long } else { &mut self.short }
     }
 }
--- a/src/admission/input.rs
+++ b/src/admission/input.rs
@@ -7,47 +7,47 @@
 use crate::id::ClassId;
 use crate::id::Key;
 
-/// A request that wants to be run.
+/// A request that asks for admission.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Arrival {
-    /// Who sent it.
+    /// Caller that sent the request.
     pub caller: CallerId,
-    /// Its class; an unknown one counts as the last.
+    /// Class of the request. An unknown one is treated as the last class.
     pub class: ClassId,
-    /// When its answer must have ended.
+    /// When the response must be complete.
     pub deadline: Moment,
-    /// What it is about, where many requests may be about the same: the
-    /// idempotency key, or the path of a lookup.
+    /// What the request is about, if many requests may be about the same: the idempotency key, or
+    /// the path of a lookup.
     pub key: Option<Key>,
-    /// Whether it holds a slot for long, such as an upload.
+    /// Whether the request holds a slot for long, such as an upload.
     pub long: bool,
-    /// Names the request in outputs; unique among those not yet finished.
+    /// Identifies the request in outputs; unique among unfinished requests.
     pub ticket: u64,
 }
 
-/// What a gate is told.
+/// Input of a gate.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Input {
-    /// A request came.
+    /// A request arrived.
     Arrive(Arrival),
-    /// The caller is gone. A waiting request is dropped without an answer; a
-    /// running one keeps its slot until `Finish` says that the upstream let go.
+    /// The caller has left. A waiting request is dropped without a response; a running one keeps
+    /// its slot until `Finish` reports that the upstream has released it.
     Cancel {
-        /// The request.
+        /// Ticket of the request.
         ticket: u64,
     },
-    /// Slots that this entry may fill; `None` lets the gate learn them.
+    /// Number of slots that this entry may use; `None` lets the gate learn it.
     Capacity {
-        /// Requests at once.
+        /// Number of requests that may run at once.
         slots: Option<usize>,
     },
-    /// A request that ran has ended, in whatever way.
+    /// A running request has ended, successfully or not.
     Finish {
         /// How it ended.
         outcome: Outcome,
-        /// The request.
+        /// Ticket of the request.
         ticket: u64,
     },
-    /// Time has passed; due at [`Gate::wake`](super::Gate::wake).
+    /// Time has passed. Due at [`Gate::wake`](super::Gate::wake).
     Tick,
 }
--- a/src/admission/limit.rs
+++ b/src/admission/limit.rs
@@ -1,147 +1,148 @@
 use std::time::Duration;
 
-/// Where learning starts: the slots of one upstream in the sizes of today.
-const FIRST: f64 = 4.0;
-/// Least and most that is learned.
-const LEAST: f64 = 1.0;
-const MOST: f64 = 1024.0;
-/// Requests in a window at least: a median over fewer jumps with each of them.
-const WINDOW: usize = 32;
-/// Latency, against the base, above which requests must be queueing inside the
-/// upstream. Much below 1.5 the noise of a window's median is taken for a queue:
-/// where service times vary by half, that of 32 requests varies by about a tenth.
+/// Initial learned limit: the slots of one upstream in the current deployment.
+const INITIAL: f64 = 4.0;
+/// Bounds of the learned limit.
+const LEARNED_MIN: f64 = 1.0;
+const LEARNED_MAX: f64 = 1024.0;
+/// Minimum number of requests in a window. A median over fewer changes with each of them.
+const WINDOW_REQUESTS_MIN: usize = 32;
+/// Ratio of a window's median to the baseline above which requests must be queueing inside the
+/// upstream. Far below 1.5, noise would be taken for a queue: if service times vary by half, the
+/// median of 32 requests varies by about a tenth.
 const TOLERANCE: f64 = 1.5;
-/// Median, against the base, below which the upstream seems to have become
-/// faster, and windows in a row that must say so. By one window, or by the
-/// least median, noise would take the base down until an ordinary median
-/// seemed to show a queue, and the limit would starve.
-const FASTER: f64 = 0.6;
-const AGREE: usize = 3;
-/// Least that remains in one step down, so one bad window can't close the gate.
-const STEP: f64 = 0.7;
-/// Size of a window that measures the base, against the others: every later
-/// window is judged by it, so its noise weighs more.
-const CAREFUL: usize = 2;
-/// Windows between two measurements of the base.
-const WINDOWS: usize = 120;
-/// Share of the limit in the window that measures the base: low enough to be
-/// under the slots even where the limit is three times as high, and with it no
-/// more than 5% of the capacity is spent on measuring.
-const DIP: f64 = 0.25;
+/// Ratio of a window's median to the baseline below which the upstream seems to have become faster,
+/// and the number of consecutive windows that must agree. With a single window, or the lowest
+/// median, noise would lower the baseline until an ordinary median seemed to show a queue, and the
+/// limit would shrink to its minimum.
+const FASTER_RATIO: f64 = 0.6;
+const FASTER_WINDOWS: usize = 3;
+/// Smallest factor by which one window may reduce the limit, so that one bad window can't close the
+/// gate.
+const DECREASE_FACTOR_MIN: f64 = 0.7;
+/// Factor on the size of a window that measures the baseline. Every later window is compared to the
+/// baseline, so its noise weighs more.
+const BASELINE_WINDOW_FACTOR: usize = 2;
+/// Number of windows from one baseline measurement to the next.
+const BASELINE_INTERVAL_WINDOWS: usize = 120;
+/// Share of the limit in use while the baseline is measured. It is low enough to stay below the
+/// actual slots even if the limit is three times too high, and costs at most 5% of the capacity.
+const BASELINE_LIMIT_SHARE: f64 = 0.25;
 
-/// Requests that may run at once: given, or learned from latency.
+/// Number of requests that may run at once: configured, or learned from latency.
 ///
-/// With more requests than an upstream has slots, the rest wait inside it and
-/// latency grows with them, but not the throughput. So the limit grows while it
-/// is used up and latency stays near the base, twofold a window until it first
-/// was too high and then by one, and shrinks with the ratio when it does not. The base is measured anew in a window at
-/// a quarter of the limit, after what was started before has ended; a base that only
-/// ever sank would take an upstream that has become slower for one that is
-/// full, for good. A window counts by its median: a few requests about a locked
-/// record would drag a mean up and close the gate for everyone.
+/// With more requests than slots, the rest wait inside the upstream, and latency grows but
+/// throughput doesn't. So the limit grows while it is reached and latency stays near the baseline:
+/// it doubles per window until it first was too high, and then grows by one. It shrinks by the
+/// ratio of baseline to latency when latency is too high.
+///
+/// The baseline is measured again regularly, in a window at a quarter of the limit and after the
+/// requests started before have ended. A baseline that could only fall would take an upstream that
+/// became slower for a full one, permanently. A window is represented by its median: with a mean, a
+/// few requests about a locked record would close the gate for everyone.
 #[derive(Clone, Debug)]
 pub struct Limit {
-    base: Option<f64>,
-    faster: usize,
-    found: bool,
+    baseline: Option<f64>,
+    faster_windows: usize,
+    has_overshot: bool,
     given: Option<usize>,
     learned: f64,
-    /// Requests still to pass before a measurement counts.
-    settle: usize,
+    /// Number of requests to skip before the baseline is measured.
+    settling: usize,
     times: Vec<Duration>,
-    used: bool,
-    windows: usize,
+    was_reached: bool,
+    window_index: usize,
 }
 
 impl Default for Limit {
     fn default() -> Self {
         Self {
-            base: None,
-            faster: 0,
-            found: false,
+            baseline: None,
+            faster_windows: 0,
+            has_overshot: false,
             given: None,
-            learned: FIRST,
-            settle: 0,
+            learned: INITIAL,
+            settling: 0,
             times: Vec::new(),
-            used: false,
-            windows: 0,
+            was_reached: false,
+            window_index: 0,
         }
     }
 }
 
 impl Limit {
-    /// Sets the slots, or lets them be learned.
-    pub fn give(&mut self, slots: Option<usize>) {
+    /// Sets the number of slots; `None` learns it.
+    pub fn set_slots(&mut self, slots: Option<usize>) {
         self.given = slots;
     }
 
-    /// Whether the slots are learned, and may so exceed those there are by
-    /// the tolerance.
+    /// Whether the limit is learned. It may then exceed the actual slots by the tolerance.
     pub fn is_learned(&self) -> bool {
         self.given.is_none()
     }
 
-    /// Requests that may run at once.
+    /// Number of requests that may run at once.
     pub fn slots(&self) -> usize {
-        let dip = if self.measures() { DIP } else { 1.0 };
-        let learned = (self.learned * dip).max(LEAST) as usize;
+        let share = if self.is_measuring_baseline() { BASELINE_LIMIT_SHARE } else { 1.0 };
+        let learned = (self.learned * share).max(LEARNED_MIN) as usize;
         self.given.unwrap_or(learned)
     }
 
-    /// Notes a short request that took `time` while `running` ran.
-    pub fn note(&mut self, time: Duration, running: usize) {
-        if self.settle > 0 {
-            self.settle -= 1;
+    /// Records a short request that took `time` and ended while `running` requests ran.
+    pub fn record(&mut self, time: Duration, running: usize) {
+        if self.settling > 0 {
+            self.settling -= 1;
             return;
         }
         self.times.push(time);
-        self.used |= running >= self.slots();
-        let careful = if self.windows == 0 { CAREFUL } else { 1 };
-        if self.times.len() >= WINDOW.max(self.slots()).saturating_mul(careful) {
-            self.close();
+        self.was_reached |= running >= self.slots();
+        let factor = if self.window_index == 0 { BASELINE_WINDOW_FACTOR } else { 1 };
+        if self.times.len() >= WINDOW_REQUESTS_MIN.max(self.slots()).saturating_mul(factor) {
+            self.close_window();
         }
     }
 
-    /// Notes that an upstream refused a request because it was full.
-    pub fn shed(&mut self) {
-        // One step for each slot's worth of refusals, not for each refusal: a
-        // whole window may be refused at the same moment for the same reason.
-        let step = 1.0 - (1.0 - STEP) / self.learned.max(1.0);
-        self.learned = (self.learned * step).max(LEAST);
+    /// Records that an upstream refused a request because it was full.
+    pub fn record_shed(&mut self) {
+        // The full decrease is spread over one limit's worth of refusals, because a whole window
+        // may be refused at the same moment for the same reason.
+        let step = 1.0 - (1.0 - DECREASE_FACTOR_MIN) / self.learned.max(1.0);
+        self.learned = (self.learned * step).max(LEARNED_MIN);
     }
 
-    fn measures(&self) -> bool {
-        self.windows == 0 && self.base.is_some()
+    fn is_measuring_baseline(&self) -> bool {
+        self.window_index == 0 && self.baseline.is_some()
     }
 
-    fn close(&mut self) {
+    fn close_window(&mut self) {
         self.times.sort_unstable();
         let median = self.times[self.times.len() / 2].as_secs_f64();
-        if self.windows == 0 {
-            self.base = Some(median);
+        if self.window_index == 0 {
+            self.baseline = Some(median);
         } else {
             self.adapt(median);
         }
-        self.windows = (self.windows + 1) % WINDOWS;
-        self.settle = if self.windows == 0 { self.learned as usize } else { 0 };
+        self.window_index = (self.window_index + 1) % BASELINE_INTERVAL_WINDOWS;
+        self.settling = if self.window_index == 0 { self.learned as usize } else { 0 };
         self.times.clear();
-        self.used = false;
+        self.was_reached = false;
     }
 
     fn adapt(&mut self, median: f64) {
-        let base = self.base.unwrap_or(median);
-        self.faster = if median < base * FASTER { self.faster + 1 } else { 0 };
-        if self.faster >= AGREE {
-            self.base = Some(median);
-            self.faster = 0;
+        let baseline = self.baseline.unwrap_or(median);
+        self.faster_windows =
+            if median < baseline * FASTER_RATIO { self.faster_windows + 1 } else { 0 };
+        if self.faster_windows >= FASTER_WINDOWS {
+            self.baseline = Some(median);
+            self.faster_windows = 0;
         }
-        if median > base * TOLERANCE {
-            let ratio = base * TOLERANCE / median;
-            self.learned = (self.learned * ratio.max(STEP)).max(LEAST);
-            self.found = true;
-        } else if self.used {
-            let step = if self.found { 1.0 } else { self.learned };
-            self.learned = (self.learned + step).min(MOST);
+        if median > baseline * TOLERANCE {
+            let ratio = baseline * TOLERANCE / median;
+            self.learned = (self.learned * ratio.max(DECREASE_FACTOR_MIN)).max(LEARNED_MIN);
+            self.has_overshot = true;
+        } else if self.was_reached {
+            let step = if self.has_overshot { 1.0 } else { self.learned };
+            self.learned = (self.learned + step).min(LEARNED_MAX);
         }
     }
 }
--- a/src/admission/outcome.rs
+++ b/src/admission/outcome.rs
@@ -1,15 +1,15 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// How a request that ran has ended, as far as capacity is concerned.
+/// How a running request ended, as far as capacity is concerned.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Outcome {
-    /// It failed, or the caller left.
+    /// The request failed, or the caller left.
     Failed,
-    /// It was cut at its deadline.
+    /// The request was cut off at its deadline.
     Late,
-    /// The whole answer came.
+    /// The response was complete.
     Served,
-    /// The upstream refused it because it was full.
+    /// The upstream refused the request because it was full.
     Shed,
 }
--- a/src/admission/output.rs
+++ b/src/admission/output.rs
@@ -5,21 +5,21 @@
 
 use super::Reason;
 
-/// What a gate decides.
+/// Decision of a gate about one request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Output {
-    /// Answer it now, marked as not run.
+    /// Refuse the request now, marked as not run.
     Refuse {
-        /// Why.
+        /// Why it is refused.
         reason: Reason,
-        /// When the caller should come back; jittered.
+        /// When the caller should retry, jittered.
         retry_after: Duration,
-        /// The request.
+        /// Ticket of the request.
         ticket: u64,
     },
-    /// Send it to an upstream now.
+    /// Send the request to an upstream now.
     Run {
-        /// The request.
+        /// Ticket of the request.
         ticket: u64,
     },
 }
--- a/src/admission/pattern.rs
+++ b/src/admission/pattern.rs
@@ -9,43 +9,42 @@
 use crate::clock::Moment;
 use crate::rule::Class;
 
-/// Slots of the service: two upstreams of the old register, as one entry's share.
+/// Slots of the simulated service: one entry's share of two register upstreams.
 const SLOTS: usize = 8;
-/// Mean time of a lookup in a slot.
-const SERVICE: Duration = Duration::from_millis(25);
+/// Mean service time of a lookup.
+const SERVICE_TIME: Duration = Duration::from_millis(25);
 /// How long a caller waits for a lookup.
-const PATIENCE: Duration = Duration::from_millis(500);
-/// Lookups a second that the slots can serve.
-const CAPACITY: f64 = 320.0;
-/// Callers of the even load.
+const TIMEOUT: Duration = Duration::from_millis(500);
+/// Lookups per second that the slots can serve.
+const CAPACITY_PER_SECOND: f64 = 320.0;
+/// Number of callers that share the regular load.
 const CALLERS: u32 = 40;
 
-/// Requests of a burst: ten times what the slots serve within the timeout
-/// is 1,600; 600 is what 40 callers send at once who each ask for 15 hulls.
-const BURST: usize = 600;
+/// Size of a burst: 40 callers that each send 15 requests at once. Ten times what the slots serve
+/// within the timeout would be 1,600.
+const BURST_REQUESTS: usize = 600;
 
-/// The load patterns that the gate is made for, each as a [`Simulation`] over eight
-/// slots of 25 ms (320 requests a second).
+/// Load patterns that the gate is designed for. Each can be run as a [`Simulation`] over eight
+/// slots of 25 ms (320 requests per second).
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Pattern {
-    /// 600 requests at one moment, on a light load.
+    /// 600 requests at once, on top of a light load.
     Burst,
-    /// One caller sends twice the capacity, 40 others an eighth of it.
+    /// One caller sends twice the capacity, 40 others together an eighth of it.
     HotCaller,
-    /// Requests about one record take 400 ms, and come at 60 a second from 40
-    /// callers, beside a light load on other records.
+    /// Requests about one record take 400 ms and arrive from 40 callers at 60 per second, next to a
+    /// light load on other records.
     HotKey,
-    /// Uploads of 2 s come at 6 a second, beside a light load of lookups.
+    /// Uploads of 2 s arrive at 6 per second, next to a light load of lookups.
     LongJobs,
-    /// Three times the capacity from second 2 to second 12, else half of it.
+    /// Three times the capacity from second 2 to second 12, half of it otherwise.
     Overload,
-    /// Half the capacity; from second 2 to second 6 everything takes 40 times
-    /// as long.
+    /// Half the capacity; from second 2 to second 6 everything takes 40 times as long.
     SlowUpstream,
 }
 
 impl Pattern {
-    /// Every pattern.
+    /// All patterns.
     pub const ALL: [Self; 6] = [
         Self::Burst,
         Self::HotCaller,
@@ -62,16 +61,16 @@
         vec![class("lookup", 3, second), class("upload", 1, second * 5)]
     }
 
-    /// Ten seconds of an even load, as a share of what `slots` can serve.
+    /// Ten seconds of a constant mean load, given as a share of what `slots` can serve.
     pub fn steady(slots: usize, load: f64, seed: u64) -> Simulation {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut simulation = Simulation { slots, ..Simulation::default() };
-        let rate = slots as f64 / SERVICE.as_secs_f64() * load;
+        let rate = slots as f64 / SERVICE_TIME.as_secs_f64() * load;
         simulation.add_arrivals(&mut rng, rate, Duration::ZERO, Duration::from_secs(10), &lookup);
         simulation
     }
 
-    /// The pattern with its random parts from `seed`.
+    /// Builds the simulation of the pattern, randomized by `seed`.
     pub fn simulation(self, seed: u64) -> Simulation {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut simulation = Simulation { slots: SLOTS, ..Simulation::default() };
@@ -80,31 +79,31 @@
             simulation.add_arrivals(&mut rng, rate, seconds(from), seconds(until), make);
         };
         match self {
-            Self::Burst => add(CAPACITY / 8.0, 0, 4, &lookup),
+            Self::Burst => add(CAPACITY_PER_SECOND / 8.0, 0, 4, &lookup),
             Self::HotCaller => {
-                add(CAPACITY / 8.0, 0, 6, &lookup);
-                add(CAPACITY * 2.0, 1, 6, &hot_caller);
+                add(CAPACITY_PER_SECOND / 8.0, 0, 6, &lookup);
+                add(CAPACITY_PER_SECOND * 2.0, 1, 6, &hot_caller);
             }
             Self::HotKey => {
-                add(CAPACITY / 8.0, 0, 6, &lookup);
+                add(CAPACITY_PER_SECOND / 8.0, 0, 6, &lookup);
                 add(60.0, 1, 6, &hot_key);
             }
             Self::LongJobs => {
-                add(CAPACITY / 4.0, 0, 20, &lookup);
+                add(CAPACITY_PER_SECOND / 4.0, 0, 20, &lookup);
                 add(6.0, 1, 20, &upload);
             }
             Self::Overload => {
-                add(CAPACITY / 2.0, 0, 15, &lookup);
-                add(CAPACITY * 2.5, 2, 12, &lookup);
+                add(CAPACITY_PER_SECOND / 2.0, 0, 15, &lookup);
+                add(CAPACITY_PER_SECOND * 2.5, 2, 12, &lookup);
             }
-            Self::SlowUpstream => add(CAPACITY / 2.0, 0, 9, &lookup),
+            Self::SlowUpstream => add(CAPACITY_PER_SECOND / 2.0, 0, 9, &lookup),
         }
         if self == Self::Burst {
-            let burst = (0..BURST).map(|_| lookup(&mut rng, seconds(2)));
+            let burst = (0..BURST_REQUESTS).map(|_| lookup(&mut rng, seconds(2)));
             simulation.jobs.extend(burst);
         }
         if self == Self::SlowUpstream {
-            simulation.slow = Some((seconds(2), seconds(6), 40));
+            simulation.slowdown = Some((seconds(2), seconds(6), 40));
         }
         simulation
     }
@@ -117,8 +116,8 @@
         class: "lookup".into(),
         key: None,
         long: false,
-        timeout: PATIENCE,
-        service_time: SERVICE.mul_f64(rng.random_range(0.5..1.5)),
+        timeout: TIMEOUT,
+        service_time: SERVICE_TIME.mul_f64(rng.random_range(0.5..1.5)),
     }
 }
 
@@ -128,7 +127,7 @@
 
 fn hot_key(rng: &mut ChaCha8Rng, at: Moment) -> Job {
     let key = Some("hull-4711".into());
-    Job { key, service_time: SERVICE * 16, ..lookup(rng, at) }
+    Job { key, service_time: SERVICE_TIME * 16, ..lookup(rng, at) }
 }
 
 fn upload(rng: &mut ChaCha8Rng, at: Moment) -> Job {
--- a/src/admission/queue.rs
+++ b/src/admission/queue.rs
@@ -2,10 +2,10 @@
 use super::Output;
 use crate::clock::Moment;
 
-/// Whatever stands between callers and slots: the [`Gate`](super::Gate), or
-/// the plain queue that it is measured against.
+/// Queue between callers and slots: the [`Gate`](super::Gate), or the plain queue it is compared
+/// to.
 pub trait Queue {
-    /// Takes one input and gives what follows from it.
+    /// Handles one input and returns the resulting outputs.
     fn handle(&mut self, now: Moment, input: Input) -> Vec<Output>;
 
     /// When [`Input::Tick`] is due next; `None` when nothing waits.
--- a/src/admission/reason.rs
+++ b/src/admission/reason.rs
@@ -3,16 +3,16 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Why a request was refused; in every case it was not run.
+/// Why a request was refused. A refused request never ran.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum Reason {
-    /// It would have waited longer than it may.
+    /// It would have to wait longer than allowed, or the queue or its key has no room.
     Full,
-    /// It could not have ended before its deadline.
+    /// It could not finish by its deadline.
     Late,
-    /// A queue stands, and its place was beyond what is kept.
+    /// The queue is standing and the request exceeds what is kept of it.
     Overload,
-    /// It waited as long as it may.
+    /// It waited as long as its class allows.
     Waited,
 }
 
--- a/src/admission/simulation.rs
+++ b/src/admission/simulation.rs
@@ -19,31 +19,31 @@
 /// One request of a simulation.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// When it comes.
+    /// When it arrives.
     pub at: Moment,
-    /// Who sends it.
+    /// Caller that sends it.
     pub caller: CallerId,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassId,
-    /// What it is about.
+    /// What the request is about.
     pub key: Option<Key>,
     /// Whether it is marked as long.
     pub long: bool,
-    /// How long the caller waits for the end of the answer.
+    /// How long the caller waits for the complete response.
     pub timeout: Duration,
-    /// How long it takes in a slot of a sound upstream.
+    /// How long it holds a slot of a healthy upstream.
     pub service_time: Duration,
 }
 
 /// What a caller received.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Disposition {
-    /// The whole answer in time.
+    /// The complete response in time.
     Answered {
         /// Time since the request.
         after: Duration,
     },
-    /// Nothing until the deadline.
+    /// Nothing by the deadline.
     Late {
         /// Whether it ran, so that its outcome is unknown.
         ran: bool,
@@ -52,21 +52,21 @@
     Refused {
         /// Time since the request.
         after: Duration,
-        /// Why.
+        /// Why it was refused.
         reason: Reason,
-        /// When to come back.
+        /// When the caller should retry.
         retry_after: Duration,
     },
 }
 
-/// Puts a [`Queue`] between callers and one service of a number of slots, in
-/// virtual time. More requests than slots wait inside the service, in order.
+/// Runs requests through a [`Queue`] to one service in virtual time. Requests beyond the slots of
+/// the service wait inside it, in order.
 #[derive(Clone, Debug, Default)]
 pub struct Simulation {
-    /// Requests in any order.
+    /// Requests, in any order.
     pub jobs: Vec<Job>,
-    /// From, until and by how much the service is slower.
-    pub slow: Option<(Moment, Moment, u32)>,
+    /// Start, end and factor of a period in which the service is slower.
+    pub slowdown: Option<(Moment, Moment, u32)>,
     /// Slots of the service.
     pub slots: usize,
 }
@@ -78,22 +78,22 @@
     End,
 }
 
-struct Run<'a> {
+struct Runner<'a> {
     busy: usize,
     events: BTreeMap<(Moment, u64), (Event, usize)>,
     dispositions: Vec<Option<Disposition>>,
-    inside: VecDeque<usize>,
+    upstream_queue: VecDeque<usize>,
     queue: &'a mut dyn Queue,
-    /// Which requests are in the service, and which of them hold a slot.
+    /// Whether each request was sent to the service, and whether it holds a slot there.
     ran: Vec<bool>,
-    holds: Vec<bool>,
+    holds_slot: Vec<bool>,
     sequence: u64,
     simulation: &'a Simulation,
 }
 
 impl Simulation {
-    /// Adds requests between `from` and `until` that come independently, on
-    /// average `rate` a second.
+    /// Adds requests between `from` and `until` as a Poisson process with `rate` arrivals per
+    /// second.
     pub fn add_arrivals(
         &mut self,
         rng: &mut ChaCha8Rng,
@@ -114,138 +114,139 @@
         }
     }
 
-    /// Runs all requests through `queue`; dispositions are in the order of `jobs`.
+    /// Runs all requests through `queue`. Returns their dispositions in the order of `jobs`.
     pub fn run(&self, queue: &mut dyn Queue) -> Vec<Disposition> {
         let count = self.jobs.len();
-        let mut run = Run {
+        let mut runner = Runner {
             busy: 0,
             events: BTreeMap::new(),
             dispositions: vec![None; count],
-            holds: vec![false; count],
-            inside: VecDeque::new(),
+            holds_slot: vec![false; count],
+            upstream_queue: VecDeque::new(),
             queue,
             ran: vec![false; count],
             sequence: 0,
             simulation: self,
         };
-        for (place, job) in self.jobs.iter().enumerate() {
-            run.plan(job.at, Event::Arrive, place);
-            run.plan(job.at + job.timeout, Event::Deadline, place);
+        for (index, job) in self.jobs.iter().enumerate() {
+            runner.schedule(job.at, Event::Arrive, index);
+            runner.schedule(job.at + job.timeout, Event::Deadline, index);
         }
-        run.all();
-        run.dispositions
+        runner.process_events();
+        runner
+            .dispositions
             .into_iter()
             .map(|disposition| disposition.unwrap_or(Disposition::Late { ran: false }))
             .collect()
     }
 
-    fn service(&self, now: Moment, place: usize) -> Duration {
-        let service = self.jobs[place].service_time;
-        match self.slow {
-            Some((from, until, factor)) if from <= now && now < until => service * factor,
-            _ => service,
+    fn service_time(&self, now: Moment, index: usize) -> Duration {
+        let service_time = self.jobs[index].service_time;
+        match self.slowdown {
+            Some((from, until, factor)) if from <= now && now < until => service_time * factor,
+            _ => service_time,
         }
     }
 }
 
-impl Run<'_> {
-    fn plan(&mut self, at: Moment, event: Event, place: usize) {
+impl Runner<'_> {
+    fn schedule(&mut self, at: Moment, event: Event, index: usize) {
         self.sequence += 1;
-        self.events.insert((at, self.sequence), (event, place));
+        self.events.insert((at, self.sequence), (event, index));
     }
 
-    fn all(&mut self) {
+    fn process_events(&mut self) {
         let mut now = Moment::ZERO;
-        while let Some((&(at, sequence), &(event, place))) = self.events.first_key_value() {
+        while let Some((&(at, sequence), &(event, index))) = self.events.first_key_value() {
             let wake = self.queue.wake().filter(|wake| *wake > now && *wake < at);
             if let Some(wake) = wake {
                 now = wake;
-                self.tell(now, Input::Tick);
+                self.deliver(now, Input::Tick);
                 continue;
             }
             now = at;
             self.events.remove(&(at, sequence));
             match event {
-                Event::Arrive => self.arrive(now, place),
-                Event::Deadline => self.deadline(now, place),
-                Event::End => self.end(now, place),
+                Event::Arrive => self.arrive(now, index),
+                Event::Deadline => self.deadline(now, index),
+                Event::End => self.end(now, index),
             }
         }
     }
 
-    fn arrive(&mut self, now: Moment, place: usize) {
-        let job = &self.simulation.jobs[place];
+    fn arrive(&mut self, now: Moment, index: usize) {
+        let job = &self.simulation.jobs[index];
         let arrival = Arrival {
             caller: job.caller.clone(),
             class: job.class.clone(),
             deadline: now + job.timeout,
             key: job.key.clone(),
             long: job.long,
-            ticket: place as u64,
+            ticket: index as u64,
         };
-        self.tell(now, Input::Arrive(arrival));
+        self.deliver(now, Input::Arrive(arrival));
     }
 
-    fn deadline(&mut self, now: Moment, place: usize) {
-        if self.dispositions[place].is_some() {
+    fn deadline(&mut self, now: Moment, index: usize) {
+        if self.dispositions[index].is_some() {
             return;
         }
-        let ticket = place as u64;
-        let ran = self.ran[place];
-        self.dispositions[place] = Some(Disposition::Late { ran });
+        let ticket = index as u64;
+        let ran = self.ran[index];
+        self.dispositions[index] = Some(Disposition::Late { ran });
         if !ran {
-            self.tell(now, Input::Cancel { ticket });
+            self.deliver(now, Input::Cancel { ticket });
             return;
         }
         // The service accepts cancellation.
-        self.inside.retain(|other| *other != place);
-        self.release(now, place);
-        self.tell(now, Input::Finish { outcome: Outcome::Late, ticket });
+        self.upstream_queue.retain(|other| *other != index);
+        self.release_slot(now, index);
+        self.deliver(now, Input::Finish { outcome: Outcome::Late, ticket });
     }
 
-    fn end(&mut self, now: Moment, place: usize) {
-        if self.dispositions[place].is_some() {
+    fn end(&mut self, now: Moment, index: usize) {
+        if self.dispositions[index].is_some() {
             return;
         }
-        let after = now - self.simulation.jobs[place].at;
-        self.dispositions[place] = Some(Disposition::Answered { after });
-        self.release(now, place);
-        self.tell(now, Input::Finish { outcome: Outcome::Served, ticket: place as u64 });
+        let after = now - self.simulation.jobs[index].at;
+        self.dispositions[index] = Some(Disposition::Answered { after });
+        self.release_slot(now, index);
+        self.deliver(now, Input::Finish { outcome: Outcome::Served, ticket: index as u64 });
     }
 
-    fn release(&mut self, now: Moment, place: usize) {
-        if !std::mem::take(&mut self.holds[place]) {
+    fn release_slot(&mut self, now: Moment, index: usize) {
+        if !std::mem::take(&mut self.holds_slot[index]) {
             return;
         }
         self.busy -= 1;
-        if let Some(next) = self.inside.pop_front() {
-            self.hold(now, next);
+        if let Some(next) = self.upstream_queue.pop_front() {
+            self.take_slot(now, next);
         }
     }
 
-    fn hold(&mut self, now: Moment, place: usize) {
+    fn take_slot(&mut self, now: Moment, index: usize) {
         self.busy += 1;
-        self.holds[place] = true;
-        self.plan(now + self.simulation.service(now, place), Event::End, place);
+        self.holds_slot[index] = true;
+        self.schedule(now + self.simulation.service_time(now, index), Event::End, index);
     }
 
-    fn tell(&mut self, now: Moment, input: Input) {
+    fn deliver(&mut self, now: Moment, input: Input) {
         for output in self.queue.handle(now, input) {
             match output {
                 Output::Refuse { reason, retry_after, ticket } => {
-                    let place = ticket as usize;
-                    let after = now - self.simulation.jobs[place].at;
-                    assert!(!self.ran[place], "a request that ran was refused as not run");
-                    self.dispositions[place] =
+                    let index = ticket as usize;
+                    let after = now - self.simulation.jobs[index].at;
+                    assert!(!self.ran[index], "a request that ran was refused as not run");
+                    self.dispositions[index] =
                         Some(Disposition::Refused { after, reason, retry_after });
                 }
                 Output::Run { ticket } => {
-                    let place = ticket as usize;
-                    assert!(!self.ran[place], "a request was run twice");
-                    self.ran[place] = true;
+                    let index = ticket as usize;
+                    assert!(!self.ran[index], "a request was run twice");
+                    self.ran[index] = true;
                     match self.busy < self.simulation.slots {
-                        true => self.hold(now, place),
-                        false => self.inside.push_back(place),
+                        true => self.take_slot(now, index),
+                        false => self.upstream_queue.push_back(index),
                     }
                 }
             }
--- a/src/admission/waiter.rs
+++ b/src/admission/waiter.rs
@@ -1,19 +1,19 @@
 use super::Arrival;
 use crate::clock::Moment;
 
-/// A request that runs.
+/// A running request. `queue` is the index of its class queue.
 #[derive(Clone, Debug)]
 pub(super) struct Running {
     pub(super) arrival: Arrival,
-    pub(super) line: usize,
-    pub(super) since: Moment,
+    pub(super) queue: usize,
+    pub(super) started: Moment,
 }
 
-/// A request that waits.
+/// A waiting request. `queue` is the index of its class queue, `until` the end of its wait.
 #[derive(Clone, Debug)]
 pub(super) struct Waiter {
     pub(super) arrival: Arrival,
     pub(super) arrived: Moment,
-    pub(super) line: usize,
+    pub(super) queue: usize,
     pub(super) until: Moment,
 }
