--- a/src/retry.rs
+++ b/src/retry.rs
@@ -1,14 +1,13 @@
-//! What may be tried again, and the budget for it.
+//! Decides which failed attempts are retried, within a budget.
 //!
-//! A try is repeated only with proof that the one before did not run, or when
-//! the request is idempotent, and only from a budget that grows with first
-//! tries. The load pattern behind the budget is a failure domain that goes, or
-//! a service that refuses because it is full: three tries for each request
-//! then make up to three times the load, and the storm keeps down what it was
-//! meant to help. With the budget tries are at most 1.1 times the requests.
+//! An attempt is retried only if it provably did not run or the request is idempotent, and only
+//! from a budget that grows with first attempts. Without the budget, the loss of a failure domain,
+//! or a service that refuses because it is full, causes a retry storm: three attempts per request
+//! make up to three times the load and keep the service from recovering. With the budget there are
+//! at most 1.1 attempts per request.
 //!
-//! Hedges (a second copy of an idempotent lookup that is late) come from the
-//! same budget and are suspended while they do not win.
+//! Hedges (a second copy of an idempotent lookup that is late) are paid from the same budget and
+//! are suspended while they rarely win.
 
 mod answer;
 mod attempt;
--- a/src/retry/answer.rs
+++ b/src/retry/answer.rs
@@ -1,14 +1,14 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What a caller is told when a request is not tried again.
+/// What a caller is told about a request that isn't retried.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum Answer {
-    /// It failed: the upstream's own answer is handed on, or, for an
-    /// idempotent request, that there is none.
+    /// The request failed. The upstream's own response is passed on, if there is one; otherwise an
+    /// idempotent request gets an error.
     Failed,
-    /// It was certainly not run.
+    /// The request certainly did not run.
     NotRun,
-    /// It may have run; the caller must not be told otherwise.
+    /// The request may have run, and the caller must not be told otherwise.
     Unknown,
 }
--- a/src/retry/attempt.rs
+++ b/src/retry/attempt.rs
@@ -6,57 +6,57 @@
 use super::Answer;
 use super::Outcome;
 
-/// A try that went wrong, and what may follow from it.
+/// A failed attempt and what decides whether it may be retried.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Attempt {
-    /// Whether the request's body can be sent once more from its start.
+    /// Whether the request body can be sent again from its start.
     pub body_kept: bool,
-    /// Whether a byte of the answer went on to the caller.
+    /// Whether any byte of the response was passed on to the caller.
     pub head_sent: bool,
-    /// Whether running the request twice does no harm.
+    /// Whether the request may run twice without harm.
     pub idempotent: bool,
-    /// Most upstreams that the request may be sent to.
-    #[serde(default = "Attempt::any")]
+    /// Maximum number of upstreams that the request may be sent to.
+    #[serde(default = "Attempt::unlimited")]
     pub limit: u32,
-    /// How it went wrong.
+    /// How the attempt failed.
     pub outcome: Outcome,
     /// Time left until the request's deadline.
     pub remaining: Duration,
-    /// Upstreams that it was sent to.
+    /// Number of upstreams that the request was sent to.
     #[serde(default)]
     pub sends: u32,
-    /// Whether a byte of the request may have left for the upstream.
+    /// Whether any byte of the request may have left for the upstream.
     pub sent: bool,
-    /// Tries so far, this one included.
+    /// Number of attempts so far, including this one.
     pub tries: u32,
 }
 
 impl Attempt {
-    fn any() -> u32 {
+    fn unlimited() -> u32 {
         u32::MAX
     }
 
-    /// Whether it certainly did not run: no byte left, or the upstream's
-    /// documented refusal came. A connection that was reported as failed after
-    /// bytes went out proves nothing, whatever the library calls it.
+    /// Whether the request certainly did not run: no byte was sent, or the upstream gave its
+    /// documented refusal. A connection that failed after bytes were sent proves nothing, however
+    /// the library reports it.
     pub fn is_not_run(&self) -> bool {
         !self.head_sent && (!self.sent || self.outcome == Outcome::RefusedNotRun)
     }
 
-    /// What the caller is told if nothing more is tried.
+    /// What the caller is told if the request isn't retried.
     pub fn answer(&self) -> Answer {
-        let whole = matches!(self.outcome, Outcome::Failed { .. }) && !self.head_sent;
+        let is_complete = matches!(self.outcome, Outcome::Failed { .. }) && !self.head_sent;
         match self.is_not_run() {
             true => Answer::NotRun,
-            false if whole || self.idempotent => Answer::Failed,
+            false if is_complete || self.idempotent => Answer::Failed,
             false => Answer::Unknown,
         }
     }
 
-    /// Whether another try can do no harm and may end otherwise.
-    pub fn is_safe(&self) -> bool {
-        let again = self.is_not_run() || self.idempotent;
-        let whole = self.body_kept || !self.sent;
-        again && whole && !self.head_sent && self.outcome.may_pass()
+    /// Whether a retry is harmless and may succeed.
+    pub fn is_retryable(&self) -> bool {
+        let is_repeatable = self.is_not_run() || self.idempotent;
+        let can_resend = self.body_kept || !self.sent;
+        is_repeatable && can_resend && !self.head_sent && self.outcome.is_transient()
     }
 }
--- a/src/retry/decide.rs
+++ b/src/retry/decide.rs
@@ -1,12 +1,11 @@
 use super::Attempt;
 use super::Decision;
 
-/// Whatever decides about further tries: the [`Policy`](super::Policy), or the
-/// plain count that it is measured against.
+/// Decides about retries: the [`Policy`](super::Policy), or the fixed maximum it is compared to.
 pub trait Decide {
-    /// Decides what follows a try that went wrong.
+    /// Decides what follows a failed attempt.
     fn decide(&mut self, attempt: &Attempt) -> Decision;
 
-    /// Notes the first try of a request.
+    /// Records the first attempt of a request.
     fn record_first(&mut self);
 }
--- a/src/retry/decision.rs
+++ b/src/retry/decision.rs
@@ -5,17 +5,17 @@
 
 use super::Answer;
 
-/// What follows a try that went wrong.
+/// What follows a failed attempt.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Decision {
-    /// Try again, at another upstream if there is one.
+    /// Retry, at another upstream if there is one.
     Again {
-        /// Time to wait first.
+        /// Delay before the retry.
         after: Duration,
     },
-    /// Tell the caller.
+    /// Don't retry; tell the caller.
     Stop {
-        /// What to tell.
+        /// What the caller is told.
         answer: Answer,
     },
 }
--- a/src/retry/latency.rs
+++ b/src/retry/latency.rs
@@ -1,54 +1,59 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Times kept: the 95th percentile then rests on the 12 slowest.
-const KEPT: usize = 256;
-/// Times after which percentiles are worked out anew; sorting for each request
-/// would cost about 5 us of it.
-const EVERY: usize = 32;
-/// The same until so many have been seen. With the first 32, an entry that gets two lookups a
-/// second of a service sends no second copy for 16 s after each start: of 131 lookups that one
-/// day lost to upstreams that hold what they get, none was sent again.
-const FIRST: usize = 8;
+/// Number of recent latencies kept. The 95th percentile then rests on the 12 slowest.
+const SAMPLES_MAX: usize = 256;
+/// Number of samples between two updates of the percentiles. Sorting on each request would add
+/// about 5 us to it.
+const UPDATE_INTERVAL: usize = 32;
+/// Update interval until `UPDATE_INTERVAL` samples are there. If the first update took 32 samples,
+/// an entry with two lookups per second to a service would send no hedge for 16 s after each start:
+/// none of 131 lookups lost in one day to upstreams that accept requests without responding was
+/// hedged.
+const UPDATE_INTERVAL_FIRST: usize = 8;
 
-/// How long answers of one service took of late.
+/// Recent latencies of one service.
 #[derive(Clone, Debug, Default)]
 pub struct Latency {
-    fresh: usize,
+    new_samples: usize,
     median: Option<Duration>,
-    recent: VecDeque<Duration>,
-    tail: Option<Duration>,
+    samples: VecDeque<Duration>,
+    p95: Option<Duration>,
 }
 
 impl Latency {
-    /// Notes that a whole answer took `time`.
-    pub fn note(&mut self, time: Duration) {
-        if self.recent.len() == KEPT {
-            self.recent.pop_front();
+    /// Records that a complete response took `time`.
+    pub fn record(&mut self, time: Duration) {
+        if self.samples.len() == SAMPLES_MAX {
+            self.samples.pop_front();
         }
-        self.recent.push_back(time);
-        self.fresh += 1;
-        let every = if self.recent.len() > EVERY { EVERY } else { FIRST };
-        if self.fresh >= every {
-            self.fresh = 0;
-            self.sort();
+        self.samples.push_back(time);
+        self.new_samples += 1;
+        let interval = if self.samples.len() > UPDATE_INTERVAL {
+            UPDATE_INTERVAL
+        } else {
+            UPDATE_INTERVAL_FIRST
+        };
+        if self.new_samples >= interval {
+            self.new_samples = 0;
+            self.update_percentiles();
         }
     }
 
-    /// Median; `None` until enough was seen.
+    /// Median; `None` until there are enough samples.
     pub fn median(&self) -> Option<Duration> {
         self.median
     }
 
-    /// 95th percentile; `None` until enough was seen.
-    pub fn tail(&self) -> Option<Duration> {
-        self.tail
+    /// 95th percentile; `None` until there are enough samples.
+    pub fn p95(&self) -> Option<Duration> {
+        self.p95
     }
 
-    fn sort(&mut self) {
-        let mut sorted: Vec<Duration> = self.recent.iter().copied().collect();
+    fn update_percentiles(&mut self) {
+        let mut sorted: Vec<Duration> = self.samples.iter().copied().collect();
         sorted.sort_unstable();
         self.median = sorted.get(sorted.len() / 2).copied();
-        self.tail = sorted.get(sorted.len() * 95 / 100).copied();
+        self.p95 = sorted.get(sorted.len() * 95 / 100).copied();
     }
 }
--- a/src/retry/limits.rs
+++ b/src/retry/limits.rs
@@ -3,35 +3,36 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// How many tries beyond the first a policy allows.
+/// How many retries a policy allows.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Limits {
-    /// Whether tries that reached no upstream cost nothing.
+    /// Whether a retry is free after an attempt that sent nothing to an upstream.
     pub free_connects: bool,
-    /// Whether no process before this one can have spent anything: the whole fleet starts for
-    /// the first time.
+    /// Whether no earlier process can have spent anything, because the whole fleet starts for the
+    /// first time.
     #[serde(default)]
     pub is_first: bool,
-    /// Tries that may be saved up.
+    /// Retries allowed in addition to `share`: the saved tokens, or the burst of a window.
     pub most: f64,
-    /// Tries for each first one.
+    /// Retries per first attempt.
     pub share: f64,
-    /// Span over which both are counted; without it tries are saved up, few at a time.
+    /// Window over which attempts are counted. Without it a token bucket is used.
     #[serde(default)]
     pub window: Option<Duration>,
 }
 
 impl Limits {
-    /// Share of an allowance for all entries that they use at most: an entry that has just
-    /// come or gone is counted late.
-    const MARGIN: f64 = 0.9;
+    /// Share of the fleet's allowance that the entries use at most, because an entry that has just
+    /// joined or left is counted late.
+    const USABLE_SHARE: f64 = 0.9;
 
-    /// One entry's part of what all do together: in any `window` they make at most `share` of
-    /// their first tries and `burst` more, which `entries` of them share; `None` for an entry
-    /// without a part in it.
+    /// Limits of one entry, out of what all entries may spend together. In any `window` all entries
+    /// retry at most `share` of their first attempts plus `burst`, which `entries` of them share.
+    /// `None` stands for an entry that has no part in the burst.
     pub fn per_entry(share: f64, burst: f64, window: Duration, entries: Option<usize>) -> Self {
-        let most = entries.map_or(0.0, |entries| Self::MARGIN * burst / entries.max(1) as f64);
-        let share = Self::MARGIN * share;
+        let most =
+            entries.map_or(0.0, |entries| Self::USABLE_SHARE * burst / entries.max(1) as f64);
+        let share = Self::USABLE_SHARE * share;
         Self { free_connects: true, is_first: false, most, share, window: Some(window) }
     }
 }
--- a/src/retry/outcome.rs
+++ b/src/retry/outcome.rs
@@ -1,30 +1,30 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// How a try went wrong.
+/// How an attempt failed.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Outcome {
-    /// No connection came about.
+    /// No connection could be established.
     ConnectFailed,
-    /// The answer ended before its end.
+    /// The response ended early.
     Cut,
     /// The deadline passed.
     Deadline,
-    /// A whole answer with a status of 500 or above.
+    /// A complete response with a status of 500 or above.
     Failed {
-        /// The status.
+        /// Status code of the response.
         status: u16,
     },
-    /// The upstream's documented refusal, which proves that it did not run.
+    /// The upstream's documented refusal, which proves that the request did not run.
     RefusedNotRun,
-    /// No byte of an answer came in the time for the first one.
+    /// No byte of a response arrived within the first-byte timeout.
     Silent,
 }
 
 impl Outcome {
-    /// Whether another try of an idempotent request may end otherwise. An
-    /// upstream that says 501 or 505 says it again.
-    pub(super) fn may_pass(self) -> bool {
+    /// Whether a retry of an idempotent request may succeed. An upstream that responds with 501 or
+    /// 505 would do so again.
+    pub(super) fn is_transient(self) -> bool {
         match self {
             Self::ConnectFailed | Self::Cut | Self::RefusedNotRun | Self::Silent => true,
             Self::Deadline => false,
--- a/src/retry/policy.rs
+++ b/src/retry/policy.rs
@@ -12,21 +12,21 @@
 use super::Limits;
 use crate::clock::Moment;
 
-/// Longest wait before the second try; doubles with each further one. Long
-/// against the 1 ms of a new connection, short against any deadline.
-const BACKOFF: Duration = Duration::from_millis(10);
-/// Most doublings.
-const DOUBLINGS: u32 = 4;
-/// Most tries of one request: one that meets three bad upstreams in a row is
-/// unlikely to be the upstreams' fault, and the budget belongs to everyone.
-const TRIES: u32 = 4;
-
-/// Further tries that must be left for a request to be risked on an upstream that was at fault:
-/// nine in ten such requests are sent again, and one that can't be is lost. With a third of
-/// 508 upstreams at fault all lookups were risked, and one in fourteen was lost so.
-const SPARE: f64 = 2.0;
-
-/// Decides about further tries at one service in one entry.
+/// Longest backoff before the second attempt; doubles with each further one. Long compared to the 1
+/// ms of a new connection, short compared to any deadline.
+const BACKOFF_FIRST_MAX: Duration = Duration::from_millis(10);
+/// Maximum number of doublings.
+const BACKOFF_DOUBLINGS_MAX: u32 = 4;
+/// Maximum number of attempts per request. A request that fails at several upstreams in a row is
+/// probably at fault itself, and the budget is shared by all requests.
+const TRIES_MAX: u32 = 4;
+
+/// Retries that must remain before a request may probe a failing upstream. Nine in ten such
+/// requests are retried, and one that can't be is lost. With a third of 508 upstreams failing and
+/// no reserve, all lookups were used as probes and one in fourteen was lost.
+const SPARE_RETRIES_MIN: f64 = 2.0;
+
+/// Decides about retries and hedges for one service in one entry.
 #[derive(Clone, Debug)]
 pub struct Policy {
     budget: Budget,
@@ -37,7 +37,7 @@
 }
 
 impl Policy {
-    /// Makes a policy; `rng` jitters the waits.
+    /// Creates a policy; `rng` jitters the backoff.
     pub fn new(rng: ChaCha8Rng) -> Self {
         Self {
             budget: Budget::default(),
@@ -48,78 +48,78 @@
         }
     }
 
-    /// Goes by these limits from now on.
+    /// Replaces the limits.
     pub fn set_limits(&mut self, limits: Limits) {
         self.free_connects = limits.free_connects;
-        self.budget.set(limits);
+        self.budget.set_limits(limits);
     }
 
-    /// Moves on with time, before anything else is asked.
+    /// Advances the time to `now`. Must be called before any other method.
     pub fn advance(&mut self, now: Moment) {
         self.budget.advance(now);
     }
 
-    /// Notes the first try of a request.
+    /// Records the first attempt of a request.
     pub fn record_first(&mut self) {
-        self.budget.first();
-        self.hedge.first();
+        self.budget.record_first();
+        self.hedge.record_first();
     }
 
-    /// Decides what follows a try that went wrong.
+    /// Decides what follows a failed attempt.
     pub fn decide(&mut self, attempt: &Attempt) -> Decision {
         let stop = Decision::Stop { answer: attempt.answer() };
-        let tried = attempt.tries >= TRIES || attempt.sends >= attempt.limit;
-        if !attempt.is_safe() || tried {
+        let is_exhausted = attempt.tries >= TRIES_MAX || attempt.sends >= attempt.limit;
+        if !attempt.is_retryable() || is_exhausted {
             return stop;
         }
-        let after = self.wait(attempt);
-        // A try that can't end in time is load without an answer.
-        let usual = self.latency.median().unwrap_or_default();
-        let free = self.free_connects && !attempt.sent;
-        if attempt.remaining <= after + usual || !(free || self.budget.take()) {
+        let after = self.backoff(attempt);
+        // A retry that can't finish in time only adds load.
+        let median = self.latency.median().unwrap_or_default();
+        let is_free = self.free_connects && !attempt.sent;
+        if attempt.remaining <= after + median || !(is_free || self.budget.try_take()) {
             return stop;
         }
         Decision::Again { after }
     }
 
-    /// Whether a request may be risked on an upstream that was at fault.
+    /// Whether enough retries remain to risk a request on a failing upstream.
     pub fn has_spare_retries(&self) -> bool {
-        self.budget.left() >= SPARE
+        self.budget.remaining() >= SPARE_RETRIES_MIN
     }
 
-    /// Notes that a whole answer took `time`, from the start of its try.
+    /// Records that a complete response took `time` since the start of its attempt.
     pub fn record_latency(&mut self, time: Duration) {
-        self.latency.note(time);
+        self.latency.record(time);
     }
 
-    /// When, after the start of the first try, a second copy of an idempotent
-    /// lookup may go out; `None` while hedges do not pay.
+    /// Delay after the start of the first attempt at which an idempotent lookup may be hedged;
+    /// `None` while hedges are suspended or latency is unknown.
     pub fn hedge_after(&self) -> Option<Duration> {
-        self.hedge.is_on().then(|| self.latency.tail()).flatten()
+        self.hedge.is_enabled().then(|| self.latency.p95()).flatten()
     }
 
-    /// Whether the second copy goes out now, with `remaining` time left. With
-    /// `true` the budget has paid, and [`Self::record_hedge`] must follow.
+    /// Whether to send a hedge now, with `remaining` time left. If `true`, the budget has been
+    /// charged and [`Self::record_hedge`] must follow.
     pub fn try_hedge(&mut self, remaining: Duration) -> bool {
-        let usual = self.latency.median().unwrap_or_default();
-        self.hedge.is_on() && remaining > usual && self.budget.take()
+        let median = self.latency.median().unwrap_or_default();
+        self.hedge.is_enabled() && remaining > median && self.budget.try_take()
     }
 
-    /// Notes whether the second copy answered first.
+    /// Records whether the hedge responded first.
     pub fn record_hedge(&mut self, won: bool) {
-        self.hedge.note(won);
+        self.hedge.record(won);
     }
 
-    /// Nothing before the second try of what was not run: it met one upstream
-    /// that was full or gone, and another may be free. Else a random wait, so
-    /// that requests that failed together don't return together.
-    fn wait(&mut self, attempt: &Attempt) -> Duration {
+    /// Delay before the next attempt. There is none before the second attempt of a request that did
+    /// not run: only one upstream was full or unreachable, and another may be free. Otherwise it is
+    /// random, so that requests that failed together aren't retried together.
+    fn backoff(&mut self, attempt: &Attempt) -> Duration {
         if attempt.tries <= 1 && attempt.is_not_run() {
             return Duration::ZERO;
         }
-        let doublings = attempt.tries.saturating_sub(1).min(DOUBLINGS);
-        let most = BACKOFF * 2_u32.pow(doublings);
-        most.mul_f64(self.rng.random_range(0.0..1.0))
+        let doublings = attempt.tries.saturating_sub(1).min(BACKOFF_DOUBLINGS_MAX);
+        let longest = BACKOFF_FIRST_MAX * 2_u32.pow(doublings);
+        longest.mul_f64(self.rng.random_range(0.0..1.0))
     }
 }
 
--- a/src/retry/simulation.rs
+++ b/src/retry/simulation.rs
@@ -10,111 +10,112 @@
 use super::Decision;
 use super::Outcome;
 
-/// Entries, upstreams and failure domains of the larger deployment of today.
+/// Number of entries, upstreams and failure domains in the larger current deployment.
 const ENTRIES: usize = 44;
 const UPSTREAMS: usize = 30;
 const DOMAINS: usize = 4;
-/// Requests a second at one entry.
-const RATE: u32 = 45;
-/// Seconds for which an entry avoids an upstream that failed.
-const AVOID: u32 = 5;
-/// Seconds in all, and from which to which the loss lasts.
-const SECONDS: u32 = 20;
+/// Request rate of one entry.
+const REQUESTS_PER_SECOND: u32 = 45;
+/// How long an entry avoids an upstream that failed.
+const AVOID_SECONDS: u32 = 5;
+/// Length of the simulation, and the seconds in which the outage lasts.
+const DURATION_SECONDS: u32 = 20;
 const OUTAGE_SECONDS: std::ops::Range<u32> = 5..15;
 
-/// What is lost for ten seconds, with nothing ejected meanwhile.
+/// What fails for ten seconds. Nothing is ejected meanwhile.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outage {
-    /// A failure domain, whose connections are refused.
+    /// One failure domain; its connections are refused.
     Domain,
-    /// Every upstream refuses because it is full.
+    /// Every upstream; each refuses because it is full.
     Everything,
-    /// A failure domain, which swallows what is sent.
+    /// One failure domain; it accepts requests and never responds.
     Silence,
 }
 
-/// What a storm came to while the loss lasted.
+/// Counts of requests and attempts during the outage.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Report {
-    /// Requests that got their answer.
+    /// Requests that were answered.
     pub answered: u32,
-    /// Requests.
+    /// All requests.
     pub requests: u32,
-    /// Requests that were told to have failed.
+    /// Requests reported as failed.
     pub failed: u32,
-    /// Requests that were told to be not run.
+    /// Requests reported as not run.
     pub not_run: u32,
-    /// Tries.
+    /// All attempts.
     pub tries: u32,
-    /// Requests that were told to be of unknown outcome.
+    /// Requests reported with an unknown outcome.
     pub unknown: u32,
-    /// Most tries for each request in one second of all entries.
+    /// Highest number of attempts per request in any one second, over all entries.
     pub worst_amplification: f64,
 }
 
-/// Sends the requests of 44 entries to 30 upstreams in four failure domains
-/// through a loss. Each try picks any upstream that was not tried yet. In the
-/// worst case nothing turns away from what is lost; else an entry avoids an
-/// upstream for five seconds after a failed try, as the balance does.
+/// Sends the requests of 44 entries to 30 upstreams in four failure domains during an outage. Each
+/// attempt picks a random upstream that was not tried yet. In the worst case the failed upstreams
+/// keep being picked; with `avoids_failed`, an entry avoids an upstream for five seconds after a
+/// failed attempt, as load balancing does.
 #[derive(Clone, Copy, Debug)]
 pub struct Simulation {
     /// Whether entries avoid upstreams that failed.
     pub avoids_failed: bool,
     /// Whether the requests are idempotent.
     pub idempotent: bool,
-    /// What is lost.
+    /// What fails.
     pub outage: Outage,
-    /// Seed of all choices.
+    /// Seed of all random choices.
     pub seed: u64,
 }
 
-/// One request in the making.
+/// State that the attempts of one request use.
 struct Request<'a> {
-    avoided: &'a mut [u32; UPSTREAMS],
-    lost: bool,
+    avoided_until: &'a mut [u32; UPSTREAMS],
+    is_outage: bool,
     rng: &'a mut ChaCha8Rng,
     second: u32,
 }
 
 impl Request<'_> {
-    /// Any upstream that was not tried and is not avoided, if there is one.
+    /// Picks a random upstream that was neither tried nor is avoided. If there is none, picks one
+    /// that was not tried.
     fn pick(&mut self, tried: &[usize]) -> usize {
-        let untried = |upstream: &usize| !tried.contains(upstream);
-        let sound = |upstream: &usize| self.avoided[*upstream] <= self.second;
-        let all: Vec<usize> = (0..UPSTREAMS).filter(untried).collect();
-        let good: Vec<usize> = all.iter().copied().filter(sound).collect();
-        let list = if good.is_empty() { all } else { good };
-        list[self.rng.random_range(0..list.len())]
+        let is_untried = |upstream: &usize| !tried.contains(upstream);
+        let is_usable = |upstream: &usize| self.avoided_until[*upstream] <= self.second;
+        let all: Vec<usize> = (0..UPSTREAMS).filter(is_untried).collect();
+        let usable: Vec<usize> = all.iter().copied().filter(is_usable).collect();
+        let candidates = if usable.is_empty() { all } else { usable };
+        candidates[self.rng.random_range(0..candidates.len())]
     }
 }
 
 impl Report {
-    /// Tries for each request.
+    /// Attempts per request.
     pub fn amplification(&self) -> f64 {
         f64::from(self.tries) / f64::from(self.requests.max(1))
     }
 }
 
 impl Simulation {
-    /// Runs it; `make` gives each entry its own decider.
+    /// Runs the simulation. `make` creates the retry decider of each entry from a seed.
     pub fn run(&self, make: &dyn Fn(u64) -> Box<dyn Decide>) -> Report {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed);
         let mut entries: Vec<_> =
             (0..ENTRIES as u64).map(|entry| make(self.seed + entry)).collect();
-        let mut avoided = vec![[0; UPSTREAMS]; ENTRIES];
+        let mut avoided_until = vec![[0; UPSTREAMS]; ENTRIES];
         let mut report = Report::default();
-        for second in 0..SECONDS {
-            let lost = OUTAGE_SECONDS.contains(&second);
-            let mut this = Report::default();
-            for _ in 0..RATE {
-                for (entry, avoided) in entries.iter_mut().zip(&mut avoided) {
-                    let mut request = Request { avoided, lost, rng: &mut rng, second };
-                    self.request(&mut request, entry.as_mut(), &mut this);
+        for second in 0..DURATION_SECONDS {
+            let is_outage = OUTAGE_SECONDS.contains(&second);
+            let mut current = Report::default();
+            for _ in 0..REQUESTS_PER_SECOND {
+                for (entry, avoided_until) in entries.iter_mut().zip(&mut avoided_until) {
+                    let mut request = Request { avoided_until, is_outage, rng: &mut rng, second };
+                    self.request(&mut request, entry.as_mut(), &mut current);
                 }
             }
-            this.worst_amplification = this.amplification();
-            if lost {
-                report.add(&this);
+            current.worst_amplification = current.amplification();
+            if is_outage {
+                report.add(&current);
             }
         }
         report
@@ -128,12 +129,12 @@
             let upstream = request.pick(&tried);
             tried.push(upstream);
             report.tries += 1;
-            let Some((outcome, sent)) = self.outcome(request.lost, upstream) else {
+            let Some((outcome, sent)) = self.outcome(request.is_outage, upstream) else {
                 report.answered += 1;
                 return;
             };
             if self.avoids_failed {
-                request.avoided[upstream] = request.second + AVOID;
+                request.avoided_until[upstream] = request.second + AVOID_SECONDS;
             }
             let attempt = Attempt {
                 body_kept: true,
@@ -147,25 +148,25 @@
                 tries: tried.len() as u32,
             };
             if let Decision::Stop { answer } = entry.decide(&attempt) {
-                report.tell(answer);
+                report.record(answer);
                 return;
             }
         }
     }
 
-    /// How a try at `upstream` goes wrong, and whether bytes went out.
-    fn outcome(&self, lost: bool, upstream: usize) -> Option<(Outcome, bool)> {
-        let gone = lost && upstream.is_multiple_of(DOMAINS);
+    /// How an attempt at `upstream` fails, and whether bytes were sent; `None` if it succeeds.
+    fn outcome(&self, is_outage: bool, upstream: usize) -> Option<(Outcome, bool)> {
+        let is_down = is_outage && upstream.is_multiple_of(DOMAINS);
         match self.outage {
-            Outage::Domain => gone.then_some((Outcome::ConnectFailed, false)),
-            Outage::Everything => lost.then_some((Outcome::RefusedNotRun, true)),
-            Outage::Silence => gone.then_some((Outcome::Silent, true)),
+            Outage::Domain => is_down.then_some((Outcome::ConnectFailed, false)),
+            Outage::Everything => is_outage.then_some((Outcome::RefusedNotRun, true)),
+            Outage::Silence => is_down.then_some((Outcome::Silent, true)),
         }
     }
 }
 
 impl Report {
-    /// Adds the counts of `other`, and keeps the worse worst second.
+    /// Adds the counts of `other` and keeps the higher worst amplification.
     pub fn add(&mut self, other: &Self) {
         self.answered += other.answered;
         self.requests += other.requests;
@@ -176,7 +177,7 @@
         self.worst_amplification = self.worst_amplification.max(other.worst_amplification);
     }
 
-    fn tell(&mut self, answer: Answer) {
+    fn record(&mut self, answer: Answer) {
         match answer {
             Answer::Failed => self.failed += 1,
             Answer::NotRun => self.not_run += 1,
