--- a/src/admission/gate.rs
+++ b/src/admission/gate.rs
@@ -146,15 +146,13 @@
     }
 
     fn finish(&mut self, now: Moment, outcome: Outcome, ticket: u64) {
-        let Some(Running { arrival, queue, started }) = self.running.remove(&ticket) else {
-            return;
-        };
-        let time = now.saturating_sub(started);
+        let Some(Running { arrival, queue, start }) = self.running.remove(&ticket) else { return };
+        let time = now.saturating_sub(start);
         let running = self.running.len() + 1;
         self.queues[queue].record_finish(&arrival.caller);
         self.key_counts.remove_running(arrival.key.as_ref());
         let duration_class = self.duration_class_mut(arrival.long);
-        duration_class.running.remove(&(started, ticket));
+        duration_class.running.remove(&(start, ticket));
         let sample = match outcome {
             Outcome::Served => Some(time),
             // An early failure says nothing about the service time and would make a broken upstream
@@ -245,7 +243,7 @@
         self.queues[queue].record_start(&arrival.caller);
         self.queues[queue].detector.record_start();
         self.key_counts.add_running(arrival.key.as_ref());
-        self.running.insert(arrival.ticket, Running { arrival, queue, started: now });
+        self.running.insert(arrival.ticket, Running { arrival, queue, start: now });
     }
 
     fn refuse(&mut self, ticket: u64, queue: usize, reason: Reason) -> Output {
--- a/src/admission/waiter.rs
+++ b/src/admission/waiter.rs
@@ -6,7 +6,7 @@
 pub(super) struct Running {
     pub(super) arrival: Arrival,
     pub(super) queue: usize,
-    pub(super) started: Moment,
+    pub(super) start: Moment,
 }
 
 /// A waiting request. `queue` is the index of its class queue, `until` the end of its wait.
--- a/tests/suite/admission.rs
+++ b/tests/suite/admission.rs
@@ -1,5 +1,5 @@
-//! Tests of `hemlockfield::admission`: load patterns judged by what callers
-//! receive, and what a plain queue gives them instead.
+//! Tests of `hemlockfield::admission`: what callers receive under each load pattern, compared to a
+//! fifo queue.
 
 mod any;
 mod startup;
@@ -23,25 +23,25 @@
 
 const SEEDS: u64 = 8;
 
-/// What some of the callers received.
+/// What the selected callers received.
 #[derive(Debug, Default)]
 struct Received {
     answered: Vec<Duration>,
     late_ran: usize,
     late: usize,
     refused: Vec<Duration>,
-    returns: Vec<Duration>,
+    retry_afters: Vec<Duration>,
 }
 
 impl Received {
     fn of(
         simulation: &Simulation,
         dispositions: &[Disposition],
-        whose: &dyn Fn(&Job) -> bool,
+        select: &dyn Fn(&Job) -> bool,
     ) -> Self {
         let mut received = Self::default();
         for (_, disposition) in
-            simulation.jobs.iter().zip(dispositions).filter(|(job, _)| whose(job))
+            simulation.jobs.iter().zip(dispositions).filter(|(job, _)| select(job))
         {
             match disposition {
                 Disposition::Answered { after } => received.answered.push(*after),
@@ -49,7 +49,7 @@
                 Disposition::Late { ran: false } => received.late += 1,
                 Disposition::Refused { after, retry_after, .. } => {
                     received.refused.push(*after);
-                    received.returns.push(*retry_after);
+                    received.retry_afters.push(*retry_after);
                 }
             }
         }
@@ -67,7 +67,7 @@
     }
 }
 
-fn at(times: &[Duration], percent: usize) -> Duration {
+fn percentile(times: &[Duration], percent: usize) -> Duration {
     times[(times.len() - 1) * percent / 100]
 }
 
@@ -82,12 +82,12 @@
     gate
 }
 
-/// The pattern through the gate and through the plain queue.
-fn both(pattern: Pattern, seed: u64, whose: &dyn Fn(&Job) -> bool) -> (Received, Received) {
+/// Runs the pattern through the gate and through the plain queue.
+fn run_both(pattern: Pattern, seed: u64, select: &dyn Fn(&Job) -> bool) -> (Received, Received) {
     let simulation = pattern.simulation(seed);
     let gated = simulation.run(&mut gate(seed, Some(simulation.slots)));
-    let plain = simulation.run(&mut Fifo::new(simulation.slots));
-    (Received::of(&simulation, &gated, whose), Received::of(&simulation, &plain, whose))
+    let fifo = simulation.run(&mut Fifo::new(simulation.slots));
+    (Received::of(&simulation, &gated, select), Received::of(&simulation, &fifo, select))
 }
 
 fn anyone(_: &Job) -> bool {
@@ -96,24 +96,22 @@
 
 #[test]
 fn handle_burst() {
-    // 600 requests come at one moment, of which 160 can be served before their
-    // callers go. Those callers get their answers, and the median of the others
-    // is refused on arrival, because the gate reckons the wait from the pace.
-    // The plain queue holds the others for half a second, and then cuts them.
+    // 600 requests arrive at once, of which 160 can be served in time. They are answered, and the
+    // median of the others is refused on arrival because the gate estimates the wait. The fifo
+    // queue lets the others wait for half a second until they time out.
     for seed in 0..SEEDS {
-        let (gated, plain) = both(Pattern::Burst, seed, &anyone);
-        assert!(gated.answered.len() * 100 >= plain.answered.len() * 95, "{gated:?}");
+        let (gated, fifo) = run_both(Pattern::Burst, seed, &anyone);
+        assert!(gated.answered.len() * 100 >= fifo.answered.len() * 95, "{gated:?}");
         assert!(gated.late + gated.late_ran <= 5, "{gated:?}");
-        assert_eq!(at(&gated.refused, 50), Duration::ZERO);
-        assert!(plain.late + plain.late_ran > 400);
+        assert_eq!(percentile(&gated.refused, 50), Duration::ZERO);
+        assert!(fifo.late + fifo.late_ran > 400);
     }
 }
 
 #[test]
-fn handle_burst_that_fits() {
-    // 100 requests come at one moment and all can be served in time. None is
-    // refused: the queue is long but shrinks, so it is not taken for a standing
-    // one.
+fn handle_burst_within_capacity() {
+    // 100 requests arrive at once and all can be served in time. None is refused: the queue is long
+    // but shrinks, so it isn't a standing queue.
     for seed in 0..SEEDS {
         let mut simulation = Pattern::Burst.simulation(seed);
         let burst = simulation.jobs.len() - 500;
@@ -126,90 +124,86 @@
 
 #[test]
 fn handle_hot_caller() {
-    // One caller sends twice what can be served. The other callers notice next
-    // to nothing, because turns go by caller and not by request. In the plain
-    // queue they wait behind the hot caller and most go without an answer.
+    // One caller sends twice the capacity. The other callers hardly notice, because turns are taken
+    // by caller and not by request. In the plain queue they wait behind the hot caller and most get
+    // no response.
     for seed in 0..SEEDS {
-        let (gated, plain) = both(Pattern::HotCaller, seed, &|job| job.caller != "hot");
+        let (gated, fifo) = run_both(Pattern::HotCaller, seed, &|job| job.caller != "hot");
         assert_eq!(gated.share(), 1.0, "{gated:?}");
-        assert!(at(&gated.answered, 99) <= millis(75), "{gated:?}");
-        assert!(plain.share() < 0.5);
+        assert!(percentile(&gated.answered, 99) <= millis(75), "{gated:?}");
+        assert!(fifo.share() < 0.5);
     }
 }
 
 #[test]
 fn handle_hot_key() {
-    // Requests about one locked record take 400 ms each and come from everyone.
-    // Lookups of other records go through as ever, because one key holds half
-    // of the slots at most. In the plain queue each waits for a slot as long as
-    // a request about the hot record takes.
+    // Requests about one locked record take 400 ms each and come from all callers. Other lookups
+    // pass as usual, because one key holds at most half of the slots. In the plain queue each of
+    // them waits as long for a slot as a request about the hot record takes.
     for seed in 0..SEEDS {
-        let (gated, plain) = both(Pattern::HotKey, seed, &|job| job.key.is_none());
+        let (gated, fifo) = run_both(Pattern::HotKey, seed, &|job| job.key.is_none());
         assert!(gated.share() >= 0.99, "{gated:?}");
-        assert!(at(&gated.answered, 50) <= millis(40), "{gated:?}");
-        assert!(at(&plain.answered, 50) >= millis(300));
+        assert!(percentile(&gated.answered, 50) <= millis(40), "{gated:?}");
+        assert!(percentile(&fifo.answered, 50) >= millis(300));
     }
 }
 
 #[test]
 fn handle_slow_upstream() {
-    // For four seconds everything takes 40 times as long, so that nothing ends
-    // in time. Callers are refused as not run, most at once, and only trials
-    // run; one second after it is over all are answered again. The plain queue
-    // runs everything: each caller waits to the end and does not know whether
-    // its request ran.
+    // For four seconds everything takes 40 times as long, so nothing finishes in time. Requests are
+    // refused as not run, most of them at once, and only probes run; one second after the end all
+    // are answered again. The plain queue runs everything: each caller waits until its timeout and
+    // doesn't know whether its request ran.
     for seed in 0..SEEDS {
-        let slow = |job: &Job| job.at >= millis(2000) && job.at < millis(6000);
-        let (gated, plain) = both(Pattern::SlowUpstream, seed, &slow);
+        let during = |job: &Job| job.at >= millis(2000) && job.at < millis(6000);
+        let (gated, fifo) = run_both(Pattern::SlowUpstream, seed, &during);
         assert!(gated.late + gated.late_ran <= 60, "{gated:?}");
-        assert_eq!(at(&gated.refused, 50), Duration::ZERO);
-        assert!(plain.late + plain.late_ran >= 400);
-        let (after, _) = both(Pattern::SlowUpstream, seed, &|job| job.at >= millis(7000));
+        assert_eq!(percentile(&gated.refused, 50), Duration::ZERO);
+        assert!(fifo.late + fifo.late_ran >= 400);
+        let (after, _) = run_both(Pattern::SlowUpstream, seed, &|job| job.at >= millis(7000));
         assert_eq!(after.share(), 1.0, "{after:?}");
     }
 }
 
 #[test]
 fn handle_long_jobs() {
-    // Uploads of two seconds come faster than they can be served. Lookups go on
-    // beside them, because uploads hold half of the slots, and the uploads use
-    // that half. In the plain queue uploads take every slot, and lookups get
-    // none for seconds.
+    // Uploads of two seconds arrive faster than they can be served. Lookups continue because
+    // uploads hold at most half of the slots, and the uploads use that half. In the plain queue
+    // uploads take every slot, and lookups get none for seconds.
     for seed in 0..SEEDS {
-        let (gated, plain) = both(Pattern::LongJobs, seed, &|job| !job.long);
+        let (gated, fifo) = run_both(Pattern::LongJobs, seed, &|job| !job.long);
         assert!(gated.share() >= 0.99, "{gated:?}");
-        assert!(at(&gated.answered, 99) <= millis(75), "{gated:?}");
-        assert!(plain.share() < 0.5);
-        let (uploads, _) = both(Pattern::LongJobs, seed, &|job| job.long);
+        assert!(percentile(&gated.answered, 99) <= millis(75), "{gated:?}");
+        assert!(fifo.share() < 0.5);
+        let (uploads, _) = run_both(Pattern::LongJobs, seed, &|job| job.long);
         assert!(uploads.answered.len() >= 34, "of 38 that fit: {}", uploads.answered.len());
     }
 }
 
 #[test]
 fn handle_overload() {
-    // For ten seconds three times the capacity comes in. Callers get at least
-    // 95% of what the slots can give, quickly, and the rest is refused; a
-    // second after the end it is as if nothing had been. The plain queue grows
-    // until every request waits for its whole deadline, and nearly all work is
-    // for callers who are gone.
+    // Three times the capacity arrives for ten seconds. Callers get at least 95% of what the slots
+    // can serve, quickly, and the rest is refused; one second after the end everything is as
+    // before. The plain queue grows until every request waits for its whole timeout, and nearly all
+    // work is for callers that have left.
     for seed in 0..SEEDS {
         let during = |job: &Job| job.at >= millis(2000) && job.at < millis(12_000);
-        let (gated, plain) = both(Pattern::Overload, seed, &during);
+        let (gated, fifo) = run_both(Pattern::Overload, seed, &during);
         assert!(gated.answered.len() >= 3040, "of 3200: {}", gated.answered.len());
-        assert!(at(&gated.answered, 99) <= millis(100));
-        assert!(at(&gated.refused, 99) <= millis(50));
+        assert!(percentile(&gated.answered, 99) <= millis(100));
+        assert!(percentile(&gated.refused, 99) <= millis(50));
         assert_eq!(gated.late + gated.late_ran, 0);
-        assert!(plain.answered.len() < 1600);
-        let (after, _) = both(Pattern::Overload, seed, &|job| job.at >= millis(13_000));
+        assert!(fifo.answered.len() < 1600);
+        let (after, _) = run_both(Pattern::Overload, seed, &|job| job.at >= millis(13_000));
         assert_eq!(after.share(), 1.0);
-        assert!(at(&after.answered, 99) <= millis(50));
+        assert!(percentile(&after.answered, 99) <= millis(50));
     }
 }
 
 #[test]
 fn handle_overload_learned() {
-    // The same with nobody saying how many slots there are: the gate finds out
-    // from latency, and callers get 90% of what the slots can give.
+    // An overload while the number of slots is not configured: the gate learns it from latency, and
+    // callers get 90% of what the slots can serve.
     for seed in 0..SEEDS {
         let simulation = Pattern::Overload.simulation(seed);
         let mut gate = gate(seed, None);
@@ -217,7 +211,7 @@
         let during = |job: &Job| job.at >= millis(2000) && job.at < millis(12_000);
         let received = Received::of(&simulation, &dispositions, &during);
         assert!(received.answered.len() >= 2880, "of 3200: {}", received.answered.len());
-        assert!(at(&received.answered, 99) <= millis(150));
+        assert!(percentile(&received.answered, 99) <= millis(150));
     }
 }
 
@@ -225,10 +219,9 @@
 #[case(2)]
 #[case(3)]
 fn handle_few_slots(#[case] slots: usize) {
-    // An entry has a share of two or three slots. At three times the capacity
-    // callers still get 95% of what the slots can give, and at 90% of it chance
-    // alone makes queues that must not be taken for standing ones: 19 of 20
-    // callers are answered.
+    // An entry has a share of two or three slots. At three times the capacity callers still get 95%
+    // of what the slots can serve. At 90% load random variation causes queues that must not be
+    // taken for standing ones: 19 of 20 callers are answered.
     let mut overload = 0.0;
     let mut busy = 0.0;
     for seed in 0..SEEDS {
@@ -243,17 +236,16 @@
 }
 
 #[test]
-fn handle_refusals_spread() {
-    // Hundreds are refused at one moment. If all came back at one moment, the
-    // burst would come again; no 100 ms of the second in which they return
-    // holds more than a fifth of them.
+fn handle_refusals_jittered() {
+    // Hundreds of requests are refused at once. If all callers retried at once, the burst would
+    // repeat; so no 100 ms of the second in which they return may hold more than a fifth of them.
     for seed in 0..SEEDS {
-        let (gated, _) = both(Pattern::Burst, seed, &anyone);
+        let (gated, _) = run_both(Pattern::Burst, seed, &anyone);
         let mut bins: BTreeMap<u128, usize> = BTreeMap::new();
-        for back in &gated.returns {
-            *bins.entry(back.as_millis() / 100).or_default() += 1;
+        for retry_after in &gated.retry_afters {
+            *bins.entry(retry_after.as_millis() / 100).or_default() += 1;
         }
-        assert!(bins.values().all(|count| count * 5 <= gated.returns.len()), "{bins:?}");
+        assert!(bins.values().all(|count| count * 5 <= gated.retry_afters.len()), "{bins:?}");
     }
 }
 
@@ -270,7 +262,7 @@
 
 #[test]
 fn handle_classes_by_weight() {
-    // Both classes always have requests waiting; lookup has weight 3, upload 1.
+    // Both classes always have waiting requests; lookup has weight 3 and upload weight 1.
     let mut gate = gate(1, Some(1));
     for ticket in 0..20 {
         gate.handle(Duration::ZERO, arrival(ticket * 2, "lookup", "a"));
@@ -293,8 +285,8 @@
 #[case(1, 2)]
 #[case(2, 1)]
 fn handle_cancel(#[case] cancelled: u64, #[case] next: u64) {
-    // One slot: 0 runs, 1 and 2 wait. A waiting request that is cancelled is
-    // never run, and a running one keeps its slot until it has ended.
+    // One slot: 0 runs, 1 and 2 wait. A waiting request that is cancelled never runs, and a running
+    // one keeps its slot until it has ended.
     let mut gate = gate(1, Some(1));
     for ticket in 0..3 {
         gate.handle(Duration::ZERO, arrival(ticket, "lookup", "a"));
--- a/tests/suite/admission/any.rs
+++ b/tests/suite/admission/any.rs
@@ -1,4 +1,4 @@
-//! Whatever comes, a gate keeps its promises.
+//! Invariants of a gate under arbitrary inputs.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -18,15 +18,14 @@
 use super::millis;
 
 proptest! {
-    // The same cases every run, so that the verdict is the same.
+    // A fixed seed, so that every run checks the same cases.
     #![proptest_config(ProptestConfig {
         rng_seed: RngSeed::Fixed(1),
         ..ProptestConfig::default()
     })]
 
-    /// Whatever comes, each request is run once or refused once or cancelled,
-    /// never both; no more run than there are slots; a request is decided by
-    /// its deadline; and the same inputs give the same outputs.
+    /// Each request is run once, refused once or cancelled; no more run than there are slots; each
+    /// request is decided by its deadline; and the same inputs give the same outputs.
     #[test]
     fn handle_any(
         steps in proptest::collection::vec((0_u8..6, 0_u64..40, 0_u64..200), 1..200),
@@ -34,26 +33,26 @@
         seed in 0_u64..1000,
     ) {
         let mut gate = gate(seed, Some(slots));
-        let mut twin = gate.clone();
+        let mut copy = gate.clone();
         let mut now = Duration::ZERO;
-        let mut ends = BTreeMap::new();
+        let mut waiting = BTreeMap::new();
         let mut running = BTreeSet::new();
         let mut decided = BTreeSet::new();
-        for (ticket, (what, pick, pause)) in steps.into_iter().enumerate() {
+        for (ticket, (action, pick, pause)) in steps.into_iter().enumerate() {
             let ticket = ticket as u64;
             let until = now + millis(pause);
             let mut inputs = Vec::new();
             while let Some(wake) = gate.wake().filter(|wake| *wake > now && *wake <= until) {
                 now = wake;
                 let outputs = gate.handle(now, Input::Tick);
-                prop_assert_eq!(&outputs, &twin.handle(now, Input::Tick));
-                check(&outputs, now, &mut ends, &mut running, &mut decided);
+                prop_assert_eq!(&outputs, &copy.handle(now, Input::Tick));
+                check(&outputs, now, &mut waiting, &mut running, &mut decided);
             }
             now = until;
-            match what {
+            match action {
                 0..=2 => {
                     let deadline = now + millis(pick * 20);
-                    ends.insert(ticket, deadline);
+                    waiting.insert(ticket, deadline);
                     inputs.push(Input::Arrive(Arrival {
                         caller: format!("caller-{}", pick % 5).into(),
                         class: if pick % 2 == 0 { "lookup".into() } else { "upload".into() },
@@ -64,10 +63,10 @@
                     }));
                 }
                 3 => {
-                    let gone = ends.keys().nth(pick as usize % ends.len().max(1)).copied();
-                    if let Some(gone) = gone.filter(|gone| !running.contains(gone)) {
-                        ends.remove(&gone);
-                        inputs.push(Input::Cancel { ticket: gone });
+                    let cancel = waiting.keys().nth(pick as usize % waiting.len().max(1)).copied();
+                    if let Some(cancel) = cancel.filter(|cancel| !running.contains(cancel)) {
+                        waiting.remove(&cancel);
+                        inputs.push(Input::Cancel { ticket: cancel });
                     }
                 }
                 _ => {
@@ -82,28 +81,28 @@
             }
             for input in inputs {
                 let outputs = gate.handle(now, input.clone());
-                prop_assert_eq!(&outputs, &twin.handle(now, input));
-                check(&outputs, now, &mut ends, &mut running, &mut decided);
+                prop_assert_eq!(&outputs, &copy.handle(now, input));
+                check(&outputs, now, &mut waiting, &mut running, &mut decided);
             }
             prop_assert!(running.len() <= slots && gate.running() == running.len());
-            prop_assert!(ends.values().all(|end| *end >= now), "undecided at its deadline");
-            prop_assert_eq!(gate.waiting(), ends.len());
+            prop_assert!(waiting.values().all(|end| *end >= now), "undecided at its deadline");
+            prop_assert_eq!(gate.waiting(), waiting.len());
         }
     }
 }
 
-/// Moves what was decided from `ends`, the waiting, to where it belongs.
+/// Checks `outputs` and moves the decided requests out of `waiting`.
 fn check(
     outputs: &[Output],
     now: Duration,
-    ends: &mut BTreeMap<u64, Duration>,
+    waiting: &mut BTreeMap<u64, Duration>,
     running: &mut BTreeSet<u64>,
     decided: &mut BTreeSet<u64>,
 ) {
     for output in outputs {
         let (Output::Run { ticket } | Output::Refuse { ticket, .. }) = output;
         assert!(decided.insert(*ticket), "{ticket} was decided twice");
-        let end = ends.remove(ticket).expect("it waits");
+        let end = waiting.remove(ticket).expect("a decided request was waiting");
         match output {
             Output::Run { .. } => assert!(end > now && running.insert(*ticket)),
             Output::Refuse { retry_after, .. } => {
--- a/tests/suite/admission/startup.rs
+++ b/tests/suite/admission/startup.rs
@@ -1,4 +1,4 @@
-//! Who waits for the first configuration of a process that has just started.
+//! Wait for the first configuration of a process that has just started.
 
 use std::time::Duration;
 
@@ -9,9 +9,9 @@
     Duration::from_millis(count)
 }
 
-// All processes start anew after a loss of power, and callers come a second before control has
-// a leader. They wait for it, up to half of the time that they have; at an entry that is cut
-// off from control, which has no hope of a configuration, they are refused at once.
+// All processes restart after a power failure, and callers come one second before control has a
+// leader. Their requests wait for it, up to half of their time budget. An entry that is cut off
+// from control can't expect a configuration and refuses at once.
 #[rstest]
 #[case::at_the_start(100, 6_000, 2_400)]
 #[case::later(1_500, 6_000, 1_000)]
--- a/tests/suite/retry.rs
+++ b/tests/suite/retry.rs
@@ -62,27 +62,26 @@
     #[case] idempotent: bool,
     #[case] sent: bool,
     #[case] outcome: Outcome,
-    #[case] stops: Option<Answer>,
+    #[case] stop: Option<Answer>,
 ) {
     let decision = policy(1).decide(&attempt(idempotent, sent, outcome));
-    match stops {
+    match stop {
         Some(answer) => assert_eq!(decision, Decision::Stop { answer }),
         None => assert!(matches!(decision, Decision::Again { .. }), "{decision:?}"),
     }
 }
 
 #[test]
-fn decide_body_gone() {
-    // An upload was refused by an upstream that was full, after part of it had
-    // streamed through. It can't be sent again from its start, so the caller is
-    // told at once, and truly, that it was not run.
-    let gone = Attempt { body_kept: false, ..attempt(false, true, Outcome::RefusedNotRun) };
-    assert_eq!(policy(1).decide(&gone), Decision::Stop { answer: Answer::NotRun });
+fn decide_body_not_kept() {
+    // A full upstream refused an upload after part of it had streamed through. It can't be sent
+    // retried from its start, so the caller is told at once that it was not run.
+    let not_kept = Attempt { body_kept: false, ..attempt(false, true, Outcome::RefusedNotRun) };
+    assert_eq!(policy(1).decide(&not_kept), Decision::Stop { answer: Answer::NotRun });
 }
 
 #[test]
 fn decide_no_time_left() {
-    // Answers take 100 ms and 50 ms are left: another try can't end in time.
+    // Responses take 100 ms and 50 ms are left: a retry can't finish in time.
     let mut policy = policy(1);
     for _ in 0..64 {
         policy.record_latency(Duration::from_millis(100));
@@ -104,16 +103,16 @@
 }
 
 proptest! {
-    // The same cases every run, so that the verdict is the same.
+    // A fixed seed, so that every run checks the same cases.
     #![proptest_config(ProptestConfig {
         rng_seed: RngSeed::Fixed(1),
         ..ProptestConfig::default()
     })]
 
-    /// Once a byte may have left, a non-idempotent request is neither tried
-    /// again nor told as not run, unless the upstream's refusal proves it.
+    /// Once a byte may have been sent, a non-idempotent request is neither retried nor reported as
+    /// not run, unless the upstream's refusal proves it.
     #[test]
-    fn decide_never_doubles(
+    fn decide_sent_not_repeated(
         outcome in outcome(),
         head_sent in any::<bool>(),
         body_kept in any::<bool>(),
@@ -122,15 +121,15 @@
     ) {
         let sent = Attempt { body_kept, head_sent, tries, ..attempt(false, true, outcome) };
         let decision = policy(seed).decide(&sent);
-        let proven = outcome == Outcome::RefusedNotRun && !head_sent;
-        if !proven {
-            let whole = matches!(outcome, Outcome::Failed { .. }) && !head_sent;
-            let answer = if whole { Answer::Failed } else { Answer::Unknown };
+        let is_proven = outcome == Outcome::RefusedNotRun && !head_sent;
+        if !is_proven {
+            let is_complete = matches!(outcome, Outcome::Failed { .. }) && !head_sent;
+            let answer = if is_complete { Answer::Failed } else { Answer::Unknown };
             prop_assert_eq!(decision, Decision::Stop { answer });
         }
         if head_sent {
-            let stops = matches!(decision, Decision::Stop { .. });
-            prop_assert!(stops);
+            let stop = matches!(decision, Decision::Stop { .. });
+            prop_assert!(stop);
         }
     }
 }
@@ -139,41 +138,40 @@
 #[case(Outage::Domain, 1.3)]
 #[case(Outage::Everything, 2.9)]
 #[case(Outage::Silence, 1.3)]
-fn decide_outage(#[case] outage: Outage, #[case] counted: f64) {
-    // A failure domain goes, or everything refuses, and for ten seconds nothing
-    // turns away from what is lost. Tries stay under 1.1 times the requests in
-    // every second, because further tries are paid from a share of the first.
-    // Three tries for each request make a third more load, or three times as
-    // much when everything refuses.
+fn decide_outage(#[case] outage: Outage, #[case] fixed_amplification: f64) {
+    // A failure domain is lost, or every upstream refuses, and for ten seconds the failed upstreams
+    // keep being picked. There are at most 1.1 attempts per request in every second, because
+    // retries are paid from a share of the first attempts. Three attempts per request add a third
+    // more load, or triple it when every upstream refuses.
     for seed in 0..SEEDS {
         let simulation = Simulation { avoids_failed: false, idempotent: true, outage, seed };
-        let ours = simulation.run(&|seed| Box::new(policy(seed)));
-        assert!(ours.worst_amplification <= 1.1, "{ours:?}");
-        assert_eq!(ours.unknown, 0);
-        let plain = simulation.run(&|_| Box::new(MaxAttempts(3)));
-        assert!(plain.amplification() > counted, "{plain:?}");
+        let budgeted = simulation.run(&|seed| Box::new(policy(seed)));
+        assert!(budgeted.worst_amplification <= 1.1, "{budgeted:?}");
+        assert_eq!(budgeted.unknown, 0);
+        let fixed = simulation.run(&|_| Box::new(MaxAttempts(3)));
+        assert!(fixed.amplification() > fixed_amplification, "{fixed:?}");
     }
 }
 
 #[test]
 fn decide_outage_avoided() {
-    // The same loss while entries avoid an upstream that failed: nearly every
-    // caller is answered, and the rest is told that it was not run.
+    // A failure domain is lost while entries avoid upstreams that failed: nearly every caller is
+    // answered, and the rest is told that the request was not run.
     for seed in 0..SEEDS {
         let simulation =
             Simulation { avoids_failed: true, idempotent: false, outage: Outage::Domain, seed };
-        let ours = simulation.run(&|seed| Box::new(policy(seed)));
-        assert!(ours.worst_amplification <= 1.1, "{ours:?}");
-        assert!(ours.answered * 100 >= ours.requests * 98, "{ours:?}");
-        assert_eq!(ours.requests, ours.answered + ours.not_run);
+        let budgeted = simulation.run(&|seed| Box::new(policy(seed)));
+        assert!(budgeted.worst_amplification <= 1.1, "{budgeted:?}");
+        assert!(budgeted.answered * 100 >= budgeted.requests * 98, "{budgeted:?}");
+        assert_eq!(budgeted.requests, budgeted.answered + budgeted.not_run);
     }
 }
 
 #[test]
 fn try_hedge_budget() {
-    // Every lookup is late and every hedge wins: hedges stay within a twentieth
-    // of the first tries and the two tokens saved up, and what they took is gone
-    // for a try after a failure, too. One budget is what bounds the load.
+    // Every lookup is late and every hedge wins. Hedges stay within a twentieth of the first
+    // attempts plus the two saved tokens, and what they spend is no longer there for a retry after
+    // a failure: one budget bounds the load.
     let mut policy = policy(1);
     assert_eq!(policy.hedge_after(), None);
     (0..64).for_each(|_| policy.record_latency(Duration::from_millis(20)));
@@ -192,9 +190,9 @@
     assert_eq!(policy.decide(&failed), Decision::Stop { answer: Answer::Failed });
 }
 
-// An entry has just started and gets a lookup each second, and one upstream in three holds what
-// it gets. Lookups there wait for their whole time unless a second copy goes out, and none did
-// before the entry had seen 32 answers. After eight it knows enough.
+// An entry that has just started gets one lookup per second, and one upstream in three doesn't
+// respond. Lookups there time out unless they are hedged, which must not take 32 samples to begin;
+// eight are enough.
 #[test]
 fn hedge_after_few_answers() {
     let mut policy = policy(1);
@@ -202,15 +200,15 @@
     assert_eq!(policy.hedge_after(), None);
     policy.record_latency(Duration::from_millis(20));
     assert_eq!(policy.hedge_after(), Some(Duration::from_millis(20)));
-    // A slower time shows soon as well, and not only with the next 32.
+    // Slower responses show soon too, not only after the next 32 samples.
     (0..16).for_each(|_| policy.record_latency(Duration::from_millis(40)));
     assert_eq!(policy.hedge_after(), Some(Duration::from_millis(40)));
 }
 
 #[test]
 fn hedge_after_suspended() {
-    // The whole service is slow, so that no hedge answers first. After sixteen
-    // the policy stops sending them, and looks again 500 requests later.
+    // The whole service is slow, so no hedge responds first. After sixteen hedges the policy
+    // suspends them for 500 requests.
     let mut policy = policy(1);
     (0..64).for_each(|_| policy.record_latency(Duration::from_millis(20)));
     let mut hedges = 0;
@@ -227,7 +225,7 @@
     assert!(policy.hedge_after().is_some());
 }
 
-/// One entry's budget: a fifth of its requests and two more, within ten seconds.
+/// Budget of one entry: a fifth of its requests and two more, within ten seconds.
 fn pooled() -> Policy {
     let mut policy = policy(3);
     let limits = Limits::per_entry(0.2, 20.0, Duration::from_secs(10), Some(10));
@@ -236,78 +234,80 @@
     policy
 }
 
-// Load rises and callers are told of eight other entries, while those who hold the list before
-// still use its eight. All upstreams refuse for ten seconds. Each entry takes its part of the
-// further tries; together all sixteen stay within what eight were told to share.
+// Load rises and callers are told of eight more entries, while callers with the earlier list still
+// use its eight. All upstreams refuse for ten seconds. Each entry spends its share of the retries,
+// and all sixteen together stay within what the fleet may spend.
 #[test]
-fn decide_pooled_two_lists() {
+fn decide_pooled_stale_caller_lists() {
     let (share, burst, window) = (0.2, 62.0, Duration::from_secs(10));
     let limits = Limits::per_entry(share, burst, window, Some(16));
     let mut firsts = 0;
-    let mut again = 0;
+    let mut retried = 0;
     for _ in 0..16 {
         let mut policy = policy(3);
         policy.advance(Duration::ZERO);
         policy.set_limits(limits);
         lookups(&mut policy, 0, 100, 0..0);
         firsts += 90;
-        again += lookups(&mut policy, 100, 90, 100..190);
+        retried += lookups(&mut policy, 100, 90, 100..190);
     }
-    assert!(again as f64 <= share * f64::from(firsts) + burst, "{again} of {firsts}");
+    assert!(retried as f64 <= share * f64::from(firsts) + burst, "{retried} of {firsts}");
 }
 
-/// Has `count` requests come, one each 100 ms from `from` on; how many of those that fail in
-/// `broken` are tried again.
-fn lookups(policy: &mut Policy, from: u64, count: u64, broken: std::ops::Range<u64>) -> usize {
+/// Sends `count` requests from tick `from` on, one every 100 ms. Those in `failing` fail; returns
+/// how many of them are retried.
+fn lookups(policy: &mut Policy, from: u64, count: u64, failing: std::ops::Range<u64>) -> usize {
     let cut = attempt(true, true, Outcome::Cut);
-    let mut again = 0;
+    let mut retried = 0;
     for at in from..from + count {
         policy.advance(Duration::from_millis(100 * at));
         policy.record_first();
-        if broken.contains(&at) {
-            again += usize::from(matches!(policy.decide(&cut), Decision::Again { .. }));
+        if failing.contains(&at) {
+            retried += usize::from(matches!(policy.decide(&cut), Decision::Again { .. }));
         }
     }
-    again
+    retried
 }
 
-// For twelve seconds all is well; then ten lookups in a row meet upstreams that cut their
-// answers. What the calm seconds have earned has all of them tried again.
+// After twelve healthy seconds ten lookups in a row meet upstreams that cut off their responses.
+// The healthy seconds have earned a retry for each of them.
 #[test]
-fn decide_pooled_after_calm() {
+fn decide_pooled_unspent() {
     let mut policy = pooled();
     assert_eq!(lookups(&mut policy, 0, 130, 120..130), 10);
 }
 
-// Every lookup fails for a minute. In no ten seconds are more tried again than the share of
-// the requests and the burst, however the windows lie.
+// Every lookup fails for a minute. Within any ten seconds no more are retried than the share of the
+// requests plus the burst.
 #[test]
 fn decide_pooled_all_fail() {
     let mut policy = pooled();
     let cut = attempt(true, true, Outcome::Cut);
-    let mut again = Vec::new();
+    let mut retried = Vec::new();
     for at in 0..600 {
         policy.advance(Duration::from_millis(100 * at));
         policy.record_first();
         if matches!(policy.decide(&cut), Decision::Again { .. }) {
-            again.push(at);
+            retried.push(at);
         }
     }
-    let within = |from: u64| again.iter().filter(|at| (from..from + 100).contains(*at)).count();
-    let most = (0..500).map(within).max().unwrap();
+    let count_from =
+        |from: u64| retried.iter().filter(|at| (from..from + 100).contains(*at)).count();
+    let most = (0..500).map(count_from).max().unwrap();
     assert!((18..=20).contains(&most), "{most}");
 }
 
-// A process starts anew. Nobody knows what the one before has just spent, so it begins without
-// a burst: ten failures at once right after the start are not tried again.
+// A process restarts. The previous one may just have spent its budget, so this one starts without a
+// burst: ten failures right after the start are hardly retried.
 #[test]
-fn decide_pooled_just_started() {
+fn decide_pooled_restart() {
     let mut policy = pooled();
     assert!(lookups(&mut policy, 0, 10, 0..10) <= 1);
 }
 
-// The whole fleet starts for the first time, and a third of the upstreams cut the first answers.
-// No process before this one has spent anything: the whole part is there from the first second.
+// The whole fleet starts for the first time, and a third of the upstreams cut off the first
+// responses. No earlier process can have spent anything, so the whole share is available from the
+// first second.
 #[test]
 fn decide_pooled_first_start() {
     let limits = Limits::per_entry(0.2, 20.0, Duration::from_secs(10), Some(10));
@@ -317,9 +317,8 @@
     assert_eq!(lookups(&mut policy, 0, 10, 0..10), 3);
 }
 
-// Upstreams are at fault, and lookups are sent there to see whether one is well again. Once
-// only one further try is left no lookup is risked: the caller would lose what nobody sends
-// again, where another upstream would have served it.
+// Lookups probe failing upstreams. Once only one retry is left no lookup is risked: it would be
+// lost, where another upstream would have served it.
 #[test]
 fn has_spare_retries_exhausted() {
     let mut policy = pooled();
