--- a/src/breaker/panel.rs
+++ b/src/breaker/group.rs
@@ -79,7 +79,7 @@
 
 /// The breakers of one service, at one entry.
 #[derive(Clone, Debug)]
-pub struct Panel {
+pub struct Group {
     circuits: BTreeMap<UpstreamId, Member>,
     entries: usize,
     errors: Errors,
@@ -114,7 +114,7 @@
     try_from: Moment,
 }
 
-impl Panel {
+impl Group {
     /// A service without upstreams; `floor` is the share of its slots that stay in use.
     pub fn new(floor: f64, random: ChaCha8Rng) -> Self {
         Self {
--- a/src/node/attached/breakers.rs
+++ b/src/node/attached/breakers.rs
@@ -9,7 +9,7 @@
 
 use crate::breaker::Blame;
 use crate::breaker::Cause;
-use crate::breaker::Panel;
+use crate::breaker::Group;
 use crate::breaker::State;
 use crate::breaker::Tally;
 use crate::clock::Moment;
@@ -29,7 +29,7 @@
     blame: Blame,
     looked_at: Moment,
     overdue: Overdue,
-    panels: BTreeMap<ServiceId, Panel>,
+    groups: BTreeMap<ServiceId, Group>,
     random: ChaCha8Rng,
 }
 
@@ -58,19 +58,19 @@
             blame: Blame::default(),
             looked_at: now,
             overdue: Overdue::default(),
-            panels: BTreeMap::new(),
+            groups: BTreeMap::new(),
             random,
         }
     }
 
     /// Breakers of one service.
-    pub(super) fn get(&self, service: &ServiceId) -> Option<&Panel> {
-        self.panels.get(service)
+    pub(super) fn get(&self, service: &ServiceId) -> Option<&Group> {
+        self.groups.get(service)
     }
 
     /// When they want to be looked at.
     pub(super) fn wake(&self) -> Option<Moment> {
-        let next = self.panels.values().filter_map(Panel::wake).min();
+        let next = self.groups.values().filter_map(Group::wake).min();
         next.map(|at| at.max(self.looked_at + LOOK))
     }
 
@@ -81,8 +81,8 @@
         }
         self.looked_at = now;
         let mut changed = false;
-        for panel in self.panels.values_mut() {
-            changed |= panel.tick(now);
+        for group in self.groups.values_mut() {
+            changed |= group.tick(now);
         }
         changed
     }
@@ -96,14 +96,14 @@
         floor: f64,
     ) {
         let random = &mut self.random;
-        let fresh = || Panel::new(floor, ChaCha8Rng::seed_from_u64(random.next_u64()));
-        let panel = self.panels.entry(service.clone()).or_insert_with(fresh);
-        panel.join(upstream, slots);
+        let fresh = || Group::new(floor, ChaCha8Rng::seed_from_u64(random.next_u64()));
+        let group = self.groups.entry(service.clone()).or_insert_with(fresh);
+        group.join(upstream, slots);
     }
 
     /// An upstream takes no more work.
     pub(super) fn leave(&mut self, upstream: &UpstreamId) {
-        self.panels.values_mut().for_each(|panel| panel.leave(upstream));
+        self.groups.values_mut().for_each(|group| group.leave(upstream));
     }
 
     /// An upstream is gone, with all that is known of it.
@@ -114,12 +114,12 @@
 
     /// Sets how many entries share the trials.
     pub(super) fn set_entries(&mut self, entries: usize) {
-        self.panels.values_mut().for_each(|panel| panel.set_entries(entries));
+        self.groups.values_mut().for_each(|group| group.set_entries(entries));
     }
 
     /// Sets the share of each service's slots that stay in use.
     pub(super) fn set_floors(&mut self, floor: impl Fn(&ServiceId) -> f64) {
-        self.panels.iter_mut().for_each(|(service, panel)| panel.set_floor(floor(service)));
+        self.groups.iter_mut().for_each(|(service, group)| group.set_floor(floor(service)));
     }
 
     /// Takes what a caller received here; `None` where the service is not known.
@@ -130,23 +130,23 @@
         upstream: &UpstreamId,
         tally: &Tally,
     ) -> Option<Noted> {
-        let panel = self.panels.get_mut(service)?;
-        let before = panel.state(upstream);
-        let serves_others = panel.serves_others(now, upstream);
-        let changed = panel.note_own(now, upstream, tally);
-        let cleared = u32::from(changed && panel.was_cleared(upstream));
+        let group = self.groups.get_mut(service)?;
+        let before = group.state(upstream);
+        let serves_others = group.serves_others(now, upstream);
+        let changed = group.note_own(now, upstream, tally);
+        let cleared = u32::from(changed && group.was_cleared(upstream));
         if tally.lost() > 0 && serves_others {
             self.blame.note(now, upstream);
         }
         let is_evidence = !self.blame.is_own(now);
         Some(Noted {
-            alarmed: panel.is_alarmed(),
+            alarmed: group.is_alarmed(),
             before,
-            cause: panel.cause(upstream),
+            cause: group.cause(upstream),
             changed,
             cleared,
             is_evidence,
-            state: panel.state(upstream),
+            state: group.state(upstream),
         })
     }
 
@@ -158,8 +158,8 @@
         upstream: &UpstreamId,
         tally: &Tally,
     ) -> bool {
-        let panel = self.panels.get_mut(service);
-        panel.is_some_and(|panel| panel.note(now, upstream, tally))
+        let group = self.groups.get_mut(service);
+        group.is_some_and(|group| group.note(now, upstream, tally))
     }
 
     /// Requests of these `ages` that wait far longer than usual, each counted once.
@@ -169,7 +169,7 @@
         upstream: &UpstreamId,
         ages: &[Duration],
     ) -> Tally {
-        let usual = self.panels.get(service).and_then(Panel::usual).unwrap_or_default();
+        let usual = self.groups.get(service).and_then(Group::usual).unwrap_or_default();
         self.overdue.count(upstream, usual, ages)
     }
 }
--- a/src/node/attached/spoke.rs
+++ b/src/node/attached/spoke.rs
@@ -188,8 +188,8 @@
     pub(super) fn upstreams(&self, _: Moment) -> BTreeMap<ServiceId, Vec<status::Upstream>> {
         let mut services: BTreeMap<ServiceId, Vec<status::Upstream>> = BTreeMap::new();
         for Known { said, .. } in self.upstreams.values() {
-            let panel = self.breakers.get(&said.service);
-            let verdict = match panel.map(|panel| panel.state(&said.upstream)) {
+            let group = self.breakers.get(&said.service);
+            let verdict = match group.map(|group| group.state(&said.upstream)) {
                 None | Some(State::Closed) => health::Verdict::Sound,
                 Some(State::Open { .. }) => health::Verdict::Ejected,
                 Some(State::Trial { .. }) => health::Verdict::Trial,
@@ -373,10 +373,10 @@
             service.members.push(self.member(now, known));
         }
         for (name, service) in &mut services {
-            let Some(panel) = self.breakers.get(name) else { continue };
-            service.weights = panel.weights().into_iter().collect();
-            service.trials = panel.trials();
-            service.suspects = panel.suspects();
+            let Some(group) = self.breakers.get(name) else { continue };
+            service.weights = group.weights().into_iter().collect();
+            service.trials = group.trials();
+            service.suspects = group.suspects();
             service.settle(!service.suspects.is_empty());
         }
         services
--- a/tests/suite/breaker.rs
+++ b/tests/suite/breaker.rs
@@ -3,6 +3,6 @@
 mod blame;
 mod circuit;
 mod errors;
+mod group;
 mod once;
 mod outages;
-mod panel;
--- a/tests/suite/breaker/blame.rs
+++ b/tests/suite/breaker/blame.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use hemlockfield::breaker::Blame;
-use hemlockfield::breaker::Panel;
+use hemlockfield::breaker::Group;
 use hemlockfield::breaker::Tally;
 use hemlockfield::health::Kind;
 use hemlockfield::id::UpstreamId;
@@ -19,22 +19,22 @@
     compact_str::format_compact!("hull-{at:02}")
 }
 
-fn panel() -> Panel {
-    let mut panel = Panel::new(0.5, ChaCha8Rng::seed_from_u64(7));
-    (0..COUNT).for_each(|at| panel.join(name(at), 4));
-    panel
+fn group() -> Group {
+    let mut group = Group::new(0.5, ChaCha8Rng::seed_from_u64(7));
+    (0..COUNT).for_each(|at| group.join(name(at), 4));
+    group
 }
 
 /// What the entry makes of an answer that its own caller did not get.
-fn cut_here(panel: &mut Panel, blame: &mut Blame, now: Duration, at: u64) {
-    if panel.serves_others(now, &name(at)) {
+fn cut_here(group: &mut Group, blame: &mut Blame, now: Duration, at: u64) {
+    if group.serves_others(now, &name(at)) {
         blame.note(now, &name(at));
     }
-    panel.note_own(now, &name(at), &one(Kind::Cut));
+    group.note_own(now, &name(at), &one(Kind::Cut));
 }
 
-fn told(panel: &mut Panel, now: Duration, at: u64, kind: Kind) {
-    panel.note(now, &name(at), &one(kind));
+fn told(group: &mut Group, now: Duration, at: u64, kind: Kind) {
+    group.note(now, &name(at), &one(kind));
 }
 
 // Eight upstreams break their answers together, each to callers of all entries. An entry that
@@ -42,11 +42,11 @@
 // loses a request at each upstream: it must go on telling.
 #[test]
 fn is_own_many_upstreams_at_fault() {
-    let (mut panel, mut blame) = (panel(), Blame::default());
+    let (mut group, mut blame) = (group(), Blame::default());
     for at in 0..COUNT {
-        told(&mut panel, ms(100 * at), at, Kind::Success);
-        told(&mut panel, ms(100 * at + 20), at, Kind::Cut);
-        cut_here(&mut panel, &mut blame, ms(100 * at + 60), at);
+        told(&mut group, ms(100 * at), at, Kind::Success);
+        told(&mut group, ms(100 * at + 20), at, Kind::Cut);
+        cut_here(&mut group, &mut blame, ms(100 * at + 60), at);
     }
     assert!(!blame.is_own(ms(1000)));
 }
@@ -56,10 +56,10 @@
 // their callers, and then all the rest.
 #[test]
 fn is_own_others_are_served() {
-    let (mut panel, mut blame) = (panel(), Blame::default());
+    let (mut group, mut blame) = (group(), Blame::default());
     for at in 0..4 {
-        told(&mut panel, ms(100 * at), at, Kind::Success);
-        cut_here(&mut panel, &mut blame, ms(100 * at + 60), at);
+        told(&mut group, ms(100 * at), at, Kind::Success);
+        cut_here(&mut group, &mut blame, ms(100 * at + 60), at);
     }
     assert!(blame.is_own(ms(1000)));
     assert!(!blame.is_own(ms(3300)), "what is three seconds old counts no more");
@@ -69,10 +69,10 @@
 // has nobody to compare with, and tells what it sees.
 #[test]
 fn is_own_nobody_to_compare_with() {
-    let (mut panel, mut blame) = (panel(), Blame::default());
+    let (mut group, mut blame) = (group(), Blame::default());
     for at in 0..COUNT {
-        panel.note_own(ms(100 * at), &name(at), &Tally::of(Kind::Success, ms(200)));
-        cut_here(&mut panel, &mut blame, ms(100 * at + 60), at);
+        group.note_own(ms(100 * at), &name(at), &Tally::of(Kind::Success, ms(200)));
+        cut_here(&mut group, &mut blame, ms(100 * at + 60), at);
     }
     assert!(!blame.is_own(ms(1000)));
 }
--- a/tests/suite/breaker/errors.rs
+++ b/tests/suite/breaker/errors.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use hemlockfield::breaker::Errors;
-use hemlockfield::breaker::Panel;
+use hemlockfield::breaker::Group;
 use hemlockfield::breaker::Tally;
 use hemlockfield::health::Kind;
 use rand::Rng;
@@ -42,7 +42,7 @@
     has_faults: bool,
     /// Requests that may run only once, and those of them that got an error.
     once: (u32, u32),
-    panel: Panel,
+    group: Group,
     phases: Vec<u64>,
     random: ChaCha8Rng,
     told: BTreeMap<u64, Vec<(usize, Tally)>>,
@@ -52,20 +52,20 @@
 impl World {
     fn new(errors: f64, has_faults: bool, seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let mut panel = Panel::new(0.5, ChaCha8Rng::seed_from_u64(seed));
-        (0..UPSTREAMS).for_each(|at| panel.join(name(at), 3));
+        let mut group = Group::new(0.5, ChaCha8Rng::seed_from_u64(seed));
+        (0..UPSTREAMS).for_each(|at| group.join(name(at), 3));
         let phases = (0..UPSTREAMS).map(|_| random.random_range(0..ROUND)).collect();
         let told = BTreeMap::new();
-        Self { errors, has_faults, once: (0, 0), panel, phases, random, told, tried: 0 }
+        Self { errors, has_faults, once: (0, 0), group, phases, random, told, tried: 0 }
     }
 
     fn step(&mut self, now: u64) {
         while let Some(first) = self.told.first_entry().filter(|first| *first.key() <= now) {
             for (at, tally) in first.remove() {
-                self.panel.note(ms(now), &name(at), &tally);
+                self.group.note(ms(now), &name(at), &tally);
             }
         }
-        self.panel.tick(ms(now));
+        self.group.tick(ms(now));
         let is_lookup = self.random.random_bool(LOOKUPS);
         let Some((at, is_trial)) = self.choose(is_lookup) else { return };
         let is_bad = self.has_faults && (now + self.phases[at]) % ROUND < BAD;
@@ -83,14 +83,14 @@
     }
 
     fn choose(&mut self, is_lookup: bool) -> Option<(usize, bool)> {
-        let trials = self.panel.trials();
+        let trials = self.group.trials();
         let due = trials.iter().filter(|trial| trial.by_any || is_lookup);
         if let Some(trial) = due.into_iter().find(|trial| trial.number > self.tried) {
             self.tried = trial.number;
             return (0..UPSTREAMS).find(|at| name(*at) == trial.upstream).map(|at| (at, true));
         }
-        let weights = self.panel.weights();
-        let suspects = self.panel.suspects();
+        let weights = self.group.weights();
+        let suspects = self.group.suspects();
         let is_out = |at: &usize| weights.get(&name(*at)) == Some(&0.0);
         let sound = (0..UPSTREAMS).filter(|at| !is_out(at) && !suspects.contains(&name(*at)));
         sound.choose(&mut self.random).map(|at| (at, false))
@@ -118,42 +118,42 @@
     let mut world = World::new(0.05, false, seed);
     for now in (0..END).step_by(STEP as usize) {
         world.step(now);
-        let spared = world.panel.suspects().len() + world.panel.weights().len();
+        let spared = world.group.suspects().len() + world.group.weights().len();
         assert!(spared <= 2, "{spared} at {now} ms");
     }
-    assert!(!world.panel.is_alarmed());
+    assert!(!world.group.is_alarmed());
 }
 
 /// A service of four upstreams in which errors come one after the other.
-fn recurring() -> Panel {
-    let mut panel = Panel::new(0.5, ChaCha8Rng::seed_from_u64(5));
-    (0..4).for_each(|at| panel.join(name(at), 3));
+fn recurring() -> Group {
+    let mut group = Group::new(0.5, ChaCha8Rng::seed_from_u64(5));
+    (0..4).for_each(|at| group.join(name(at), 3));
     for at in (0..36_000).step_by(3_000) {
-        panel.note(ms(at), &name(3), &one(Kind::ServerError));
-        panel.note(ms(at + 50), &name(3), &one(Kind::ServerError));
+        group.note(ms(at), &name(3), &one(Kind::ServerError));
+        group.note(ms(at + 50), &name(3), &one(Kind::ServerError));
     }
-    panel
+    group
 }
 
 // All of a service's upstreams give an error each at the same time, while it is full: the last
 // choice they all stay, and none is taken out, as the errors may have been single ones.
 #[test]
 fn note_recurring_takes_no_room() {
-    let mut panel = recurring();
-    (0..3).for_each(|at| assert!(panel.note(ms(40_000), &name(at), &one(Kind::ServerError))));
-    let weights = panel.weights();
+    let mut group = recurring();
+    (0..3).for_each(|at| assert!(group.note(ms(40_000), &name(at), &one(Kind::ServerError))));
+    let weights = group.weights();
     assert!((0..3).all(|at| !weights.contains_key(&name(at))), "{weights:?}");
-    assert!((0..3).all(|at| panel.suspects().contains(&name(at))));
+    assert!((0..3).all(|at| group.suspects().contains(&name(at))));
 }
 
 // An upstream gives an error, and with what was under way there a second one: that is a fault,
 // and it gets no more work.
 #[test]
 fn note_recurring_second() {
-    let mut panel = recurring();
-    panel.note(ms(40_000), &name(0), &one(Kind::ServerError));
-    panel.note(ms(40_050), &name(0), &one(Kind::ServerError));
-    assert_eq!(panel.weights().get(&name(0)), Some(&0.0));
+    let mut group = recurring();
+    group.note(ms(40_000), &name(0), &one(Kind::ServerError));
+    group.note(ms(40_050), &name(0), &one(Kind::ServerError));
+    assert_eq!(group.weights().get(&name(0)), Some(&0.0));
 }
 
 // Few errors were seen: what followed on them may be chance.
--- a/tests/suite/breaker/panel.rs
+++ b/tests/suite/breaker/group.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hemlockfield::breaker::Panel;
+use hemlockfield::breaker::Group;
 use hemlockfield::breaker::State;
 use hemlockfield::breaker::Tally;
 use hemlockfield::health::Kind;
@@ -18,18 +18,18 @@
     compact_str::format_compact!("hull-{at:02}")
 }
 
-fn panel(floor: f64) -> Panel {
-    let mut panel = Panel::new(floor, ChaCha8Rng::seed_from_u64(7));
-    (0..COUNT).for_each(|at| panel.join(name(at), 2));
-    panel
+fn group(floor: f64) -> Group {
+    let mut group = Group::new(floor, ChaCha8Rng::seed_from_u64(7));
+    (0..COUNT).for_each(|at| group.join(name(at), 2));
+    group
 }
 
-fn cut(panel: &mut Panel, now: Duration, at: usize) {
-    panel.note(now, &name(at), &one(Kind::Cut));
+fn cut(group: &mut Group, now: Duration, at: usize) {
+    group.note(now, &name(at), &one(Kind::Cut));
 }
 
-fn out(panel: &Panel) -> usize {
-    panel.weights().values().filter(|weight| **weight <= 0.0).count()
+fn out(group: &Group) -> usize {
+    group.weights().values().filter(|weight| **weight <= 0.0).count()
 }
 
 // Two thirds of the upstreams break an answer, one after the other: more than may be out. Half
@@ -37,37 +37,37 @@
 // that callers get the four sound ones first.
 #[test]
 fn weights_many_at_fault() {
-    let mut panel = panel(0.5);
+    let mut group = group(0.5);
     for at in 0..8 {
-        cut(&mut panel, ms(100 * at as u64), at);
+        cut(&mut group, ms(100 * at as u64), at);
     }
-    assert_eq!(out(&panel), 6);
-    assert_eq!(panel.weights().get(&name(7)), Some(&0.0));
-    let suspects: Vec<_> = panel.suspects().into_iter().collect();
+    assert_eq!(out(&group), 6);
+    assert_eq!(group.weights().get(&name(7)), Some(&0.0));
+    let suspects: Vec<_> = group.suspects().into_iter().collect();
     assert_eq!(suspects, [name(0), name(1)]);
 }
 
 // Nothing is suspect while the floor does not bind.
 #[test]
 fn suspects_below_floor() {
-    let mut panel = panel(0.5);
-    cut(&mut panel, ms(0), 3);
-    assert_eq!(out(&panel), 1);
-    assert!(panel.suspects().is_empty());
+    let mut group = group(0.5);
+    cut(&mut group, ms(0), 3);
+    assert_eq!(out(&group), 1);
+    assert!(group.suspects().is_empty());
 }
 
 // Answers of one upstream take three times as long as those of the others. It gets a little
 // work, to show when it is fast again, and none is lost.
 #[test]
 fn weights_slow() {
-    let mut panel = panel(0.5);
+    let mut group = group(0.5);
     for round in 0..6 {
         for at in 0..COUNT {
             let took = if at == 5 { ms(600) } else { ms(200) };
-            panel.note(ms(round * 100), &name(at), &Tally::of(Kind::Success, took));
+            group.note(ms(round * 100), &name(at), &Tally::of(Kind::Success, took));
         }
     }
-    let weights = panel.weights();
+    let weights = group.weights();
     assert_eq!(weights.len(), 1);
     assert!((0.05..0.5).contains(&weights[&name(5)]), "{weights:?}");
 }
@@ -75,24 +75,24 @@
 /// Replays a load: a third of the upstreams cut 17 of 20 answers for `lasts`, each in turn for
 /// the entry that tries it. Gives when the last of them was back, and the trials that failed.
 fn replay(lasts: Duration) -> (Duration, usize) {
-    let mut panel = panel(0.5);
+    let mut group = group(0.5);
     let bad = COUNT / 3;
-    (0..bad).for_each(|at| cut(&mut panel, ms(0), at));
+    (0..bad).for_each(|at| cut(&mut group, ms(0), at));
     let mut failed = 0;
     let mut made = 0;
     for step in 0..400 {
         let now = ms(step * 50);
-        panel.tick(now);
-        for trial in panel.trials() {
+        group.tick(now);
+        for trial in group.trials() {
             if trial.number <= made {
                 continue;
             }
             made = trial.number;
             let kind = if now < lasts && made % 7 != 0 { Kind::Cut } else { Kind::Success };
             failed += usize::from(kind == Kind::Cut);
-            panel.note_own(now, &trial.upstream, &Tally::of_trial(kind, ms(20), true));
+            group.note_own(now, &trial.upstream, &Tally::of_trial(kind, ms(20), true));
         }
-        let closed = |at: &usize| panel.state(&name(*at)) == State::Closed;
+        let closed = |at: &usize| group.state(&name(*at)) == State::Closed;
         if now >= lasts && (0..bad).all(|at| closed(&at)) {
             return (now, failed);
         }
@@ -121,12 +121,12 @@
 // Upstreams come and go; one that is gone is not tried, and its service needs no room for it.
 #[test]
 fn leave_open() {
-    let mut panel = panel(0.5);
-    cut(&mut panel, ms(0), 1);
-    panel.leave(&name(1));
-    panel.tick(ms(5_000));
-    assert!(panel.trials().is_empty());
-    assert_eq!(out(&panel), 0);
+    let mut group = group(0.5);
+    cut(&mut group, ms(0), 1);
+    group.leave(&name(1));
+    group.tick(ms(5_000));
+    assert!(group.trials().is_empty());
+    assert_eq!(out(&group), 0);
 }
 
 // All upstreams have more work than they can do, and each lets every fifth request run out of
@@ -134,14 +134,14 @@
 // rest answers nobody: callers of a site at twice its usual load lost one order in six so.
 #[test]
 fn note_hung_all_full() {
-    let mut panel = panel(0.5);
+    let mut group = group(0.5);
     for round in 0..40 {
         for at in 0..COUNT {
             let kind = if (round + at) % 5 == 0 { Kind::Silent } else { Kind::Success };
-            panel.note(ms(100 * round as u64), &name(at), &one(kind));
+            group.note(ms(100 * round as u64), &name(at), &one(kind));
         }
     }
-    let few = out(&panel) + panel.suspects().len();
+    let few = out(&group) + group.suspects().len();
     assert!(few <= 2, "{few} are out");
 }
 
@@ -149,10 +149,10 @@
 // out, and so does it among others that are full, once most of what it got has hung.
 #[test]
 fn note_hung_one() {
-    let mut calm = panel(0.5);
+    let mut calm = group(0.5);
     calm.note(ms(0), &name(0), &one(Kind::Silent));
     assert_eq!(out(&calm), 1);
-    let mut full = panel(0.5);
+    let mut full = group(0.5);
     for round in 0..20 {
         for at in 1..COUNT {
             let kind = if (round + at) % 5 == 0 { Kind::Silent } else { Kind::Success };
@@ -168,12 +168,12 @@
 // requests that may run once it had no work for seconds, while others were full.
 #[test]
 fn note_answered_after_all() {
-    let mut panel = panel(0.5);
+    let mut group = group(0.5);
     let waits = Tally { hung: 1, overdue: 1, waited: 1_000, ..Tally::default() };
-    panel.note_own(ms(1_000), &name(3), &waits);
-    assert_eq!(out(&panel), 1);
-    panel.note_own(ms(1_400), &name(3), &Tally::of(Kind::Success, ms(1_400)));
-    assert_eq!(panel.state(&name(3)), State::Closed);
+    group.note_own(ms(1_000), &name(3), &waits);
+    assert_eq!(out(&group), 1);
+    group.note_own(ms(1_400), &name(3), &Tally::of(Kind::Success, ms(1_400)));
+    assert_eq!(group.state(&name(3)), State::Closed);
 }
 
 // The entry whose request was slow tells the others; one that hears of the wait and of its end
@@ -182,35 +182,35 @@
 fn note_cleared_elsewhere() {
     let waits = Tally { hung: 1, overdue: 1, waited: 1_000, ..Tally::default() };
     let cleared = Tally { cleared: 1, ..Tally::of(Kind::Success, ms(1_400)) };
-    let mut panel = panel(0.5);
-    panel.note(ms(1_000), &name(3), &waits);
-    assert_eq!(out(&panel), 1);
-    panel.note(ms(1_400), &name(3), &cleared);
-    assert_eq!(out(&panel), 0);
+    let mut group = group(0.5);
+    group.note(ms(1_000), &name(3), &waits);
+    assert_eq!(out(&group), 1);
+    group.note(ms(1_400), &name(3), &cleared);
+    assert_eq!(out(&group), 0);
     let mut both = waits;
     both.add(&cleared);
-    panel.note(ms(2_000), &name(4), &both);
-    assert_eq!(out(&panel), 0);
+    group.note(ms(2_000), &name(4), &both);
+    assert_eq!(out(&group), 0);
 }
 
 // A request hangs, and its caller gives up; another one was slow, and is answered whole. That one
 // hung is certain, so the upstream stays out.
 #[test]
 fn note_answered_beside_hung() {
-    let mut panel = panel(0.5);
+    let mut group = group(0.5);
     let waits = Tally { hung: 1, overdue: 1, waited: 1_000, ..Tally::default() };
-    panel.note_own(ms(1_000), &name(3), &waits);
-    panel.note_own(ms(2_000), &name(3), &Tally::of(Kind::Timeout, ms(2_000)));
-    panel.note_own(ms(2_100), &name(3), &Tally::of(Kind::Success, ms(1_400)));
-    assert_eq!(out(&panel), 1);
+    group.note_own(ms(1_000), &name(3), &waits);
+    group.note_own(ms(2_000), &name(3), &Tally::of(Kind::Timeout, ms(2_000)));
+    group.note_own(ms(2_100), &name(3), &Tally::of(Kind::Success, ms(1_400)));
+    assert_eq!(out(&group), 1);
 }
 
 // An upstream was taken out for a broken answer. That a slow one from before comes whole is no
 // reason to take it back.
 #[test]
 fn note_answered_after_cut() {
-    let mut panel = panel(0.5);
-    cut(&mut panel, ms(1_000), 3);
-    panel.note_own(ms(1_400), &name(3), &Tally::of(Kind::Success, ms(1_400)));
-    assert_eq!(out(&panel), 1);
+    let mut group = group(0.5);
+    cut(&mut group, ms(1_000), 3);
+    group.note_own(ms(1_400), &name(3), &Tally::of(Kind::Success, ms(1_400)));
+    assert_eq!(out(&group), 1);
 }
--- a/tests/suite/breaker/once.rs
+++ b/tests/suite/breaker/once.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
-use hemlockfield::breaker::Panel;
+use hemlockfield::breaker::Group;
 use hemlockfield::breaker::Tally;
 use hemlockfield::health::Kind;
 use rand::Rng;
@@ -76,7 +76,7 @@
     lost_at: Vec<u64>,
     /// Upstreams with a weak link, the first ones.
     marred: usize,
-    panels: Vec<Panel>,
+    groups: Vec<Group>,
     phases: Vec<u64>,
     random: ChaCha8Rng,
     /// Share of the requests that take long.
@@ -88,11 +88,11 @@
 impl World {
     fn new(fault: Fault, lookups: f64, marred: f64, seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let panel = |at| {
-            let mut panel = Panel::new(0.5, ChaCha8Rng::seed_from_u64(seed + at));
-            (0..UPSTREAMS).for_each(|at| panel.join(name(at), 3));
-            panel.set_entries(ENTRIES);
-            panel
+        let group = |at| {
+            let mut group = Group::new(0.5, ChaCha8Rng::seed_from_u64(seed + at));
+            (0..UPSTREAMS).for_each(|at| group.join(name(at), 3));
+            group.set_entries(ENTRIES);
+            group
         };
         Self {
             broken_at: vec![0; UPSTREAMS],
@@ -102,7 +102,7 @@
             lost: 0,
             lost_at: Vec::new(),
             marred: (UPSTREAMS as f64 * marred) as usize,
-            panels: (0..ENTRIES as u64).map(panel).collect(),
+            groups: (0..ENTRIES as u64).map(group).collect(),
             phases: (0..UPSTREAMS).map(|_| random.random_range(0..ROUND)).collect(),
             random,
             slow: 0.0,
@@ -121,23 +121,23 @@
                 self.hear(now, &heard);
             }
         }
-        for (entry, panel) in self.panels.iter_mut().enumerate() {
+        for (entry, group) in self.groups.iter_mut().enumerate() {
             if (now + entry as u64 * STEP).is_multiple_of(LOOK) {
-                panel.tick(ms(now));
+                group.tick(ms(now));
             }
         }
         (0..PER_STEP).for_each(|_| self.request(now));
     }
 
     fn hear(&mut self, now: u64, heard: &Heard) {
-        let panel = &mut self.panels[heard.entry];
+        let group = &mut self.groups[heard.entry];
         let upstream = name(heard.upstream);
         if !heard.is_own {
-            panel.note(ms(now), &upstream, &heard.tally);
+            group.note(ms(now), &upstream, &heard.tally);
             return;
         }
-        let changed = panel.note_own(ms(now), &upstream, &heard.tally);
-        let cleared = u32::from(changed && panel.was_cleared(&upstream));
+        let changed = group.note_own(ms(now), &upstream, &heard.tally);
+        let cleared = u32::from(changed && group.was_cleared(&upstream));
         let tally = Tally { cleared, ..heard.tally };
         for entry in (0..ENTRIES).filter(|entry| *entry != heard.entry) {
             let at = now + self.random.random_range(TOLD_AFTER);
@@ -185,14 +185,14 @@
     }
 
     fn choose(&mut self, entry: usize, is_lookup: bool) -> Option<(usize, bool)> {
-        let trials = self.panels[entry].trials();
+        let trials = self.groups[entry].trials();
         let due = trials.iter().filter(|trial| trial.by_any || is_lookup);
         let fresh = due.into_iter().find(|trial| self.taken[entry].insert(trial.number));
         if let Some(trial) = fresh {
             return (0..UPSTREAMS).find(|at| name(*at) == trial.upstream).map(|at| (at, true));
         }
-        let weights = self.panels[entry].weights();
-        let suspects = self.panels[entry].suspects();
+        let weights = self.groups[entry].weights();
+        let suspects = self.groups[entry].suspects();
         let is_out = |at: &usize| weights.get(&name(*at)) == Some(&0.0);
         let in_use = (0..UPSTREAMS).filter(|at| !is_out(at) && !suspects.contains(&name(*at)));
         in_use.choose(&mut self.random).map(|at| (at, false))
--- a/tests/suite/breaker/outages.rs
+++ b/tests/suite/breaker/outages.rs
@@ -1,7 +1,7 @@
 //! When upstreams are tried, by how long outages lasted.
 
+use hemlockfield::breaker::Group;
 use hemlockfield::breaker::Outages;
-use hemlockfield::breaker::Panel;
 use hemlockfield::breaker::Tally;
 use hemlockfield::breaker::Trial;
 use hemlockfield::health::Kind;
@@ -40,28 +40,28 @@
 /// Trials that fail in each of `rounds` outages of seven seconds, and the longest time from the
 /// end of one until the upstream is in use.
 fn replay(rounds: u64) -> (Vec<usize>, u64) {
-    let mut panel = Panel::new(0.5, ChaCha8Rng::seed_from_u64(5));
-    panel.join("hull-1".into(), 4);
-    panel.join("hull-2".into(), 4);
+    let mut group = Group::new(0.5, ChaCha8Rng::seed_from_u64(5));
+    group.join("hull-1".into(), 4);
+    group.join("hull-2".into(), 4);
     let mut failed = vec![0; rounds as usize];
     let mut longest = 0;
     let mut made = 0;
     for now in (0..rounds * 20_000).step_by(50) {
         let (round, at) = (now / 20_000, now % 20_000);
         if at == 0 {
-            panel.note(ms(now), &"hull-1".into(), &one(Kind::Cut));
+            group.note(ms(now), &"hull-1".into(), &one(Kind::Cut));
         }
-        panel.tick(ms(now));
-        for trial in panel.trials() {
+        group.tick(ms(now));
+        for trial in group.trials() {
             if trial.number <= made {
                 continue;
             }
             made = trial.number;
             let kind = if at < 7_000 { Kind::Cut } else { Kind::Success };
             failed[round as usize] += usize::from(kind == Kind::Cut);
-            panel.note_own(ms(now), &trial.upstream, &Tally::of_trial(kind, ms(20), true));
+            group.note_own(ms(now), &trial.upstream, &Tally::of_trial(kind, ms(20), true));
         }
-        let is_out = panel.weights().contains_key("hull-1");
+        let is_out = group.weights().contains_key("hull-1");
         if at >= 7_000 && is_out {
             longest = longest.max(at - 7_000);
         }
@@ -88,25 +88,25 @@
 #[case::lookups(true, 8_000)]
 #[case::none(false, 3_000)]
 fn trials_by_any(#[case] lookups: bool, #[case] from: u64) {
-    let mut panel = Panel::new(0.5, ChaCha8Rng::seed_from_u64(5));
+    let mut group = Group::new(0.5, ChaCha8Rng::seed_from_u64(5));
     let name = |at: usize| compact_str::format_compact!("hull-{at}");
-    (0..10).for_each(|at| panel.join(name(at), 4));
-    panel.note(ms(0), &name(0), &one(Kind::Cut));
+    (0..10).for_each(|at| group.join(name(at), 4));
+    group.note(ms(0), &name(0), &one(Kind::Cut));
     let mut first = None;
     let answered = Tally { answered: 2, millis: 40, ..Tally::default() };
     for now in (0..12_000).step_by(50) {
-        panel.note(ms(now), &name(1 + now as usize / 50 % 9), &answered);
-        panel.tick(ms(now));
+        group.note(ms(now), &name(1 + now as usize / 50 % 9), &answered);
+        group.tick(ms(now));
         let other = name(1 + now as usize / 1_000 % 9);
         match now % 1_000 {
-            0 => panel.note(ms(now), &other, &one(Kind::Cut)),
+            0 => group.note(ms(now), &other, &one(Kind::Cut)),
             400 | 450 if lookups => {
-                panel.note(ms(now), &other, &Tally::of_trial(Kind::Success, ms(20), true))
+                group.note(ms(now), &other, &Tally::of_trial(Kind::Success, ms(20), true))
             }
             _ => false,
         };
         let by_any = |trial: &Trial| trial.by_any && trial.upstream == name(0);
-        if first.is_none() && panel.trials().iter().any(by_any) {
+        if first.is_none() && group.trials().iter().any(by_any) {
             first = Some(now);
         }
     }
@@ -119,22 +119,22 @@
 // that is out gets an order after four seconds all the same, and not after eight.
 #[test]
 fn trials_by_any_late_order() {
-    let mut panel = Panel::new(0.5, ChaCha8Rng::seed_from_u64(5));
+    let mut group = Group::new(0.5, ChaCha8Rng::seed_from_u64(5));
     let name = |at: usize| compact_str::format_compact!("hull-{at}");
-    (0..10).for_each(|at| panel.join(name(at), 4));
-    panel.note(ms(0), &name(1), &one(Kind::Cut));
+    (0..10).for_each(|at| group.join(name(at), 4));
+    group.note(ms(0), &name(1), &one(Kind::Cut));
     let passed = Tally::of_trial(Kind::Success, ms(20), false);
     let mut first = None;
     for now in (0..16_000).step_by(50) {
-        panel.tick(ms(now));
+        group.tick(ms(now));
         match now {
-            4_500 => panel.note(ms(now), &name(0), &one(Kind::Cut)),
-            4_600 | 4_700 => panel.note(ms(now), &name(1), &passed),
-            5_000 | 7_000 | 9_000 => panel.note(ms(now), &name(1), &passed),
+            4_500 => group.note(ms(now), &name(0), &one(Kind::Cut)),
+            4_600 | 4_700 => group.note(ms(now), &name(1), &passed),
+            5_000 | 7_000 | 9_000 => group.note(ms(now), &name(1), &passed),
             _ => false,
         };
         let by_any = |trial: &Trial| trial.by_any && trial.upstream == name(0);
-        if first.is_none() && panel.trials().iter().any(by_any) {
+        if first.is_none() && group.trials().iter().any(by_any) {
             first = Some(now);
         }
     }
