--- a/src/breaker.rs
+++ b/src/breaker.rs
@@ -23,8 +23,8 @@
 mod circuit;
 mod errors;
 mod group;
+mod losses;
 mod outages;
-mod pressure;
 mod tally;
 mod window;
 
@@ -35,7 +35,7 @@
 pub use errors::Errors;
 pub use group::Group;
 pub use group::Trial;
+pub use losses::Losses;
 pub use outages::Outages;
-pub use pressure::Pressure;
 pub use tally::Tally;
 pub use window::Window;
--- a/src/breaker/group.rs
+++ b/src/breaker/group.rs
@@ -10,8 +10,8 @@
 use super::Cause;
 use super::Circuit;
 use super::Errors;
+use super::Losses;
 use super::Outages;
-use super::Pressure;
 use super::State;
 use super::Tally;
 use crate::clock::Moment;
@@ -87,7 +87,7 @@
     /// When a trial by an idempotent request last went well.
     helped_at: Option<Moment>,
     outages: Outages,
-    pressure: Pressure,
+    losses: Losses,
     random: ChaCha8Rng,
     trials: u64,
 }
@@ -124,7 +124,7 @@
             floor,
             helped_at: None,
             outages: Outages::default(),
-            pressure: Pressure::default(),
+            losses: Losses::default(),
             random,
             trials: 0,
         }
@@ -252,7 +252,7 @@
     pub fn tick(&mut self, now: Moment) -> bool {
         let mut changed = false;
         let helped = self.helped_at.is_some_and(|at| now < at + HELPED);
-        self.pressure.look(now, self.circuits.values().map(|member| member.circuit.recent()));
+        self.losses.update(now, self.circuits.values().map(|member| member.circuit.recent()));
         for member in self.circuits.values_mut() {
             let before = member.circuit.state();
             member.circuit.tick(now);
@@ -269,7 +269,7 @@
                 (member.try_from, member.once_from) = moments(&self.outages, &member.circuit);
             }
             let failed_at = member.circuit.outage().1;
-            let is_high = self.pressure.is_high(now);
+            let is_high = self.losses.is_high(now);
             let most = if is_high { ONCE_PRESSED } else { ONCE_MOST };
             let is_broken = member.circuit.cause() == Cause::Broken;
             let is_late = is_high && is_broken && now >= failed_at + ONCE_PRESSED + ONCE_LATE;
--- a/src/breaker/pressure.rs
+++ b/src/breaker/losses.rs
@@ -24,14 +24,14 @@
 /// **Without it.** Where requests may run only once, up to half of the sound upstreams have no
 /// work while one request in ten is lost.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Pressure {
+pub struct Losses {
     looked_at: Moment,
     until: Moment,
 }
 
-impl Pressure {
+impl Losses {
     /// Looks at what each upstream's callers lately received.
-    pub fn look(&mut self, now: Moment, recent: impl Iterator<Item = Tally>) {
+    pub fn update(&mut self, now: Moment, recent: impl Iterator<Item = Tally>) {
         if now < self.looked_at + LOOK {
             return;
         }
