--- a/src/breaker.rs
+++ b/src/breaker.rs
@@ -24,7 +24,7 @@
 mod errors;
 mod group;
 mod losses;
-mod outages;
+mod outage_history;
 mod tally;
 mod window;
 
@@ -36,6 +36,6 @@
 pub use group::Group;
 pub use group::Trial;
 pub use losses::Losses;
-pub use outages::Outages;
+pub use outage_history::OutageHistory;
 pub use tally::Tally;
 pub use window::Window;
--- a/src/breaker/group.rs
+++ b/src/breaker/group.rs
@@ -11,7 +11,7 @@
 use super::Circuit;
 use super::Errors;
 use super::Losses;
-use super::Outages;
+use super::OutageHistory;
 use super::State;
 use super::Tally;
 use crate::clock::Moment;
@@ -86,7 +86,7 @@
     floor: f64,
     /// When a trial by an idempotent request last went well.
     helped_at: Option<Moment>,
-    outages: Outages,
+    outages: OutageHistory,
     losses: Losses,
     random: ChaCha8Rng,
     trials: u64,
@@ -123,7 +123,7 @@
             errors: Errors::default(),
             floor,
             helped_at: None,
-            outages: Outages::default(),
+            outages: OutageHistory::default(),
             losses: Losses::default(),
             random,
             trials: 0,
@@ -402,7 +402,7 @@
 }
 
 /// When trials of an upstream begin: by idempotent requests, and by those that may run once.
-fn moments(outages: &Outages, circuit: &Circuit) -> (Moment, Moment) {
+fn moments(outages: &OutageHistory, circuit: &Circuit) -> (Moment, Moment) {
     let (opened_at, failed_at) = circuit.outage();
     let lasted = failed_at.saturating_sub(opened_at);
     let over_at = |likelihood| outages.over_at(lasted, likelihood).map(|age| opened_at + age);
--- a/src/breaker/outages.rs
+++ b/src/breaker/outage_history.rs
@@ -18,11 +18,11 @@
 /// seven seconds cost two dozen requests each: 35% of all lookups met one first. Where requests
 /// may run only once, each is lost.
 #[derive(Clone, Debug, Default)]
-pub struct Outages {
+pub struct OutageHistory {
     lengths: VecDeque<Duration>,
 }
 
-impl Outages {
+impl OutageHistory {
     /// Notes how long one lasted.
     pub fn add(&mut self, length: Duration) {
         if self.lengths.len() == KEPT {
--- a/tests/suite/breaker.rs
+++ b/tests/suite/breaker.rs
@@ -5,4 +5,4 @@
 mod errors;
 mod group;
 mod once;
-mod outages;
+mod outage_history;
--- a/tests/suite/breaker/outages.rs
+++ b/tests/suite/breaker/outage_history.rs
@@ -1,7 +1,7 @@
 //! When upstreams are tried, by how long outages lasted.
 
 use hemlockfield::breaker::Group;
-use hemlockfield::breaker::Outages;
+use hemlockfield::breaker::OutageHistory;
 use hemlockfield::breaker::Tally;
 use hemlockfield::breaker::Trial;
 use hemlockfield::health::Kind;
@@ -15,7 +15,7 @@
 // Few outages were seen: what they have in common may be chance, and nothing is read from them.
 #[test]
 fn over_at_few() {
-    let mut outages = Outages::default();
+    let mut outages = OutageHistory::default();
     (0..5).for_each(|_| outages.add(ms(7_000)));
     assert_eq!(outages.over_at(ms(0), 0.5), None);
     outages.add(ms(7_000));
@@ -27,7 +27,7 @@
 // that has lasted for two seconds is one of the long ones.
 #[test]
 fn over_at_two_kinds() {
-    let mut outages = Outages::default();
+    let mut outages = OutageHistory::default();
     (0..8).for_each(|_| outages.add(ms(200)));
     (0..16).for_each(|_| outages.add(ms(7_000)));
     (0..8).for_each(|_| outages.add(ms(8_000)));
