--- a/src/breaker.rs
+++ b/src/breaker.rs
@@ -21,7 +21,7 @@
 mod blame;
 mod cause;
 mod circuit;
-mod errors;
+mod error_history;
 mod group;
 mod losses;
 mod outage_history;
@@ -32,7 +32,7 @@
 pub use cause::Cause;
 pub use circuit::Circuit;
 pub use circuit::State;
-pub use errors::Errors;
+pub use error_history::ErrorHistory;
 pub use group::Group;
 pub use group::Trial;
 pub use losses::Losses;
--- a/src/breaker/errors.rs
+++ b/src/breaker/error_history.rs
@@ -20,11 +20,11 @@
 /// once: half of all that is lost. Or each single error takes a sound upstream's work away,
 /// where the others have no room for it.
 #[derive(Clone, Debug, Default)]
-pub struct Errors {
+pub struct ErrorHistory {
     followed: VecDeque<bool>,
 }
 
-impl Errors {
+impl ErrorHistory {
     /// Notes whether the answer after an error was one again.
     pub fn add(&mut self, is_followed: bool) {
         if self.followed.len() == KEPT {
@@ -34,7 +34,7 @@
     }
 
     /// Whether one error is a sign of a fault.
-    pub fn recur(&self) -> bool {
+    pub fn is_recurring(&self) -> bool {
         let followed = self.followed.iter().filter(|is_followed| **is_followed).count();
         let known = self.followed.len();
         known >= LEAST && followed as f64 >= RECURRING * known as f64
--- a/src/breaker/group.rs
+++ b/src/breaker/group.rs
@@ -9,7 +9,7 @@
 
 use super::Cause;
 use super::Circuit;
-use super::Errors;
+use super::ErrorHistory;
 use super::Losses;
 use super::OutageHistory;
 use super::State;
@@ -82,7 +82,7 @@
 pub struct Group {
     circuits: BTreeMap<UpstreamId, Member>,
     entries: usize,
-    errors: Errors,
+    errors: ErrorHistory,
     floor: f64,
     /// When a trial by an idempotent request last went well.
     helped_at: Option<Moment>,
@@ -120,7 +120,7 @@
         Self {
             circuits: BTreeMap::new(),
             entries: 1,
-            errors: Errors::default(),
+            errors: ErrorHistory::default(),
             floor,
             helped_at: None,
             outages: OutageHistory::default(),
@@ -213,7 +213,7 @@
 
     /// Whether an upstream's error is a sign of a fault here.
     pub fn is_alarmed(&self) -> bool {
-        self.errors.recur()
+        self.errors.is_recurring()
     }
 
     /// Whether an error follows on one.
@@ -236,7 +236,7 @@
     fn with(&mut self, upstream: &UpstreamId, note: impl FnOnce(&mut Circuit)) -> bool {
         let Some(member) = self.circuits.get_mut(upstream) else { return false };
         let before = member.circuit.state();
-        member.circuit.set_doubts(self.errors.recur());
+        member.circuit.set_doubts(self.errors.is_recurring());
         note(&mut member.circuit);
         let after = member.circuit.state();
         if after != before && matches!(after, State::Open { .. }) {
--- a/tests/suite/breaker.rs
+++ b/tests/suite/breaker.rs
@@ -2,7 +2,7 @@
 
 mod blame;
 mod circuit;
-mod errors;
+mod error_history;
 mod group;
 mod once;
 mod outage_history;
--- a/tests/suite/breaker/errors.rs
+++ b/tests/suite/breaker/error_history.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use hemlockfield::breaker::Errors;
+use hemlockfield::breaker::ErrorHistory;
 use hemlockfield::breaker::Group;
 use hemlockfield::breaker::Tally;
 use hemlockfield::health::Kind;
@@ -158,10 +158,10 @@
 
 // Few errors were seen: what followed on them may be chance.
 #[test]
-fn recur_few() {
-    let mut errors = Errors::default();
+fn is_recurring_few() {
+    let mut errors = ErrorHistory::default();
     (0..11).for_each(|_| errors.add(true));
-    assert!(!errors.recur());
+    assert!(!errors.is_recurring());
     errors.add(true);
-    assert!(errors.recur());
+    assert!(errors.is_recurring());
 }
