--- a/src/breaker.rs
+++ b/src/breaker.rs
@@ -16,26 +16,26 @@
 //!
 //! Two things look like an upstream's fault and are none: an entry whose own network breaks
 //! its answers ([`Blame`]), and a service that has more work than it can do, whose requests
-//! run out of time at every upstream ([`Tally::hung`]).
+//! run out of time at every upstream ([`Counts::hung`]).
 
 mod blame;
 mod cause;
 mod circuit;
+mod counts;
 mod error_history;
 mod group;
 mod losses;
 mod outage_history;
-mod tally;
 mod window;
 
 pub use blame::Blame;
 pub use cause::Cause;
 pub use circuit::Circuit;
 pub use circuit::State;
+pub use counts::Counts;
 pub use error_history::ErrorHistory;
 pub use group::Group;
 pub use group::Trial;
 pub use losses::Losses;
 pub use outage_history::OutageHistory;
-pub use tally::Tally;
 pub use window::Window;
--- a/src/breaker/cause.rs
+++ b/src/breaker/cause.rs
@@ -1,6 +1,6 @@
 //! What took an upstream out.
 
-use super::Tally;
+use super::Counts;
 
 /// What took an upstream out.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -33,14 +33,14 @@
     }
 
     /// What speaks most against an upstream of which this was received.
-    pub(super) fn of(tally: &Tally) -> Self {
-        match tally {
-            tally if tally.broken > 0 => Self::Broken,
-            tally if tally.hung > tally.overdue => Self::Hung,
-            tally if tally.failed > 0 => Self::Failed,
-            tally if tally.unreached > 0 => Self::Unreached,
-            tally if tally.overdue > 0 => Self::Overdue,
-            tally if tally.late > 0 => Self::Late,
+    pub(super) fn of(counts: &Counts) -> Self {
+        match counts {
+            counts if counts.broken > 0 => Self::Broken,
+            counts if counts.hung > counts.overdue => Self::Hung,
+            counts if counts.failed > 0 => Self::Failed,
+            counts if counts.unreached > 0 => Self::Unreached,
+            counts if counts.overdue > 0 => Self::Overdue,
+            counts if counts.late > 0 => Self::Late,
             _ => Self::Failed,
         }
     }
--- a/src/breaker/circuit.rs
+++ b/src/breaker/circuit.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::Cause;
-use super::Tally;
+use super::Counts;
 use super::Window;
 use crate::clock::Moment;
 
@@ -111,7 +111,7 @@
     }
 
     /// What the window holds.
-    pub fn recent(&self) -> Tally {
+    pub fn recent(&self) -> Counts {
         self.window.sum()
     }
 
@@ -137,9 +137,9 @@
 
     /// Whether this shows that the upstream was taken out for a request that was only slow: one
     /// that had waited as long was answered whole.
-    fn is_cleared_by(&self, tally: &Tally) -> bool {
-        let latency = Duration::from_millis(tally.millis);
-        self.presumed_after.is_some_and(|after| tally.answered == 1 && latency >= after)
+    fn is_cleared_by(&self, counts: &Counts) -> bool {
+        let latency = Duration::from_millis(counts.millis);
+        self.presumed_after.is_some_and(|after| counts.answered == 1 && latency >= after)
     }
 
     /// When its present or last outage began, and when that was last known to go on.
@@ -165,7 +165,7 @@
     }
 
     /// What callers received within the window.
-    pub fn recent_at(&self, now: Moment) -> Tally {
+    pub fn recent_at(&self, now: Moment) -> Counts {
         self.window.at(now)
     }
 
@@ -176,53 +176,53 @@
     }
 
     /// Takes what callers received here.
-    pub fn note_own(&mut self, now: Moment, tally: &Tally) {
-        let cleared = u32::from(self.is_cleared_by(tally));
+    pub fn note_own(&mut self, now: Moment, counts: &Counts) {
+        let cleared = u32::from(self.is_cleared_by(counts));
         self.own.roll(now);
-        self.own.add(now, tally);
-        self.note(now, &Tally { cleared, ..*tally });
+        self.own.add(now, counts);
+        self.note(now, &Counts { cleared, ..*counts });
     }
 
     /// Takes what callers received at other entries.
-    pub fn note(&mut self, now: Moment, tally: &Tally) {
-        if self.presumed_after.is_some() && tally.cleared > 0 {
+    pub fn note(&mut self, now: Moment, counts: &Counts) {
+        if self.presumed_after.is_some() && counts.cleared > 0 {
             self.close();
             self.cleared = true;
         }
-        let tally = &tally.without_cleared();
+        let counts = &counts.without_cleared();
         self.window.roll(now);
-        self.window.add(now, tally);
-        let fault_at = tally.fault_at(now);
-        if tally.broken + tally.hung + tally.unreached > 0 {
+        self.window.add(now, counts);
+        let fault_at = counts.fault_at(now);
+        if counts.broken + counts.hung + counts.unreached > 0 {
             self.broken_at = now;
         }
         match self.state {
             State::Closed => {
-                self.judge(now, tally);
-                if self.doubts && tally.failed > 0 && self.state == State::Closed {
+                self.judge(now, counts);
+                if self.doubts && counts.failed > 0 && self.state == State::Closed {
                     self.open(now, now, Cause::Failed, DOUBTED);
                     self.is_doubted = true;
                 }
             }
-            State::Open { .. } if self.is_doubted && tally.faults() > 0 => {
+            State::Open { .. } if self.is_doubted && counts.faults() > 0 => {
                 self.is_doubted = false;
                 self.failed_at = self.failed_at.max(fault_at);
                 self.state = State::Open { until: now + OPEN };
             }
-            State::Open { until } if tally.broken + tally.hung > 0 => {
+            State::Open { until } if counts.broken + counts.hung > 0 => {
                 // Requests that were under way when it opened end now; they tell that the
                 // fault goes on.
-                self.ascertain(tally);
+                self.ascertain(counts);
                 self.failed_at = self.failed_at.max(fault_at);
                 self.state = State::Open { until: until.max(fault_at + OPEN) };
             }
             State::Open { .. } => {}
-            State::Trial { .. } if tally.faults() > 0 => {
+            State::Trial { .. } if counts.faults() > 0 => {
                 // What hung from before the last failure on is no failure of a trial: taken for
                 // one, each caller that gave up put the next trial off by seconds.
-                self.ascertain(tally);
+                self.ascertain(counts);
                 if fault_at > self.failed_at {
-                    self.cause = Cause::of(tally);
+                    self.cause = Cause::of(counts);
                     self.presumed_after = None;
                     self.is_doubted = false;
                     self.failed_at = fault_at;
@@ -232,10 +232,10 @@
             State::Trial { since, passed } => {
                 // Only trials count: answers to what was sent before the fault began come
                 // and are told late.
-                if passed == 0 && tally.passed > 0 {
+                if passed == 0 && counts.passed > 0 {
                     self.passed_at = now;
                 }
-                self.pass(since, passed + tally.passed);
+                self.pass(since, passed + counts.passed);
             }
         }
     }
@@ -260,26 +260,26 @@
         }
     }
 
-    fn judge(&mut self, now: Moment, tally: &Tally) {
+    fn judge(&mut self, now: Moment, counts: &Counts) {
         let sum = self.window.sum();
         let failing = f64::from(sum.failed) >= FAILING * f64::from(sum.ended());
         let recent = self.window.since(now.saturating_sub(HELD_SPAN));
-        let fault = tally.broken > 0
-            || self.is_hanging(tally, &sum)
+        let fault = counts.broken > 0
+            || self.is_hanging(counts, &sum)
             || (sum.failed >= FAILURES && failing)
             || (recent.late >= HELD && recent.answered == 0)
             || self.own.sum().unreached >= UNREACHED
             || (sum.unreached >= LOST && sum.answered == 0);
         if fault {
-            self.open(now, tally.fault_at(now), Cause::of(tally), OPEN);
-            self.presumed_after = sum.presumed_after().and(tally.presumed_after());
+            self.open(now, counts.fault_at(now), Cause::of(counts), OPEN);
+            self.presumed_after = sum.presumed_after().and(counts.presumed_after());
         }
     }
 
     /// Takes it for certain that it is at fault, where this is certain.
-    fn ascertain(&mut self, tally: &Tally) {
-        if tally.presumed_after().is_none() && self.presumed_after.take().is_some() {
-            self.cause = Cause::of(tally);
+    fn ascertain(&mut self, counts: &Counts) {
+        if counts.presumed_after().is_none() && self.presumed_after.take().is_some() {
+            self.cause = Cause::of(counts);
         }
     }
 
@@ -291,9 +291,9 @@
         self.state = State::Open { until: now + pause };
     }
 
-    fn is_hanging(&self, tally: &Tally, sum: &Tally) -> bool {
+    fn is_hanging(&self, counts: &Counts, sum: &Counts) -> bool {
         if !self.crowded {
-            return tally.hung > 0;
+            return counts.hung > 0;
         }
         sum.hung >= HUNG && f64::from(sum.hung) >= HANGING * f64::from(sum.ended())
     }
--- a/src/breaker/tally.rs
+++ b/src/breaker/counts.rs
@@ -10,7 +10,7 @@
 
 /// What callers received of one upstream in some span.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Tally {
+pub struct Counts {
     /// Errors of a service where one is a sign of a fault.
     pub alarming: u32,
     /// Whole answers.
@@ -42,33 +42,33 @@
     pub waited: u64,
 }
 
-impl Tally {
+impl Counts {
     /// One outcome.
     pub fn of(kind: Kind, latency: Duration) -> Self {
-        let mut tally = Self::default();
+        let mut counts = Self::default();
         match kind {
-            Kind::ConnectFailed => tally.unreached = 1,
-            Kind::Cut => tally.broken = 1,
+            Kind::ConnectFailed => counts.unreached = 1,
+            Kind::Cut => counts.broken = 1,
             Kind::Silent | Kind::Timeout => {
-                tally.hung = 1;
-                tally.waited = latency.as_millis() as u64;
+                counts.hung = 1;
+                counts.waited = latency.as_millis() as u64;
             }
             Kind::Refused => {}
-            Kind::ServerError => tally.failed = 1,
+            Kind::ServerError => counts.failed = 1,
             Kind::Success => {
-                tally.answered = 1;
-                tally.millis = latency.as_millis() as u64;
+                counts.answered = 1;
+                counts.millis = latency.as_millis() as u64;
             }
         }
-        tally
+        counts
     }
 
     /// One outcome of a trial; `is_repeatable` where its request could be sent again elsewhere.
     pub fn of_trial(kind: Kind, latency: Duration, is_repeatable: bool) -> Self {
-        let tally = Self::of(kind, latency);
-        let spared = if is_repeatable { tally.answered } else { 0 };
-        let spent = tally.broken + tally.failed + tally.hung;
-        Self { passed: tally.answered, spared, spent, ..tally }
+        let counts = Self::of(kind, latency);
+        let spared = if is_repeatable { counts.answered } else { 0 };
+        let spent = counts.broken + counts.failed + counts.hung;
+        Self { passed: counts.answered, spared, spent, ..counts }
     }
 
     /// Adds another span's.
--- a/src/breaker/group.rs
+++ b/src/breaker/group.rs
@@ -9,11 +9,11 @@
 
 use super::Cause;
 use super::Circuit;
+use super::Counts;
 use super::ErrorHistory;
 use super::Losses;
 use super::OutageHistory;
 use super::State;
-use super::Tally;
 use crate::clock::Moment;
 use crate::id::UpstreamId;
 
@@ -164,11 +164,11 @@
     }
 
     /// Takes what callers received here; whether the upstream's state changed.
-    pub fn note_own(&mut self, now: Moment, upstream: &UpstreamId, tally: &Tally) -> bool {
-        self.look_for_crowd(now, upstream, tally);
-        self.look_for_help(now, upstream, tally);
-        self.look_for_errors(now, upstream, tally);
-        self.with(upstream, |circuit| circuit.note_own(now, tally))
+    pub fn note_own(&mut self, now: Moment, upstream: &UpstreamId, counts: &Counts) -> bool {
+        self.look_for_crowd(now, upstream, counts);
+        self.look_for_help(now, upstream, counts);
+        self.look_for_errors(now, upstream, counts);
+        self.with(upstream, |circuit| circuit.note_own(now, counts))
     }
 
     /// Whether an upstream is back because a request that took it out was only slow. Other entries
@@ -178,11 +178,11 @@
     }
 
     /// Takes what callers received at other entries; whether the upstream's state changed.
-    pub fn note(&mut self, now: Moment, upstream: &UpstreamId, tally: &Tally) -> bool {
-        self.look_for_crowd(now, upstream, tally);
-        self.look_for_help(now, upstream, tally);
-        self.look_for_errors(now, upstream, tally);
-        self.with(upstream, |circuit| circuit.note(now, tally))
+    pub fn note(&mut self, now: Moment, upstream: &UpstreamId, counts: &Counts) -> bool {
+        self.look_for_crowd(now, upstream, counts);
+        self.look_for_help(now, upstream, counts);
+        self.look_for_errors(now, upstream, counts);
+        self.with(upstream, |circuit| circuit.note(now, counts))
     }
 
     /// Whether callers of other entries lately got whole answers of it, and nothing broken.
@@ -191,11 +191,11 @@
     }
 
     /// Before a hung request is judged: whether it is the service that is full.
-    fn look_for_crowd(&mut self, now: Moment, upstream: &UpstreamId, tally: &Tally) {
-        if tally.hung == 0 {
+    fn look_for_crowd(&mut self, now: Moment, upstream: &UpstreamId, counts: &Counts) {
+        if counts.hung == 0 {
             return;
         }
-        let mut sum = Tally::default();
+        let mut sum = Counts::default();
         let others = self.circuits.iter().filter(|(id, _)| *id != upstream);
         others.for_each(|(_, member)| sum.add(&member.circuit.recent_at(now)));
         let crowded = f64::from(sum.hung) > CROWDED * f64::from(sum.ended());
@@ -205,8 +205,8 @@
     }
 
     /// Whether idempotent requests make trials here, so that others need not.
-    fn look_for_help(&mut self, now: Moment, upstream: &UpstreamId, tally: &Tally) {
-        if tally.spared > 0 && self.circuits.contains_key(upstream) {
+    fn look_for_help(&mut self, now: Moment, upstream: &UpstreamId, counts: &Counts) {
+        if counts.spared > 0 && self.circuits.contains_key(upstream) {
             self.helped_at = Some(now);
         }
     }
@@ -217,16 +217,16 @@
     }
 
     /// Whether an error follows on one.
-    fn look_for_errors(&mut self, now: Moment, upstream: &UpstreamId, tally: &Tally) {
+    fn look_for_errors(&mut self, now: Moment, upstream: &UpstreamId, counts: &Counts) {
         let Some(member) = self.circuits.get_mut(upstream) else { return };
-        if tally.ended() == 0 {
+        if counts.ended() == 0 {
             return;
         }
-        let failed = tally.failed > tally.answered;
+        let failed = counts.failed > counts.answered;
         match member.erred_at.take() {
             Some(at) if now < at + FOLLOWING => self.errors.add(failed),
-            _ if tally.failed > 1 && failed => self.errors.add(true),
-            _ if tally.failed > 0 && member.circuit.state() == State::Closed => {
+            _ if counts.failed > 1 && failed => self.errors.add(true),
+            _ if counts.failed > 0 && member.circuit.state() == State::Closed => {
                 member.erred_at = Some(now);
             }
             _ => {}
--- a/src/breaker/losses.rs
+++ b/src/breaker/losses.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::Tally;
+use super::Counts;
 use crate::clock::Moment;
 
 /// Share of a service's requests, trials apart, that is many. Operators want seven in ten of
@@ -31,13 +31,13 @@
 
 impl Losses {
     /// Looks at what each upstream's callers lately received.
-    pub fn update(&mut self, now: Moment, recent: impl Iterator<Item = Tally>) {
+    pub fn update(&mut self, now: Moment, recent: impl Iterator<Item = Counts>) {
         if now < self.looked_at + LOOK {
             return;
         }
         self.looked_at = now;
-        let mut sum = Tally::default();
-        recent.for_each(|tally| sum.add(&tally));
+        let mut sum = Counts::default();
+        recent.for_each(|counts| sum.add(&counts));
         if sum.failures() >= LEAST && sum.failing() >= MANY {
             self.until = now + HELD;
         }
--- a/src/breaker/window.rs
+++ b/src/breaker/window.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use super::Tally;
+use super::Counts;
 use crate::clock::Moment;
 
 /// Length of the window: at five requests a second of all entries, about a dozen outcomes,
@@ -15,18 +15,18 @@
 /// The last seconds of what callers received.
 #[derive(Clone, Debug, Default)]
 pub struct Window {
-    parts: VecDeque<(Moment, Tally)>,
+    parts: VecDeque<(Moment, Counts)>,
     /// All parts together: read for each upstream at each change of one.
-    sum: Tally,
+    sum: Counts,
 }
 
 impl Window {
     /// Adds what was received now.
-    pub fn add(&mut self, now: Moment, tally: &Tally) {
-        self.sum.add(tally);
+    pub fn add(&mut self, now: Moment, counts: &Counts) {
+        self.sum.add(counts);
         match self.parts.back_mut() {
-            Some((at, part)) if now < *at + PART => part.add(tally),
-            _ => self.parts.push_back((now, *tally)),
+            Some((at, part)) if now < *at + PART => part.add(counts),
+            _ => self.parts.push_back((now, *counts)),
         }
     }
 
@@ -44,27 +44,27 @@
     /// Forgets all.
     pub fn clear(&mut self) {
         self.parts.clear();
-        self.sum = Tally::default();
+        self.sum = Counts::default();
     }
 
     /// What came at `from` or later.
-    pub fn since(&self, from: Moment) -> Tally {
-        let mut sum = Tally::default();
+    pub fn since(&self, from: Moment) -> Counts {
+        let mut sum = Counts::default();
         let parts = self.parts.iter().filter(|(at, _)| *at >= from);
         parts.for_each(|(_, part)| sum.add(part));
         sum
     }
 
     /// What is not too old now.
-    pub fn at(&self, now: Moment) -> Tally {
-        let mut sum = Tally::default();
+    pub fn at(&self, now: Moment) -> Counts {
+        let mut sum = Counts::default();
         let parts = self.parts.iter().filter(|(at, _)| now < *at + SPAN);
         parts.for_each(|(_, part)| sum.add(part));
         sum
     }
 
     /// All that it holds.
-    pub fn sum(&self) -> Tally {
+    pub fn sum(&self) -> Counts {
         self.sum
     }
 }
--- a/src/feed/subscriber.rs
+++ b/src/feed/subscriber.rs
@@ -16,7 +16,7 @@
 use super::Poll;
 use super::Tallies;
 use super::entry;
-use crate::breaker::Tally;
+use crate::breaker::Counts;
 use crate::clock::Moment;
 use crate::fleet::State;
 use crate::id::DomainId;
@@ -103,9 +103,9 @@
     }
 
     /// Notes what callers received here; a broken answer is told at once.
-    pub fn note(&mut self, now: Moment, upstream: &UpstreamId, tally: &Tally) {
-        self.tallies.add(upstream, tally);
-        if tally.is_urgent() {
+    pub fn note(&mut self, now: Moment, upstream: &UpstreamId, counts: &Counts) {
+        self.tallies.add(upstream, counts);
+        if counts.is_urgent() {
             self.due = self.due.min(now.max(self.told_at + TELL_GAP));
         }
     }
--- a/src/feed/tallies.rs
+++ b/src/feed/tallies.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::breaker::Tally;
+use crate::breaker::Counts;
 use crate::id::UpstreamId;
 
 /// What callers received of many upstreams, in some span.
@@ -18,26 +18,26 @@
     /// their lengths were told beforehand.
     pub bytes: u64,
     /// By upstream.
-    pub by_upstream: BTreeMap<UpstreamId, Tally>,
+    pub by_upstream: BTreeMap<UpstreamId, Counts>,
 }
 
 impl Tallies {
     /// Adds one upstream's.
-    pub fn add(&mut self, upstream: &UpstreamId, tally: &Tally) {
-        self.by_upstream.entry(upstream.clone()).or_default().add(tally);
+    pub fn add(&mut self, upstream: &UpstreamId, counts: &Counts) {
+        self.by_upstream.entry(upstream.clone()).or_default().add(counts);
     }
 
     /// Adds all of another span's.
     pub fn add_all(&mut self, other: &Self) {
         self.arrivals += other.arrivals;
         self.bytes += other.bytes;
-        other.by_upstream.iter().for_each(|(upstream, tally)| self.add(upstream, tally));
+        other.by_upstream.iter().for_each(|(upstream, counts)| self.add(upstream, counts));
     }
 
     /// Those of upstreams that others should know of at once.
     pub fn urgent(&self) -> Self {
-        let urgent = self.by_upstream.iter().filter(|(_, tally)| tally.is_urgent());
-        let by_upstream = urgent.map(|(id, tally)| (id.clone(), *tally)).collect();
+        let urgent = self.by_upstream.iter().filter(|(_, counts)| counts.is_urgent());
+        let by_upstream = urgent.map(|(id, counts)| (id.clone(), *counts)).collect();
         Self { by_upstream, ..Self::default() }
     }
 
@@ -48,6 +48,6 @@
 
     /// Whether others should know at once.
     pub fn is_urgent(&self) -> bool {
-        self.by_upstream.values().any(Tally::is_urgent)
+        self.by_upstream.values().any(Counts::is_urgent)
     }
 }
--- a/src/node/attached/breakers.rs
+++ b/src/node/attached/breakers.rs
@@ -9,9 +9,9 @@
 
 use crate::breaker::Blame;
 use crate::breaker::Cause;
+use crate::breaker::Counts;
 use crate::breaker::Group;
 use crate::breaker::State;
-use crate::breaker::Tally;
 use crate::clock::Moment;
 use crate::id::ServiceId;
 use crate::id::UpstreamId;
@@ -128,14 +128,14 @@
         now: Moment,
         service: &ServiceId,
         upstream: &UpstreamId,
-        tally: &Tally,
+        counts: &Counts,
     ) -> Option<Noted> {
         let group = self.groups.get_mut(service)?;
         let before = group.state(upstream);
         let serves_others = group.serves_others(now, upstream);
-        let changed = group.note_own(now, upstream, tally);
+        let changed = group.note_own(now, upstream, counts);
         let cleared = u32::from(changed && group.was_cleared(upstream));
-        if tally.lost() > 0 && serves_others {
+        if counts.lost() > 0 && serves_others {
             self.blame.note(now, upstream);
         }
         let is_evidence = !self.blame.is_own(now);
@@ -156,10 +156,10 @@
         now: Moment,
         service: &ServiceId,
         upstream: &UpstreamId,
-        tally: &Tally,
+        counts: &Counts,
     ) -> bool {
         let group = self.groups.get_mut(service);
-        group.is_some_and(|group| group.note(now, upstream, tally))
+        group.is_some_and(|group| group.note(now, upstream, counts))
     }
 
     /// Requests of these `ages` that wait far longer than usual, each counted once.
@@ -168,7 +168,7 @@
         service: &ServiceId,
         upstream: &UpstreamId,
         ages: &[Duration],
-    ) -> Tally {
+    ) -> Counts {
         let usual = self.groups.get(service).and_then(Group::usual).unwrap_or_default();
         self.overdue.count(upstream, usual, ages)
     }
--- a/src/node/attached/overdue.rs
+++ b/src/node/attached/overdue.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::breaker::Tally;
+use crate::breaker::Counts;
 use crate::id::UpstreamId;
 
 /// A request that has waited this many times as long as usual, and for a second at least,
@@ -28,19 +28,19 @@
         upstream: &UpstreamId,
         usual: Duration,
         ages: &[Duration],
-    ) -> Tally {
+    ) -> Counts {
         let over = |bar: Duration| ages.iter().filter(|age| **age >= bar).count();
         let late = over(LATE_MIN.max(usual.mul_f64(LATE)));
         let is_hung = HUNG_MIN.max(usual * HUNG);
         let hung = over(is_hung);
         let before = self.counts.insert(upstream.clone(), (late, hung)).unwrap_or_default();
         let newly = hung.saturating_sub(before.1);
-        Tally {
+        Counts {
             hung: newly as u32,
             overdue: newly as u32,
             late: late.saturating_sub(before.0) as u32,
             waited: newly as u64 * is_hung.as_millis() as u64,
-            ..Tally::default()
+            ..Counts::default()
         }
     }
 
--- a/src/node/attached/spoke.rs
+++ b/src/node/attached/spoke.rs
@@ -10,8 +10,8 @@
 
 use crate::balance;
 use crate::boundary::Boundary;
+use crate::breaker::Counts;
 use crate::breaker::State;
-use crate::breaker::Tally;
 use crate::clock::Moment;
 use crate::config::Standing;
 use crate::config::Version;
@@ -136,11 +136,11 @@
                 outputs.extend(to.map(|to| Output::Send(to, None, Frame::Feed(message))));
             }
             Input::Outcome(service, upstream, kind, latency) => {
-                self.note(now, service, upstream, &Tally::of(*kind, *latency), &mut outputs);
+                self.note(now, service, upstream, &Counts::of(*kind, *latency), &mut outputs);
             }
             Input::Tried { is_repeatable, kind, latency, service, upstream } => {
-                let tally = Tally::of_trial(*kind, *latency, *is_repeatable);
-                self.note(now, service, upstream, &tally, &mut outputs);
+                let counts = Counts::of_trial(*kind, *latency, *is_repeatable);
+                self.note(now, service, upstream, &counts, &mut outputs);
             }
             Input::Overdue(service, upstream, ages) => {
                 self.overdue(now, service, upstream, ages, &mut outputs);
@@ -320,14 +320,14 @@
         now: Moment,
         service: &ServiceId,
         upstream: &UpstreamId,
-        tally: &Tally,
+        counts: &Counts,
         outputs: &mut Vec<Output>,
     ) {
-        let Some(noted) = self.breakers.note_own(now, service, upstream, tally) else { return };
+        let Some(noted) = self.breakers.note_own(now, service, upstream, counts) else { return };
         if noted.is_evidence {
-            let alarming = if noted.alarmed { tally.failed } else { 0 };
-            let tally = Tally { alarming, cleared: noted.cleared, ..*tally };
-            self.subscriber.note(now, upstream, &tally);
+            let alarming = if noted.alarmed { counts.failed } else { 0 };
+            let counts = Counts { alarming, cleared: noted.cleared, ..*counts };
+            self.subscriber.note(now, upstream, &counts);
         }
         if noted.changed {
             self.dirty = true;
@@ -338,10 +338,10 @@
 
     /// Takes what callers of other entries received.
     fn note_others(&mut self, now: Moment, tallies: &Tallies) {
-        for (upstream, tally) in &tallies.by_upstream {
+        for (upstream, counts) in &tallies.by_upstream {
             let Some(known) = self.upstreams.get(upstream) else { continue };
             let service = &known.said.service;
-            self.dirty |= self.breakers.note_others(now, service, upstream, tally);
+            self.dirty |= self.breakers.note_others(now, service, upstream, counts);
         }
     }
 
@@ -354,9 +354,9 @@
         ages: &[Duration],
         outputs: &mut Vec<Output>,
     ) {
-        let tally = self.breakers.count_overdue(service, upstream, ages);
-        if !tally.is_empty() {
-            self.note(now, service, upstream, &tally, outputs);
+        let counts = self.breakers.count_overdue(service, upstream, ages);
+        if !counts.is_empty() {
+            self.note(now, service, upstream, &counts, outputs);
         }
     }
 
--- a/tests/suite/breaker/blame.rs
+++ b/tests/suite/breaker/blame.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use hemlockfield::breaker::Blame;
+use hemlockfield::breaker::Counts;
 use hemlockfield::breaker::Group;
-use hemlockfield::breaker::Tally;
 use hemlockfield::health::Kind;
 use hemlockfield::id::UpstreamId;
 use rand::SeedableRng;
@@ -71,7 +71,7 @@
 fn is_own_nobody_to_compare_with() {
     let (mut group, mut blame) = (group(), Blame::default());
     for at in 0..COUNT {
-        group.note_own(ms(100 * at), &name(at), &Tally::of(Kind::Success, ms(200)));
+        group.note_own(ms(100 * at), &name(at), &Counts::of(Kind::Success, ms(200)));
         cut_here(&mut group, &mut blame, ms(100 * at + 60), at);
     }
     assert!(!blame.is_own(ms(1000)));
--- a/tests/suite/breaker/circuit.rs
+++ b/tests/suite/breaker/circuit.rs
@@ -4,8 +4,8 @@
 
 use hemlockfield::breaker::Cause;
 use hemlockfield::breaker::Circuit;
+use hemlockfield::breaker::Counts;
 use hemlockfield::breaker::State;
-use hemlockfield::breaker::Tally;
 use hemlockfield::health::Kind;
 use rstest::rstest;
 
@@ -15,8 +15,8 @@
     Duration::from_millis(count)
 }
 
-pub(super) fn one(kind: Kind) -> Tally {
-    Tally::of(kind, USUAL)
+pub(super) fn one(kind: Kind) -> Counts {
+    Counts::of(kind, USUAL)
 }
 
 fn opened_at(now: Duration) -> Circuit {
@@ -67,8 +67,8 @@
     assert!(matches!(circuit.state(), State::Trial { .. }));
     circuit.note(ms(1_100), &one(Kind::Success));
     assert!(matches!(circuit.state(), State::Trial { passed: 0, .. }));
-    circuit.note_own(ms(1_200), &Tally::of_trial(Kind::Success, USUAL, true));
-    circuit.note_own(ms(1_300), &Tally::of_trial(Kind::Success, USUAL, true));
+    circuit.note_own(ms(1_200), &Counts::of_trial(Kind::Success, USUAL, true));
+    circuit.note_own(ms(1_300), &Counts::of_trial(Kind::Success, USUAL, true));
     assert_eq!(circuit.state(), State::Closed);
 }
 
@@ -84,7 +84,7 @@
         pauses.push((until - now).as_millis());
         now = until;
         circuit.tick(now);
-        circuit.note(now, &Tally::of_trial(Kind::Cut, USUAL, true));
+        circuit.note(now, &Counts::of_trial(Kind::Cut, USUAL, true));
     }
     assert_eq!(pauses, [350, 300, 300, 300]);
 }
@@ -95,15 +95,15 @@
 #[test]
 fn note_hung_from_before() {
     let mut circuit = Circuit::default();
-    circuit.note(ms(1_000), &Tally { hung: 1, waited: 1_000, ..Tally::default() });
+    circuit.note(ms(1_000), &Counts { hung: 1, waited: 1_000, ..Counts::default() });
     assert!(is_open(&circuit));
     circuit.tick(ms(1_500));
     let tried = circuit.state();
     assert!(matches!(tried, State::Trial { .. }));
-    circuit.note(ms(3_000), &Tally::of(Kind::Timeout, ms(3_000)));
+    circuit.note(ms(3_000), &Counts::of(Kind::Timeout, ms(3_000)));
     assert_eq!(circuit.state(), tried);
     assert_eq!(circuit.outage(), (ms(0), ms(0)));
-    circuit.note(ms(3_100), &Tally::of(Kind::Timeout, ms(1_000)));
+    circuit.note(ms(3_100), &Counts::of(Kind::Timeout, ms(1_000)));
     assert!(is_open(&circuit));
     assert_eq!(circuit.outage(), (ms(0), ms(2_100)));
 }
@@ -117,9 +117,9 @@
         circuit.tick(ms(1_000 * second));
         assert_ne!(circuit.state(), State::Closed);
     }
-    circuit.note(ms(60_000), &Tally::of_trial(Kind::Success, USUAL, true));
+    circuit.note(ms(60_000), &Counts::of_trial(Kind::Success, USUAL, true));
     assert_ne!(circuit.state(), State::Closed);
-    circuit.note(ms(60_100), &Tally::of_trial(Kind::Success, USUAL, true));
+    circuit.note(ms(60_100), &Counts::of_trial(Kind::Success, USUAL, true));
     assert_eq!(circuit.state(), State::Closed);
 }
 
@@ -127,7 +127,7 @@
 // three requests past their usual time with no answer in between.
 #[test]
 fn note_late_requests() {
-    let late = Tally { late: 1, ..Tally::default() };
+    let late = Counts { late: 1, ..Counts::default() };
     let mut circuit = Circuit::default();
     circuit.note_own(ms(0), &late);
     circuit.note_own(ms(100), &late);
@@ -158,20 +158,20 @@
 #[case::timeout(one(Kind::Timeout), Cause::Hung)]
 #[case::waits(overdue(), Cause::Overdue)]
 #[case::waits_beside_one_out_of_time(both(), Cause::Hung)]
-fn cause_by_evidence(#[case] tally: Tally, #[case] cause: Cause) {
+fn cause_by_evidence(#[case] counts: Counts, #[case] cause: Cause) {
     let mut circuit = Circuit::default();
-    circuit.note(ms(100), &tally);
+    circuit.note(ms(100), &counts);
     assert!(is_open(&circuit));
     assert_eq!(circuit.cause(), cause);
 }
 
 /// A request that has waited for a second, and goes on waiting.
-fn overdue() -> Tally {
-    Tally { hung: 1, overdue: 1, waited: 1_000, ..Tally::default() }
+fn overdue() -> Counts {
+    Counts { hung: 1, overdue: 1, waited: 1_000, ..Counts::default() }
 }
 
-fn both() -> Tally {
-    let mut tally = overdue();
-    tally.add(&one(Kind::Timeout));
-    tally
+fn both() -> Counts {
+    let mut counts = overdue();
+    counts.add(&one(Kind::Timeout));
+    counts
 }
--- a/tests/suite/breaker/error_history.rs
+++ b/tests/suite/breaker/error_history.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
+use hemlockfield::breaker::Counts;
 use hemlockfield::breaker::ErrorHistory;
 use hemlockfield::breaker::Group;
-use hemlockfield::breaker::Tally;
 use hemlockfield::health::Kind;
 use rand::Rng;
 use rand::SeedableRng;
@@ -45,7 +45,7 @@
     group: Group,
     phases: Vec<u64>,
     random: ChaCha8Rng,
-    told: BTreeMap<u64, Vec<(usize, Tally)>>,
+    told: BTreeMap<u64, Vec<(usize, Counts)>>,
     tried: u64,
 }
 
@@ -61,8 +61,8 @@
 
     fn step(&mut self, now: u64) {
         while let Some(first) = self.told.first_entry().filter(|first| *first.key() <= now) {
-            for (at, tally) in first.remove() {
-                self.group.note(ms(now), &name(at), &tally);
+            for (at, counts) in first.remove() {
+                self.group.note(ms(now), &name(at), &counts);
             }
         }
         self.group.tick(ms(now));
@@ -75,11 +75,11 @@
             self.once.1 += u32::from(failed);
         }
         let kind = if failed { Kind::ServerError } else { Kind::Success };
-        let tally = match is_trial {
-            true => Tally::of_trial(kind, ms(ANSWERED), is_lookup),
-            false => Tally::of(kind, ms(ANSWERED)),
+        let counts = match is_trial {
+            true => Counts::of_trial(kind, ms(ANSWERED), is_lookup),
+            false => Counts::of(kind, ms(ANSWERED)),
         };
-        self.told.entry(now + ANSWERED + KNOWN).or_default().push((at, tally));
+        self.told.entry(now + ANSWERED + KNOWN).or_default().push((at, counts));
     }
 
     fn choose(&mut self, is_lookup: bool) -> Option<(usize, bool)> {
--- a/tests/suite/breaker/group.rs
+++ b/tests/suite/breaker/group.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
+use hemlockfield::breaker::Counts;
 use hemlockfield::breaker::Group;
 use hemlockfield::breaker::State;
-use hemlockfield::breaker::Tally;
 use hemlockfield::health::Kind;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -64,7 +64,7 @@
     for round in 0..6 {
         for at in 0..COUNT {
             let took = if at == 5 { ms(600) } else { ms(200) };
-            group.note(ms(round * 100), &name(at), &Tally::of(Kind::Success, took));
+            group.note(ms(round * 100), &name(at), &Counts::of(Kind::Success, took));
         }
     }
     let weights = group.weights();
@@ -90,7 +90,7 @@
             made = trial.number;
             let kind = if now < lasts && made % 7 != 0 { Kind::Cut } else { Kind::Success };
             failed += usize::from(kind == Kind::Cut);
-            group.note_own(now, &trial.upstream, &Tally::of_trial(kind, ms(20), true));
+            group.note_own(now, &trial.upstream, &Counts::of_trial(kind, ms(20), true));
         }
         let closed = |at: &usize| group.state(&name(*at)) == State::Closed;
         if now >= lasts && (0..bad).all(|at| closed(&at)) {
@@ -169,10 +169,10 @@
 #[test]
 fn note_answered_after_all() {
     let mut group = group(0.5);
-    let waits = Tally { hung: 1, overdue: 1, waited: 1_000, ..Tally::default() };
+    let waits = Counts { hung: 1, overdue: 1, waited: 1_000, ..Counts::default() };
     group.note_own(ms(1_000), &name(3), &waits);
     assert_eq!(out(&group), 1);
-    group.note_own(ms(1_400), &name(3), &Tally::of(Kind::Success, ms(1_400)));
+    group.note_own(ms(1_400), &name(3), &Counts::of(Kind::Success, ms(1_400)));
     assert_eq!(group.state(&name(3)), State::Closed);
 }
 
@@ -180,8 +180,8 @@
 // at once takes nothing out.
 #[test]
 fn note_cleared_elsewhere() {
-    let waits = Tally { hung: 1, overdue: 1, waited: 1_000, ..Tally::default() };
-    let cleared = Tally { cleared: 1, ..Tally::of(Kind::Success, ms(1_400)) };
+    let waits = Counts { hung: 1, overdue: 1, waited: 1_000, ..Counts::default() };
+    let cleared = Counts { cleared: 1, ..Counts::of(Kind::Success, ms(1_400)) };
     let mut group = group(0.5);
     group.note(ms(1_000), &name(3), &waits);
     assert_eq!(out(&group), 1);
@@ -198,10 +198,10 @@
 #[test]
 fn note_answered_beside_hung() {
     let mut group = group(0.5);
-    let waits = Tally { hung: 1, overdue: 1, waited: 1_000, ..Tally::default() };
+    let waits = Counts { hung: 1, overdue: 1, waited: 1_000, ..Counts::default() };
     group.note_own(ms(1_000), &name(3), &waits);
-    group.note_own(ms(2_000), &name(3), &Tally::of(Kind::Timeout, ms(2_000)));
-    group.note_own(ms(2_100), &name(3), &Tally::of(Kind::Success, ms(1_400)));
+    group.note_own(ms(2_000), &name(3), &Counts::of(Kind::Timeout, ms(2_000)));
+    group.note_own(ms(2_100), &name(3), &Counts::of(Kind::Success, ms(1_400)));
     assert_eq!(out(&group), 1);
 }
 
@@ -211,6 +211,6 @@
 fn note_answered_after_cut() {
     let mut group = group(0.5);
     cut(&mut group, ms(1_000), 3);
-    group.note_own(ms(1_400), &name(3), &Tally::of(Kind::Success, ms(1_400)));
+    group.note_own(ms(1_400), &name(3), &Counts::of(Kind::Success, ms(1_400)));
     assert_eq!(out(&group), 1);
 }
--- a/tests/suite/breaker/once.rs
+++ b/tests/suite/breaker/once.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
+use hemlockfield::breaker::Counts;
 use hemlockfield::breaker::Group;
-use hemlockfield::breaker::Tally;
 use hemlockfield::health::Kind;
 use rand::Rng;
 use rand::SeedableRng;
@@ -62,7 +62,7 @@
 struct Heard {
     entry: usize,
     is_own: bool,
-    tally: Tally,
+    counts: Counts,
     upstream: usize,
 }
 
@@ -133,15 +133,15 @@
         let group = &mut self.groups[heard.entry];
         let upstream = name(heard.upstream);
         if !heard.is_own {
-            group.note(ms(now), &upstream, &heard.tally);
+            group.note(ms(now), &upstream, &heard.counts);
             return;
         }
-        let changed = group.note_own(ms(now), &upstream, &heard.tally);
+        let changed = group.note_own(ms(now), &upstream, &heard.counts);
         let cleared = u32::from(changed && group.was_cleared(&upstream));
-        let tally = Tally { cleared, ..heard.tally };
+        let counts = Counts { cleared, ..heard.counts };
         for entry in (0..ENTRIES).filter(|entry| *entry != heard.entry) {
             let at = now + self.random.random_range(TOLD_AFTER);
-            let told = Heard { entry, is_own: false, tally, ..*heard };
+            let told = Heard { entry, is_own: false, counts, ..*heard };
             self.heard.entry(at).or_default().push(told);
         }
     }
@@ -159,27 +159,27 @@
             self.lost += 1;
             self.lost_at.push(now);
         }
-        let tally = |kind, took: u64| match is_trial {
-            true => Tally::of_trial(kind, ms(took), is_lookup),
-            false => Tally::of(kind, ms(took)),
+        let counts = |kind, took: u64| match is_trial {
+            true => Counts::of_trial(kind, ms(took), is_lookup),
+            false => Counts::of(kind, ms(took)),
         };
         let fault = if hit { self.fault } else { Fault::Cuts };
-        let overdue = Tally { hung: 1, overdue: 1, waited: OVERDUE, ..Tally::default() };
+        let overdue = Counts { hung: 1, overdue: 1, waited: OVERDUE, ..Counts::default() };
         let is_slow = self.slow > 0.0 && self.random.random_bool(self.slow);
         let seen = match (broken, fault) {
             (false, _) if is_slow => {
                 let took = self.random.random_range(SLOW_TAKES);
-                vec![(now + OVERDUE, overdue), (now + took, tally(Kind::Success, took))]
+                vec![(now + OVERDUE, overdue), (now + took, counts(Kind::Success, took))]
             }
-            (false, _) => vec![(now + 300, tally(Kind::Success, 300))],
-            (true, Fault::Cuts) => vec![(now + 300, tally(Kind::Cut, 300))],
+            (false, _) => vec![(now + 300, counts(Kind::Success, 300))],
+            (true, Fault::Cuts) => vec![(now + 300, counts(Kind::Cut, 300))],
             (true, Fault::Hangs) => {
-                let end = tally(Kind::Timeout, GIVES_UP);
+                let end = counts(Kind::Timeout, GIVES_UP);
                 vec![(now + OVERDUE, overdue), (now + GIVES_UP, end)]
             }
         };
-        for (at, tally) in seen {
-            let heard = Heard { entry, is_own: true, tally, upstream };
+        for (at, counts) in seen {
+            let heard = Heard { entry, is_own: true, counts, upstream };
             self.heard.entry(at).or_default().push(heard);
         }
     }
--- a/tests/suite/breaker/outage_history.rs
+++ b/tests/suite/breaker/outage_history.rs
@@ -1,8 +1,8 @@
 //! When upstreams are tried, by how long outages lasted.
 
+use hemlockfield::breaker::Counts;
 use hemlockfield::breaker::Group;
 use hemlockfield::breaker::OutageHistory;
-use hemlockfield::breaker::Tally;
 use hemlockfield::breaker::Trial;
 use hemlockfield::health::Kind;
 use rand::SeedableRng;
@@ -59,7 +59,7 @@
             made = trial.number;
             let kind = if at < 7_000 { Kind::Cut } else { Kind::Success };
             failed[round as usize] += usize::from(kind == Kind::Cut);
-            group.note_own(ms(now), &trial.upstream, &Tally::of_trial(kind, ms(20), true));
+            group.note_own(ms(now), &trial.upstream, &Counts::of_trial(kind, ms(20), true));
         }
         let is_out = group.weights().contains_key("hull-1");
         if at >= 7_000 && is_out {
@@ -93,7 +93,7 @@
     (0..10).for_each(|at| group.join(name(at), 4));
     group.note(ms(0), &name(0), &one(Kind::Cut));
     let mut first = None;
-    let answered = Tally { answered: 2, millis: 40, ..Tally::default() };
+    let answered = Counts { answered: 2, millis: 40, ..Counts::default() };
     for now in (0..12_000).step_by(50) {
         group.note(ms(now), &name(1 + now as usize / 50 % 9), &answered);
         group.tick(ms(now));
@@ -101,7 +101,7 @@
         match now % 1_000 {
             0 => group.note(ms(now), &other, &one(Kind::Cut)),
             400 | 450 if lookups => {
-                group.note(ms(now), &other, &Tally::of_trial(Kind::Success, ms(20), true))
+                group.note(ms(now), &other, &Counts::of_trial(Kind::Success, ms(20), true))
             }
             _ => false,
         };
@@ -123,7 +123,7 @@
     let name = |at: usize| compact_str::format_compact!("hull-{at}");
     (0..10).for_each(|at| group.join(name(at), 4));
     group.note(ms(0), &name(1), &one(Kind::Cut));
-    let passed = Tally::of_trial(Kind::Success, ms(20), false);
+    let passed = Counts::of_trial(Kind::Success, ms(20), false);
     let mut first = None;
     for now in (0..16_000).step_by(50) {
         group.tick(ms(now));
