--- a/src/breaker.rs
+++ b/src/breaker.rs
@@ -15,20 +15,19 @@
 //! many breakers are open.
 //!
 //! Two things look like an upstream's fault and are none: an entry whose own network breaks
-//! its answers ([`Blame`]), and a service that has more work than it can do, whose requests
+//! its answers ([`LocalFault`]), and a service that has more work than it can do, whose requests
 //! run out of time at every upstream ([`Counts::hung`]).
 
-mod blame;
 mod cause;
 mod circuit;
 mod counts;
 mod error_history;
 mod group;
+mod local_fault;
 mod losses;
 mod outage_history;
 mod window;
 
-pub use blame::Blame;
 pub use cause::Cause;
 pub use circuit::Circuit;
 pub use circuit::State;
@@ -36,6 +35,7 @@
 pub use error_history::ErrorHistory;
 pub use group::Group;
 pub use group::Trial;
+pub use local_fault::LocalFault;
 pub use losses::Losses;
 pub use outage_history::OutageHistory;
 pub use window::Window;
--- a/src/breaker/blame.rs
+++ b/src/breaker/local_fault.rs
@@ -16,11 +16,11 @@
 
 /// The upstreams that lately broke answers to this entry and to no other.
 #[derive(Debug, Default)]
-pub struct Blame {
+pub struct LocalFault {
     broken: VecDeque<(Moment, UpstreamId)>,
 }
 
-impl Blame {
+impl LocalFault {
     /// Notes that an upstream that answers all others broke an answer here, or is late with
     /// it. What other entries saw too is not told: where a third of the upstreams are at
     /// fault, every entry meets as many.
@@ -30,7 +30,7 @@
 
     /// Whether so many upstreams broke their answers to this entry alone that it is probably
     /// its own network: told to others, that would take sound upstreams from all.
-    pub fn is_own(&mut self, now: Moment) -> bool {
+    pub fn is_likely(&mut self, now: Moment) -> bool {
         while self.broken.front().is_some_and(|(at, _)| now >= *at + SPAN) {
             self.broken.pop_front();
         }
--- a/src/node/attached/breakers.rs
+++ b/src/node/attached/breakers.rs
@@ -7,10 +7,10 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::breaker::Blame;
 use crate::breaker::Cause;
 use crate::breaker::Counts;
 use crate::breaker::Group;
+use crate::breaker::LocalFault;
 use crate::breaker::State;
 use crate::clock::Moment;
 use crate::id::ServiceId;
@@ -26,7 +26,7 @@
 /// Breakers of all services at one entry.
 #[derive(Debug)]
 pub(super) struct Breakers {
-    blame: Blame,
+    local_fault: LocalFault,
     looked_at: Moment,
     overdue: Overdue,
     groups: BTreeMap<ServiceId, Group>,
@@ -55,7 +55,7 @@
 impl Breakers {
     pub(super) fn new(now: Moment, random: ChaCha8Rng) -> Self {
         Self {
-            blame: Blame::default(),
+            local_fault: LocalFault::default(),
             looked_at: now,
             overdue: Overdue::default(),
             groups: BTreeMap::new(),
@@ -136,9 +136,9 @@
         let changed = group.note_own(now, upstream, counts);
         let cleared = u32::from(changed && group.was_cleared(upstream));
         if counts.lost() > 0 && serves_others {
-            self.blame.note(now, upstream);
+            self.local_fault.note(now, upstream);
         }
-        let is_evidence = !self.blame.is_own(now);
+        let is_evidence = !self.local_fault.is_likely(now);
         Some(Noted {
             alarmed: group.is_alarmed(),
             before,
