--- a/src/breaker/circuit.rs
+++ b/src/breaker/circuit.rs
@@ -176,15 +176,15 @@
     }
 
     /// Takes what callers received here.
-    pub fn note_own(&mut self, now: Moment, counts: &Counts) {
+    pub fn record_own(&mut self, now: Moment, counts: &Counts) {
         let cleared = u32::from(self.is_cleared_by(counts));
         self.own.roll(now);
         self.own.add(now, counts);
-        self.note(now, &Counts { cleared, ..*counts });
+        self.record(now, &Counts { cleared, ..*counts });
     }
 
     /// Takes what callers received at other entries.
-    pub fn note(&mut self, now: Moment, counts: &Counts) {
+    pub fn record(&mut self, now: Moment, counts: &Counts) {
         if self.presumed_after.is_some() && counts.cleared > 0 {
             self.close();
             self.cleared = true;
--- a/src/breaker/group.rs
+++ b/src/breaker/group.rs
@@ -164,11 +164,11 @@
     }
 
     /// Takes what callers received here; whether the upstream's state changed.
-    pub fn note_own(&mut self, now: Moment, upstream: &UpstreamId, counts: &Counts) -> bool {
+    pub fn record_own(&mut self, now: Moment, upstream: &UpstreamId, counts: &Counts) -> bool {
         self.look_for_crowd(now, upstream, counts);
         self.look_for_help(now, upstream, counts);
         self.look_for_errors(now, upstream, counts);
-        self.with(upstream, |circuit| circuit.note_own(now, counts))
+        self.with(upstream, |circuit| circuit.record_own(now, counts))
     }
 
     /// Whether an upstream is back because a request that took it out was only slow. Other entries
@@ -178,11 +178,11 @@
     }
 
     /// Takes what callers received at other entries; whether the upstream's state changed.
-    pub fn note(&mut self, now: Moment, upstream: &UpstreamId, counts: &Counts) -> bool {
+    pub fn record(&mut self, now: Moment, upstream: &UpstreamId, counts: &Counts) -> bool {
         self.look_for_crowd(now, upstream, counts);
         self.look_for_help(now, upstream, counts);
         self.look_for_errors(now, upstream, counts);
-        self.with(upstream, |circuit| circuit.note(now, counts))
+        self.with(upstream, |circuit| circuit.record(now, counts))
     }
 
     /// Whether callers of other entries lately got whole answers of it, and nothing broken.
--- a/src/breaker/local_fault.rs
+++ b/src/breaker/local_fault.rs
@@ -24,7 +24,7 @@
     /// Notes that an upstream that answers all others broke an answer here, or is late with
     /// it. What other entries saw too is not told: where a third of the upstreams are at
     /// fault, every entry meets as many.
-    pub fn note(&mut self, now: Moment, upstream: &UpstreamId) {
+    pub fn record(&mut self, now: Moment, upstream: &UpstreamId) {
         self.broken.push_back((now, upstream.clone()));
     }
 
--- a/src/node/attached/breakers.rs
+++ b/src/node/attached/breakers.rs
@@ -133,10 +133,10 @@
         let group = self.groups.get_mut(service)?;
         let before = group.state(upstream);
         let serves_others = group.serves_others(now, upstream);
-        let changed = group.note_own(now, upstream, counts);
+        let changed = group.record_own(now, upstream, counts);
         let cleared = u32::from(changed && group.was_cleared(upstream));
         if counts.lost() > 0 && serves_others {
-            self.local_fault.note(now, upstream);
+            self.local_fault.record(now, upstream);
         }
         let is_evidence = !self.local_fault.is_likely(now);
         Some(Noted {
@@ -159,7 +159,7 @@
         counts: &Counts,
     ) -> bool {
         let group = self.groups.get_mut(service);
-        group.is_some_and(|group| group.note(now, upstream, counts))
+        group.is_some_and(|group| group.record(now, upstream, counts))
     }
 
     /// Requests of these `ages` that wait far longer than usual, each counted once.
--- a/tests/suite/breaker/circuit.rs
+++ b/tests/suite/breaker/circuit.rs
@@ -21,7 +21,7 @@
 
 fn opened_at(now: Duration) -> Circuit {
     let mut circuit = Circuit::default();
-    circuit.note_own(now, &one(Kind::Cut));
+    circuit.record_own(now, &one(Kind::Cut));
     circuit
 }
 
@@ -35,24 +35,24 @@
 #[case::cut(Kind::Cut)]
 #[case::silent(Kind::Silent)]
 #[case::timeout(Kind::Timeout)]
-fn note_first_broken(#[case] kind: Kind) {
+fn record_first_broken(#[case] kind: Kind) {
     let mut circuit = Circuit::default();
-    circuit.note(ms(100), &one(kind));
+    circuit.record(ms(100), &one(kind));
     assert!(is_open(&circuit));
 }
 
 // One answer in a hundred is the upstream's own failure on a sound upstream. Alone it takes
 // nothing out; three of the last six do.
 #[test]
-fn note_own_failures() {
+fn record_own_failures() {
     let mut circuit = Circuit::default();
     for at in 0..20 {
-        circuit.note_own(ms(at * 100), &one(Kind::Success));
+        circuit.record_own(ms(at * 100), &one(Kind::Success));
     }
-    circuit.note_own(ms(2_100), &one(Kind::ServerError));
+    circuit.record_own(ms(2_100), &one(Kind::ServerError));
     assert_eq!(circuit.state(), State::Closed);
     for at in 0..16 {
-        circuit.note_own(ms(6_000 + at * 100), &one(Kind::ServerError));
+        circuit.record_own(ms(6_000 + at * 100), &one(Kind::ServerError));
     }
     assert!(is_open(&circuit));
 }
@@ -60,22 +60,22 @@
 // An upstream is out. Answers to requests from before the fault arrive late, and say nothing
 // about it; only trials close it, two in a row.
 #[test]
-fn note_late_success_closes_nothing() {
+fn record_late_success_closes_nothing() {
     let mut circuit = opened_at(ms(0));
-    circuit.note(ms(200), &one(Kind::Success));
+    circuit.record(ms(200), &one(Kind::Success));
     circuit.tick(ms(1_000));
     assert!(matches!(circuit.state(), State::Trial { .. }));
-    circuit.note(ms(1_100), &one(Kind::Success));
+    circuit.record(ms(1_100), &one(Kind::Success));
     assert!(matches!(circuit.state(), State::Trial { passed: 0, .. }));
-    circuit.note_own(ms(1_200), &Counts::of_trial(Kind::Success, USUAL, true));
-    circuit.note_own(ms(1_300), &Counts::of_trial(Kind::Success, USUAL, true));
+    circuit.record_own(ms(1_200), &Counts::of_trial(Kind::Success, USUAL, true));
+    circuit.record_own(ms(1_300), &Counts::of_trial(Kind::Success, USUAL, true));
     assert_eq!(circuit.state(), State::Closed);
 }
 
 // A fault goes on, and each trial fails. The pauses stay short: the upstream is back soon after
 // the fault is over, and its work does not queue up at the others meanwhile.
 #[test]
-fn note_failed_trials_short_pauses() {
+fn record_failed_trials_short_pauses() {
     let mut circuit = opened_at(ms(0));
     let mut now = ms(0);
     let mut pauses = Vec::new();
@@ -84,7 +84,7 @@
         pauses.push((until - now).as_millis());
         now = until;
         circuit.tick(now);
-        circuit.note(now, &Counts::of_trial(Kind::Cut, USUAL, true));
+        circuit.record(now, &Counts::of_trial(Kind::Cut, USUAL, true));
     }
     assert_eq!(pauses, [350, 300, 300, 300]);
 }
@@ -93,17 +93,17 @@
 // is to be tried; two seconds later the callers of requests from before that give up. They tell
 // nothing newer: taken for failed trials, they would put the next trial off by three seconds.
 #[test]
-fn note_hung_from_before() {
+fn record_hung_from_before() {
     let mut circuit = Circuit::default();
-    circuit.note(ms(1_000), &Counts { hung: 1, waited: 1_000, ..Counts::default() });
+    circuit.record(ms(1_000), &Counts { hung: 1, waited: 1_000, ..Counts::default() });
     assert!(is_open(&circuit));
     circuit.tick(ms(1_500));
     let tried = circuit.state();
     assert!(matches!(tried, State::Trial { .. }));
-    circuit.note(ms(3_000), &Counts::of(Kind::Timeout, ms(3_000)));
+    circuit.record(ms(3_000), &Counts::of(Kind::Timeout, ms(3_000)));
     assert_eq!(circuit.state(), tried);
     assert_eq!(circuit.outage(), (ms(0), ms(0)));
-    circuit.note(ms(3_100), &Counts::of(Kind::Timeout, ms(1_000)));
+    circuit.record(ms(3_100), &Counts::of(Kind::Timeout, ms(1_000)));
     assert!(is_open(&circuit));
     assert_eq!(circuit.outage(), (ms(0), ms(2_100)));
 }
@@ -117,35 +117,35 @@
         circuit.tick(ms(1_000 * second));
         assert_ne!(circuit.state(), State::Closed);
     }
-    circuit.note(ms(60_000), &Counts::of_trial(Kind::Success, USUAL, true));
+    circuit.record(ms(60_000), &Counts::of_trial(Kind::Success, USUAL, true));
     assert_ne!(circuit.state(), State::Closed);
-    circuit.note(ms(60_100), &Counts::of_trial(Kind::Success, USUAL, true));
+    circuit.record(ms(60_100), &Counts::of_trial(Kind::Success, USUAL, true));
     assert_eq!(circuit.state(), State::Closed);
 }
 
 // An upstream takes requests and answers none. Nothing fails yet, so only the wait shows it:
 // three requests past their usual time with no answer in between.
 #[test]
-fn note_late_requests() {
+fn record_late_requests() {
     let late = Counts { late: 1, ..Counts::default() };
     let mut circuit = Circuit::default();
-    circuit.note_own(ms(0), &late);
-    circuit.note_own(ms(100), &late);
+    circuit.record_own(ms(0), &late);
+    circuit.record_own(ms(100), &late);
     assert_eq!(circuit.state(), State::Closed);
-    circuit.note_own(ms(200), &late);
+    circuit.record_own(ms(200), &late);
     assert!(is_open(&circuit));
 }
 
 // The path from one entry to an upstream is gone. That entry stops; the others, which reach
 // the upstream and get answers, do not.
 #[test]
-fn note_unreached_from_one_entry() {
+fn record_unreached_from_one_entry() {
     let mut here = Circuit::default();
     let mut elsewhere = Circuit::default();
     for at in 0..8 {
-        here.note_own(ms(at * 100), &one(Kind::ConnectFailed));
-        elsewhere.note(ms(at * 100), &one(Kind::ConnectFailed));
-        elsewhere.note_own(ms(at * 100), &one(Kind::Success));
+        here.record_own(ms(at * 100), &one(Kind::ConnectFailed));
+        elsewhere.record(ms(at * 100), &one(Kind::ConnectFailed));
+        elsewhere.record_own(ms(at * 100), &one(Kind::Success));
     }
     assert!(is_open(&here));
     assert_eq!(elsewhere.state(), State::Closed);
@@ -160,7 +160,7 @@
 #[case::waits_beside_one_out_of_time(both(), Cause::Hung)]
 fn cause_by_evidence(#[case] counts: Counts, #[case] cause: Cause) {
     let mut circuit = Circuit::default();
-    circuit.note(ms(100), &counts);
+    circuit.record(ms(100), &counts);
     assert!(is_open(&circuit));
     assert_eq!(circuit.cause(), cause);
 }
--- a/tests/suite/breaker/error_history.rs
+++ b/tests/suite/breaker/error_history.rs
@@ -62,7 +62,7 @@
     fn step(&mut self, now: u64) {
         while let Some(first) = self.told.first_entry().filter(|first| *first.key() <= now) {
             for (at, counts) in first.remove() {
-                self.group.note(ms(now), &name(at), &counts);
+                self.group.record(ms(now), &name(at), &counts);
             }
         }
         self.group.tick(ms(now));
@@ -104,7 +104,7 @@
 // the other here, the first one makes an upstream the last choice, and no more than twice as many
 // are lost.
 #[rstest]
-fn note_recurring(#[values(1, 2, 3)] seed: u64) {
+fn record_recurring(#[values(1, 2, 3)] seed: u64) {
     let mut world = World::new(USUAL, true, seed);
     (0..END).step_by(STEP as usize).for_each(|now| world.step(now));
     let share = f64::from(world.once.1) / f64::from(world.once.0);
@@ -114,7 +114,7 @@
 // Callers send one request in twenty that any upstream answers with an error. One says nothing
 // of the next, so no upstream is spared for it.
 #[rstest]
-fn note_single(#[values(1, 2, 3)] seed: u64) {
+fn record_single(#[values(1, 2, 3)] seed: u64) {
     let mut world = World::new(0.05, false, seed);
     for now in (0..END).step_by(STEP as usize) {
         world.step(now);
@@ -129,8 +129,8 @@
     let mut group = Group::new(0.5, ChaCha8Rng::seed_from_u64(5));
     (0..4).for_each(|at| group.join(name(at), 3));
     for at in (0..36_000).step_by(3_000) {
-        group.note(ms(at), &name(3), &one(Kind::ServerError));
-        group.note(ms(at + 50), &name(3), &one(Kind::ServerError));
+        group.record(ms(at), &name(3), &one(Kind::ServerError));
+        group.record(ms(at + 50), &name(3), &one(Kind::ServerError));
     }
     group
 }
@@ -138,9 +138,9 @@
 // All of a service's upstreams give an error each at the same time, while it is full: the last
 // choice they all stay, and none is taken out, as the errors may have been single ones.
 #[test]
-fn note_recurring_takes_no_room() {
+fn record_recurring_takes_no_room() {
     let mut group = recurring();
-    (0..3).for_each(|at| assert!(group.note(ms(40_000), &name(at), &one(Kind::ServerError))));
+    (0..3).for_each(|at| assert!(group.record(ms(40_000), &name(at), &one(Kind::ServerError))));
     let weights = group.weights();
     assert!((0..3).all(|at| !weights.contains_key(&name(at))), "{weights:?}");
     assert!((0..3).all(|at| group.suspects().contains(&name(at))));
@@ -149,10 +149,10 @@
 // An upstream gives an error, and with what was under way there a second one: that is a fault,
 // and it gets no more work.
 #[test]
-fn note_recurring_second() {
+fn record_recurring_second() {
     let mut group = recurring();
-    group.note(ms(40_000), &name(0), &one(Kind::ServerError));
-    group.note(ms(40_050), &name(0), &one(Kind::ServerError));
+    group.record(ms(40_000), &name(0), &one(Kind::ServerError));
+    group.record(ms(40_050), &name(0), &one(Kind::ServerError));
     assert_eq!(group.weights().get(&name(0)), Some(&0.0));
 }
 
--- a/tests/suite/breaker/group.rs
+++ b/tests/suite/breaker/group.rs
@@ -25,7 +25,7 @@
 }
 
 fn cut(group: &mut Group, now: Duration, at: usize) {
-    group.note(now, &name(at), &one(Kind::Cut));
+    group.record(now, &name(at), &one(Kind::Cut));
 }
 
 fn out(group: &Group) -> usize {
@@ -64,7 +64,7 @@
     for round in 0..6 {
         for at in 0..COUNT {
             let took = if at == 5 { ms(600) } else { ms(200) };
-            group.note(ms(round * 100), &name(at), &Counts::of(Kind::Success, took));
+            group.record(ms(round * 100), &name(at), &Counts::of(Kind::Success, took));
         }
     }
     let weights = group.weights();
@@ -90,7 +90,7 @@
             made = trial.number;
             let kind = if now < lasts && made % 7 != 0 { Kind::Cut } else { Kind::Success };
             failed += usize::from(kind == Kind::Cut);
-            group.note_own(now, &trial.upstream, &Counts::of_trial(kind, ms(20), true));
+            group.record_own(now, &trial.upstream, &Counts::of_trial(kind, ms(20), true));
         }
         let closed = |at: &usize| group.state(&name(*at)) == State::Closed;
         if now >= lasts && (0..bad).all(|at| closed(&at)) {
@@ -133,12 +133,12 @@
 // time. Taken out for that, they leave the others still less time, until half are out and the
 // rest answers nobody: callers of a site at twice its usual load lost one order in six so.
 #[test]
-fn note_hung_all_full() {
+fn record_hung_all_full() {
     let mut group = group(0.5);
     for round in 0..40 {
         for at in 0..COUNT {
             let kind = if (round + at) % 5 == 0 { Kind::Silent } else { Kind::Success };
-            group.note(ms(100 * round as u64), &name(at), &one(kind));
+            group.record(ms(100 * round as u64), &name(at), &one(kind));
         }
     }
     let few = out(&group) + group.suspects().len();
@@ -148,17 +148,17 @@
 // One upstream hangs its requests while the others answer. The first one that hangs takes it
 // out, and so does it among others that are full, once most of what it got has hung.
 #[test]
-fn note_hung_one() {
+fn record_hung_one() {
     let mut calm = group(0.5);
-    calm.note(ms(0), &name(0), &one(Kind::Silent));
+    calm.record(ms(0), &name(0), &one(Kind::Silent));
     assert_eq!(out(&calm), 1);
     let mut full = group(0.5);
     for round in 0..20 {
         for at in 1..COUNT {
             let kind = if (round + at) % 5 == 0 { Kind::Silent } else { Kind::Success };
-            full.note(ms(100 * round as u64), &name(at), &one(kind));
+            full.record(ms(100 * round as u64), &name(at), &one(kind));
         }
-        full.note(ms(100 * round as u64), &name(0), &one(Kind::Silent));
+        full.record(ms(100 * round as u64), &name(0), &one(Kind::Silent));
     }
     assert_eq!(full.weights().get(&name(0)), Some(&0.0));
 }
@@ -167,50 +167,50 @@
 // it is answered whole. The upstream served all along, and is back at once: with trials by
 // requests that may run once it had no work for seconds, while others were full.
 #[test]
-fn note_answered_after_all() {
+fn record_answered_after_all() {
     let mut group = group(0.5);
     let waits = Counts { hung: 1, overdue: 1, waited: 1_000, ..Counts::default() };
-    group.note_own(ms(1_000), &name(3), &waits);
+    group.record_own(ms(1_000), &name(3), &waits);
     assert_eq!(out(&group), 1);
-    group.note_own(ms(1_400), &name(3), &Counts::of(Kind::Success, ms(1_400)));
+    group.record_own(ms(1_400), &name(3), &Counts::of(Kind::Success, ms(1_400)));
     assert_eq!(group.state(&name(3)), State::Closed);
 }
 
 // The entry whose request was slow tells the others; one that hears of the wait and of its end
 // at once takes nothing out.
 #[test]
-fn note_cleared_elsewhere() {
+fn record_cleared_elsewhere() {
     let waits = Counts { hung: 1, overdue: 1, waited: 1_000, ..Counts::default() };
     let cleared = Counts { cleared: 1, ..Counts::of(Kind::Success, ms(1_400)) };
     let mut group = group(0.5);
-    group.note(ms(1_000), &name(3), &waits);
+    group.record(ms(1_000), &name(3), &waits);
     assert_eq!(out(&group), 1);
-    group.note(ms(1_400), &name(3), &cleared);
+    group.record(ms(1_400), &name(3), &cleared);
     assert_eq!(out(&group), 0);
     let mut both = waits;
     both.add(&cleared);
-    group.note(ms(2_000), &name(4), &both);
+    group.record(ms(2_000), &name(4), &both);
     assert_eq!(out(&group), 0);
 }
 
 // A request hangs, and its caller gives up; another one was slow, and is answered whole. That one
 // hung is certain, so the upstream stays out.
 #[test]
-fn note_answered_beside_hung() {
+fn record_answered_beside_hung() {
     let mut group = group(0.5);
     let waits = Counts { hung: 1, overdue: 1, waited: 1_000, ..Counts::default() };
-    group.note_own(ms(1_000), &name(3), &waits);
-    group.note_own(ms(2_000), &name(3), &Counts::of(Kind::Timeout, ms(2_000)));
-    group.note_own(ms(2_100), &name(3), &Counts::of(Kind::Success, ms(1_400)));
+    group.record_own(ms(1_000), &name(3), &waits);
+    group.record_own(ms(2_000), &name(3), &Counts::of(Kind::Timeout, ms(2_000)));
+    group.record_own(ms(2_100), &name(3), &Counts::of(Kind::Success, ms(1_400)));
     assert_eq!(out(&group), 1);
 }
 
 // An upstream was taken out for a broken answer. That a slow one from before comes whole is no
 // reason to take it back.
 #[test]
-fn note_answered_after_cut() {
+fn record_answered_after_cut() {
     let mut group = group(0.5);
     cut(&mut group, ms(1_000), 3);
-    group.note_own(ms(1_400), &name(3), &Counts::of(Kind::Success, ms(1_400)));
+    group.record_own(ms(1_400), &name(3), &Counts::of(Kind::Success, ms(1_400)));
     assert_eq!(out(&group), 1);
 }
--- a/tests/suite/breaker/local_fault.rs
+++ b/tests/suite/breaker/local_fault.rs
@@ -28,13 +28,13 @@
 /// What the entry makes of an answer that its own caller did not get.
 fn cut_here(group: &mut Group, local_fault: &mut LocalFault, now: Duration, at: u64) {
     if group.serves_others(now, &name(at)) {
-        local_fault.note(now, &name(at));
+        local_fault.record(now, &name(at));
     }
-    group.note_own(now, &name(at), &one(Kind::Cut));
+    group.record_own(now, &name(at), &one(Kind::Cut));
 }
 
 fn told(group: &mut Group, now: Duration, at: u64, kind: Kind) {
-    group.note(now, &name(at), &one(kind));
+    group.record(now, &name(at), &one(kind));
 }
 
 // Eight upstreams break their answers together, each to callers of all entries. An entry that
@@ -71,7 +71,7 @@
 fn is_likely_nobody_to_compare_with() {
     let (mut group, mut local_fault) = (group(), LocalFault::default());
     for at in 0..COUNT {
-        group.note_own(ms(100 * at), &name(at), &Counts::of(Kind::Success, ms(200)));
+        group.record_own(ms(100 * at), &name(at), &Counts::of(Kind::Success, ms(200)));
         cut_here(&mut group, &mut local_fault, ms(100 * at + 60), at);
     }
     assert!(!local_fault.is_likely(ms(1000)));
--- a/tests/suite/breaker/once.rs
+++ b/tests/suite/breaker/once.rs
@@ -133,10 +133,10 @@
         let group = &mut self.groups[heard.entry];
         let upstream = name(heard.upstream);
         if !heard.is_own {
-            group.note(ms(now), &upstream, &heard.counts);
+            group.record(ms(now), &upstream, &heard.counts);
             return;
         }
-        let changed = group.note_own(ms(now), &upstream, &heard.counts);
+        let changed = group.record_own(ms(now), &upstream, &heard.counts);
         let cleared = u32::from(changed && group.was_cleared(&upstream));
         let counts = Counts { cleared, ..heard.counts };
         for entry in (0..ENTRIES).filter(|entry| *entry != heard.entry) {
--- a/tests/suite/breaker/outage_history.rs
+++ b/tests/suite/breaker/outage_history.rs
@@ -49,7 +49,7 @@
     for now in (0..rounds * 20_000).step_by(50) {
         let (round, at) = (now / 20_000, now % 20_000);
         if at == 0 {
-            group.note(ms(now), &"hull-1".into(), &one(Kind::Cut));
+            group.record(ms(now), &"hull-1".into(), &one(Kind::Cut));
         }
         group.tick(ms(now));
         for trial in group.trials() {
@@ -59,7 +59,7 @@
             made = trial.number;
             let kind = if at < 7_000 { Kind::Cut } else { Kind::Success };
             failed[round as usize] += usize::from(kind == Kind::Cut);
-            group.note_own(ms(now), &trial.upstream, &Counts::of_trial(kind, ms(20), true));
+            group.record_own(ms(now), &trial.upstream, &Counts::of_trial(kind, ms(20), true));
         }
         let is_out = group.weights().contains_key("hull-1");
         if at >= 7_000 && is_out {
@@ -91,17 +91,17 @@
     let mut group = Group::new(0.5, ChaCha8Rng::seed_from_u64(5));
     let name = |at: usize| compact_str::format_compact!("hull-{at}");
     (0..10).for_each(|at| group.join(name(at), 4));
-    group.note(ms(0), &name(0), &one(Kind::Cut));
+    group.record(ms(0), &name(0), &one(Kind::Cut));
     let mut first = None;
     let answered = Counts { answered: 2, millis: 40, ..Counts::default() };
     for now in (0..12_000).step_by(50) {
-        group.note(ms(now), &name(1 + now as usize / 50 % 9), &answered);
+        group.record(ms(now), &name(1 + now as usize / 50 % 9), &answered);
         group.tick(ms(now));
         let other = name(1 + now as usize / 1_000 % 9);
         match now % 1_000 {
-            0 => group.note(ms(now), &other, &one(Kind::Cut)),
+            0 => group.record(ms(now), &other, &one(Kind::Cut)),
             400 | 450 if lookups => {
-                group.note(ms(now), &other, &Counts::of_trial(Kind::Success, ms(20), true))
+                group.record(ms(now), &other, &Counts::of_trial(Kind::Success, ms(20), true))
             }
             _ => false,
         };
@@ -122,15 +122,15 @@
     let mut group = Group::new(0.5, ChaCha8Rng::seed_from_u64(5));
     let name = |at: usize| compact_str::format_compact!("hull-{at}");
     (0..10).for_each(|at| group.join(name(at), 4));
-    group.note(ms(0), &name(1), &one(Kind::Cut));
+    group.record(ms(0), &name(1), &one(Kind::Cut));
     let passed = Counts::of_trial(Kind::Success, ms(20), false);
     let mut first = None;
     for now in (0..16_000).step_by(50) {
         group.tick(ms(now));
         match now {
-            4_500 => group.note(ms(now), &name(0), &one(Kind::Cut)),
-            4_600 | 4_700 => group.note(ms(now), &name(1), &passed),
-            5_000 | 7_000 | 9_000 => group.note(ms(now), &name(1), &passed),
+            4_500 => group.record(ms(now), &name(0), &one(Kind::Cut)),
+            4_600 | 4_700 => group.record(ms(now), &name(1), &passed),
+            5_000 | 7_000 | 9_000 => group.record(ms(now), &name(1), &passed),
             _ => false,
         };
         let by_any = |trial: &Trial| trial.by_any && trial.upstream == name(0);
