--- a/tests/suite/breaker/outage_history.rs
+++ b/tests/suite/breaker/outage_history.rs
@@ -87,7 +87,7 @@
 #[rstest]
 #[case::lookups(true, 8_000)]
 #[case::none(false, 3_000)]
-fn trials_by_any(#[case] lookups: bool, #[case] from: u64) {
+fn trials_non_idempotent(#[case] lookups: bool, #[case] from: u64) {
     let mut group = Group::new(0.5, ChaCha8Rng::seed_from_u64(5));
     let name = |at: usize| compact_str::format_compact!("hull-{at}");
     (0..10).for_each(|at| group.join(name(at), 4));
@@ -105,8 +105,9 @@
             }
             _ => false,
         };
-        let by_any = |trial: &Trial| trial.by_any && trial.upstream == name(0);
-        if first.is_none() && group.trials().iter().any(by_any) {
+        let allows_non_idempotent =
+            |trial: &Trial| trial.allows_non_idempotent && trial.upstream == name(0);
+        if first.is_none() && group.trials().iter().any(allows_non_idempotent) {
             first = Some(now);
         }
     }
@@ -118,7 +119,7 @@
 // their way, and the third ends after the breaker is closed. It is no lookup: the other upstream
 // that is out gets an order after four seconds all the same, and not after eight.
 #[test]
-fn trials_by_any_late_order() {
+fn trials_non_idempotent_late_order() {
     let mut group = Group::new(0.5, ChaCha8Rng::seed_from_u64(5));
     let name = |at: usize| compact_str::format_compact!("hull-{at}");
     (0..10).for_each(|at| group.join(name(at), 4));
@@ -133,8 +134,9 @@
             5_000 | 7_000 | 9_000 => group.record(ms(now), &name(1), &passed),
             _ => false,
         };
-        let by_any = |trial: &Trial| trial.by_any && trial.upstream == name(0);
-        if first.is_none() && group.trials().iter().any(by_any) {
+        let allows_non_idempotent =
+            |trial: &Trial| trial.allows_non_idempotent && trial.upstream == name(0);
+        if first.is_none() && group.trials().iter().any(allows_non_idempotent) {
             first = Some(now);
         }
     }
