--- a/src/breaker/circuit.rs
+++ b/src/breaker/circuit.rs
@@ -54,7 +54,7 @@
         until: Moment,
     },
     /// Trials only.
-    Trial {
+    HalfOpen {
         /// Since when.
         since: Moment,
         /// Trials that went well.
@@ -217,7 +217,7 @@
                 self.state = State::Open { until: until.max(fault_at + OPEN) };
             }
             State::Open { .. } => {}
-            State::Trial { .. } if counts.faults() > 0 => {
+            State::HalfOpen { .. } if counts.faults() > 0 => {
                 // What hung from before the last failure on is no failure of a trial: taken for
                 // one, each caller that gave up put the next trial off by seconds.
                 self.ascertain(counts);
@@ -229,7 +229,7 @@
                     self.state = State::Open { until: now + AGAIN };
                 }
             }
-            State::Trial { since, passed } => {
+            State::HalfOpen { since, passed } => {
                 // Only trials count: answers to what was sent before the fault began come
                 // and are told late.
                 if passed == 0 && counts.passed > 0 {
@@ -246,7 +246,7 @@
         self.window.roll(now);
         match self.state {
             State::Open { until } if now >= until => {
-                self.state = State::Trial { since: now, passed: 0 };
+                self.state = State::HalfOpen { since: now, passed: 0 };
             }
             _ => {}
         }
@@ -255,7 +255,7 @@
     /// When it wants to be told the time.
     pub fn wake(&self) -> Option<Moment> {
         match self.state {
-            State::Closed | State::Trial { .. } => None,
+            State::Closed | State::HalfOpen { .. } => None,
             State::Open { until } => Some(until),
         }
     }
@@ -299,7 +299,7 @@
     }
 
     fn pass(&mut self, since: Moment, passed: u32) {
-        self.state = State::Trial { since, passed };
+        self.state = State::HalfOpen { since, passed };
         if passed >= TRIALS {
             self.close();
         }
--- a/src/breaker/group.rs
+++ b/src/breaker/group.rs
@@ -258,14 +258,14 @@
             member.circuit.tick(now);
             let after = member.circuit.state();
             changed |= after != before;
-            let State::Trial { passed, .. } = after else {
+            let State::HalfOpen { passed, .. } = after else {
                 member.allows_non_idempotent = false;
                 member.trial = None;
                 member.trial_at = Moment::MAX;
                 member.passed = 0;
                 continue;
             };
-            if !matches!(before, State::Trial { .. }) {
+            if !matches!(before, State::HalfOpen { .. }) {
                 (member.try_from, member.once_from) = moments(&self.outages, &member.circuit);
             }
             let failed_at = member.circuit.outage().1;
@@ -313,7 +313,7 @@
     /// When it wants to be told the time.
     pub fn wake(&self) -> Option<Moment> {
         let due = |member: &Member| match member.circuit.state() {
-            State::Trial { .. } => {
+            State::HalfOpen { .. } => {
                 let is_set = member.trial_at != Moment::MAX;
                 let next = if is_set { member.trial_at } else { member.try_from };
                 Some(if member.allows_non_idempotent { next } else { next.min(member.once_due) })
--- a/src/node/attached/events.rs
+++ b/src/node/attached/events.rs
@@ -43,10 +43,10 @@
 ) -> Option<Event> {
     let kind = match (noted.before, noted.state) {
         (breaker::State::Open { .. }, breaker::State::Open { .. })
-        | (_, breaker::State::Trial { .. }) => return None,
+        | (_, breaker::State::HalfOpen { .. }) => return None,
         (breaker::State::Closed, _) => Kind::Ejected,
         (_, breaker::State::Closed) => Kind::Readmitted,
-        (breaker::State::Trial { .. }, breaker::State::Open { .. }) => {
+        (breaker::State::HalfOpen { .. }, breaker::State::Open { .. }) => {
             Kind::Other("trial-failed".into())
         }
     };
--- a/src/node/attached/spoke.rs
+++ b/src/node/attached/spoke.rs
@@ -192,7 +192,7 @@
             let verdict = match group.map(|group| group.state(&said.upstream)) {
                 None | Some(State::Closed) => health::Verdict::Sound,
                 Some(State::Open { .. }) => health::Verdict::Ejected,
-                Some(State::Trial { .. }) => health::Verdict::Trial,
+                Some(State::HalfOpen { .. }) => health::Verdict::Trial,
             };
             services.entry(said.service.clone()).or_default().push(status::Upstream {
                 usable: said.state == registry::State::Ready,
--- a/tests/suite/breaker/circuit.rs
+++ b/tests/suite/breaker/circuit.rs
@@ -64,9 +64,9 @@
     let mut circuit = opened_at(ms(0));
     circuit.record(ms(200), &one(Kind::Success));
     circuit.tick(ms(1_000));
-    assert!(matches!(circuit.state(), State::Trial { .. }));
+    assert!(matches!(circuit.state(), State::HalfOpen { .. }));
     circuit.record(ms(1_100), &one(Kind::Success));
-    assert!(matches!(circuit.state(), State::Trial { passed: 0, .. }));
+    assert!(matches!(circuit.state(), State::HalfOpen { passed: 0, .. }));
     circuit.record_own(ms(1_200), &Counts::of_trial(Kind::Success, USUAL, true));
     circuit.record_own(ms(1_300), &Counts::of_trial(Kind::Success, USUAL, true));
     assert_eq!(circuit.state(), State::Closed);
@@ -99,7 +99,7 @@
     assert!(is_open(&circuit));
     circuit.tick(ms(1_500));
     let tried = circuit.state();
-    assert!(matches!(tried, State::Trial { .. }));
+    assert!(matches!(tried, State::HalfOpen { .. }));
     circuit.record(ms(3_000), &Counts::of(Kind::Timeout, ms(3_000)));
     assert_eq!(circuit.state(), tried);
     assert_eq!(circuit.outage(), (ms(0), ms(0)));
