--- a/src/breaker/group.rs
+++ b/src/breaker/group.rs
@@ -212,7 +212,7 @@
     }
 
     /// Whether an upstream's error is a sign of a fault here.
-    pub fn is_alarmed(&self) -> bool {
+    pub fn has_recurring_errors(&self) -> bool {
         self.errors.is_recurring()
     }
 
--- a/src/node/attached/breakers.rs
+++ b/src/node/attached/breakers.rs
@@ -140,7 +140,7 @@
         }
         let is_evidence = !self.local_fault.is_likely(now);
         Some(Noted {
-            alarmed: group.is_alarmed(),
+            alarmed: group.has_recurring_errors(),
             before,
             cause: group.cause(upstream),
             changed,
--- a/tests/suite/breaker/error_history.rs
+++ b/tests/suite/breaker/error_history.rs
@@ -121,7 +121,7 @@
         let spared = world.group.suspects().len() + world.group.weights().len();
         assert!(spared <= 2, "{spared} at {now} ms");
     }
-    assert!(!world.group.is_alarmed());
+    assert!(!world.group.has_recurring_errors());
 }
 
 /// A service of four upstreams in which errors come one after the other.
