--- a/src/breaker/counts.rs
+++ b/src/breaker/counts.rs
@@ -44,7 +44,7 @@
 
 impl Counts {
     /// One outcome.
-    pub fn of(kind: Kind, latency: Duration) -> Self {
+    pub fn from_outcome(kind: Kind, latency: Duration) -> Self {
         let mut counts = Self::default();
         match kind {
             Kind::ConnectFailed => counts.unreached = 1,
@@ -64,8 +64,8 @@
     }
 
     /// One outcome of a trial; `is_repeatable` where its request could be sent again elsewhere.
-    pub fn of_trial(kind: Kind, latency: Duration, is_repeatable: bool) -> Self {
-        let counts = Self::of(kind, latency);
+    pub fn from_trial(kind: Kind, latency: Duration, is_repeatable: bool) -> Self {
+        let counts = Self::from_outcome(kind, latency);
         let spared = if is_repeatable { counts.answered } else { 0 };
         let spent = counts.broken + counts.failed + counts.hung;
         Self { passed: counts.answered, spared, spent, ..counts }
--- a/src/node/attached/spoke.rs
+++ b/src/node/attached/spoke.rs
@@ -136,10 +136,16 @@
                 outputs.extend(to.map(|to| Output::Send(to, None, Frame::Feed(message))));
             }
             Input::Outcome(service, upstream, kind, latency) => {
-                self.note(now, service, upstream, &Counts::of(*kind, *latency), &mut outputs);
+                self.note(
+                    now,
+                    service,
+                    upstream,
+                    &Counts::from_outcome(*kind, *latency),
+                    &mut outputs,
+                );
             }
             Input::Tried { is_repeatable, kind, latency, service, upstream } => {
-                let counts = Counts::of_trial(*kind, *latency, *is_repeatable);
+                let counts = Counts::from_trial(*kind, *latency, *is_repeatable);
                 self.note(now, service, upstream, &counts, &mut outputs);
             }
             Input::Overdue(service, upstream, ages) => {
--- a/tests/suite/breaker/circuit.rs
+++ b/tests/suite/breaker/circuit.rs
@@ -16,7 +16,7 @@
 }
 
 pub(super) fn one(kind: Kind) -> Counts {
-    Counts::of(kind, USUAL)
+    Counts::from_outcome(kind, USUAL)
 }
 
 fn opened_at(now: Duration) -> Circuit {
@@ -67,8 +67,8 @@
     assert!(matches!(circuit.state(), State::HalfOpen { .. }));
     circuit.record(ms(1_100), &one(Kind::Success));
     assert!(matches!(circuit.state(), State::HalfOpen { passed: 0, .. }));
-    circuit.record_own(ms(1_200), &Counts::of_trial(Kind::Success, USUAL, true));
-    circuit.record_own(ms(1_300), &Counts::of_trial(Kind::Success, USUAL, true));
+    circuit.record_own(ms(1_200), &Counts::from_trial(Kind::Success, USUAL, true));
+    circuit.record_own(ms(1_300), &Counts::from_trial(Kind::Success, USUAL, true));
     assert_eq!(circuit.state(), State::Closed);
 }
 
@@ -84,7 +84,7 @@
         pauses.push((until - now).as_millis());
         now = until;
         circuit.tick(now);
-        circuit.record(now, &Counts::of_trial(Kind::Cut, USUAL, true));
+        circuit.record(now, &Counts::from_trial(Kind::Cut, USUAL, true));
     }
     assert_eq!(pauses, [350, 300, 300, 300]);
 }
@@ -100,10 +100,10 @@
     circuit.tick(ms(1_500));
     let tried = circuit.state();
     assert!(matches!(tried, State::HalfOpen { .. }));
-    circuit.record(ms(3_000), &Counts::of(Kind::Timeout, ms(3_000)));
+    circuit.record(ms(3_000), &Counts::from_outcome(Kind::Timeout, ms(3_000)));
     assert_eq!(circuit.state(), tried);
     assert_eq!(circuit.outage(), (ms(0), ms(0)));
-    circuit.record(ms(3_100), &Counts::of(Kind::Timeout, ms(1_000)));
+    circuit.record(ms(3_100), &Counts::from_outcome(Kind::Timeout, ms(1_000)));
     assert!(is_open(&circuit));
     assert_eq!(circuit.outage(), (ms(0), ms(2_100)));
 }
@@ -117,9 +117,9 @@
         circuit.tick(ms(1_000 * second));
         assert_ne!(circuit.state(), State::Closed);
     }
-    circuit.record(ms(60_000), &Counts::of_trial(Kind::Success, USUAL, true));
+    circuit.record(ms(60_000), &Counts::from_trial(Kind::Success, USUAL, true));
     assert_ne!(circuit.state(), State::Closed);
-    circuit.record(ms(60_100), &Counts::of_trial(Kind::Success, USUAL, true));
+    circuit.record(ms(60_100), &Counts::from_trial(Kind::Success, USUAL, true));
     assert_eq!(circuit.state(), State::Closed);
 }
 
--- a/tests/suite/breaker/error_history.rs
+++ b/tests/suite/breaker/error_history.rs
@@ -76,8 +76,8 @@
         }
         let kind = if failed { Kind::ServerError } else { Kind::Success };
         let counts = match is_trial {
-            true => Counts::of_trial(kind, ms(ANSWERED), is_lookup),
-            false => Counts::of(kind, ms(ANSWERED)),
+            true => Counts::from_trial(kind, ms(ANSWERED), is_lookup),
+            false => Counts::from_outcome(kind, ms(ANSWERED)),
         };
         self.told.entry(now + ANSWERED + KNOWN).or_default().push((at, counts));
     }
--- a/tests/suite/breaker/group.rs
+++ b/tests/suite/breaker/group.rs
@@ -64,7 +64,7 @@
     for round in 0..6 {
         for at in 0..COUNT {
             let took = if at == 5 { ms(600) } else { ms(200) };
-            group.record(ms(round * 100), &name(at), &Counts::of(Kind::Success, took));
+            group.record(ms(round * 100), &name(at), &Counts::from_outcome(Kind::Success, took));
         }
     }
     let weights = group.weights();
@@ -90,7 +90,7 @@
             made = trial.number;
             let kind = if now < lasts && made % 7 != 0 { Kind::Cut } else { Kind::Success };
             failed += usize::from(kind == Kind::Cut);
-            group.record_own(now, &trial.upstream, &Counts::of_trial(kind, ms(20), true));
+            group.record_own(now, &trial.upstream, &Counts::from_trial(kind, ms(20), true));
         }
         let closed = |at: &usize| group.state(&name(*at)) == State::Closed;
         if now >= lasts && (0..bad).all(|at| closed(&at)) {
@@ -172,7 +172,7 @@
     let waits = Counts { hung: 1, overdue: 1, waited: 1_000, ..Counts::default() };
     group.record_own(ms(1_000), &name(3), &waits);
     assert_eq!(out(&group), 1);
-    group.record_own(ms(1_400), &name(3), &Counts::of(Kind::Success, ms(1_400)));
+    group.record_own(ms(1_400), &name(3), &Counts::from_outcome(Kind::Success, ms(1_400)));
     assert_eq!(group.state(&name(3)), State::Closed);
 }
 
@@ -181,7 +181,7 @@
 #[test]
 fn record_cleared_elsewhere() {
     let waits = Counts { hung: 1, overdue: 1, waited: 1_000, ..Counts::default() };
-    let cleared = Counts { cleared: 1, ..Counts::of(Kind::Success, ms(1_400)) };
+    let cleared = Counts { cleared: 1, ..Counts::from_outcome(Kind::Success, ms(1_400)) };
     let mut group = group(0.5);
     group.record(ms(1_000), &name(3), &waits);
     assert_eq!(out(&group), 1);
@@ -200,8 +200,8 @@
     let mut group = group(0.5);
     let waits = Counts { hung: 1, overdue: 1, waited: 1_000, ..Counts::default() };
     group.record_own(ms(1_000), &name(3), &waits);
-    group.record_own(ms(2_000), &name(3), &Counts::of(Kind::Timeout, ms(2_000)));
-    group.record_own(ms(2_100), &name(3), &Counts::of(Kind::Success, ms(1_400)));
+    group.record_own(ms(2_000), &name(3), &Counts::from_outcome(Kind::Timeout, ms(2_000)));
+    group.record_own(ms(2_100), &name(3), &Counts::from_outcome(Kind::Success, ms(1_400)));
     assert_eq!(out(&group), 1);
 }
 
@@ -211,6 +211,6 @@
 fn record_answered_after_cut() {
     let mut group = group(0.5);
     cut(&mut group, ms(1_000), 3);
-    group.record_own(ms(1_400), &name(3), &Counts::of(Kind::Success, ms(1_400)));
+    group.record_own(ms(1_400), &name(3), &Counts::from_outcome(Kind::Success, ms(1_400)));
     assert_eq!(out(&group), 1);
 }
--- a/tests/suite/breaker/local_fault.rs
+++ b/tests/suite/breaker/local_fault.rs
@@ -71,7 +71,7 @@
 fn is_likely_nobody_to_compare_with() {
     let (mut group, mut local_fault) = (group(), LocalFault::default());
     for at in 0..COUNT {
-        group.record_own(ms(100 * at), &name(at), &Counts::of(Kind::Success, ms(200)));
+        group.record_own(ms(100 * at), &name(at), &Counts::from_outcome(Kind::Success, ms(200)));
         cut_here(&mut group, &mut local_fault, ms(100 * at + 60), at);
     }
     assert!(!local_fault.is_likely(ms(1000)));
--- a/tests/suite/breaker/once.rs
+++ b/tests/suite/breaker/once.rs
@@ -160,8 +160,8 @@
             self.lost_at.push(now);
         }
         let counts = |kind, took: u64| match is_trial {
-            true => Counts::of_trial(kind, ms(took), is_lookup),
-            false => Counts::of(kind, ms(took)),
+            true => Counts::from_trial(kind, ms(took), is_lookup),
+            false => Counts::from_outcome(kind, ms(took)),
         };
         let fault = if hit { self.fault } else { Fault::Cuts };
         let overdue = Counts { hung: 1, overdue: 1, waited: OVERDUE, ..Counts::default() };
--- a/tests/suite/breaker/outage_history.rs
+++ b/tests/suite/breaker/outage_history.rs
@@ -59,7 +59,7 @@
             made = trial.number;
             let kind = if at < 7_000 { Kind::Cut } else { Kind::Success };
             failed[round as usize] += usize::from(kind == Kind::Cut);
-            group.record_own(ms(now), &trial.upstream, &Counts::of_trial(kind, ms(20), true));
+            group.record_own(ms(now), &trial.upstream, &Counts::from_trial(kind, ms(20), true));
         }
         let is_out = group.weights().contains_key("hull-1");
         if at >= 7_000 && is_out {
@@ -101,7 +101,7 @@
         match now % 1_000 {
             0 => group.record(ms(now), &other, &one(Kind::Cut)),
             400 | 450 if lookups => {
-                group.record(ms(now), &other, &Counts::of_trial(Kind::Success, ms(20), true))
+                group.record(ms(now), &other, &Counts::from_trial(Kind::Success, ms(20), true))
             }
             _ => false,
         };
@@ -124,7 +124,7 @@
     let name = |at: usize| compact_str::format_compact!("hull-{at}");
     (0..10).for_each(|at| group.join(name(at), 4));
     group.record(ms(0), &name(1), &one(Kind::Cut));
-    let passed = Counts::of_trial(Kind::Success, ms(20), false);
+    let passed = Counts::from_trial(Kind::Success, ms(20), false);
     let mut first = None;
     for now in (0..16_000).step_by(50) {
         group.tick(ms(now));
--- a/tests/suite/feed/publisher.rs
+++ b/tests/suite/feed/publisher.rs
@@ -185,7 +185,7 @@
 /// Entries of the north that are told at once of an answer that was cut.
 fn told_at_once(publisher: &mut Publisher, now: Duration) -> Vec<String> {
     let mut cut = Tallies::default();
-    cut.add(&"hull-01".into(), &Counts::of(Kind::Cut, Duration::ZERO));
+    cut.add(&"hull-01".into(), &Counts::from_outcome(Kind::Cut, Duration::ZERO));
     publisher.gather(now, &cut, false);
     let catalog = Catalog::default();
     let ledger = ledger(&catalog);
@@ -233,7 +233,7 @@
     let catalog = Catalog::default();
     let ledger = ledger(&catalog);
     let mut cut = Tallies::default();
-    cut.add(&"hull-01".into(), &Counts::of(Kind::Cut, Duration::ZERO));
+    cut.add(&"hull-01".into(), &Counts::from_outcome(Kind::Cut, Duration::ZERO));
     let mut first = None;
     let mut rounds = 0;
     for at in (0..1_000).step_by(5) {
@@ -279,7 +279,7 @@
     for at in 0..600 {
         let kind = if at == 7 { Kind::Cut } else { Kind::Success };
         let id = compact_str::format_compact!("i-{at:03}");
-        tallies.add(&id, &Counts::of(kind, Duration::from_millis(500)));
+        tallies.add(&id, &Counts::from_outcome(kind, Duration::from_millis(500)));
     }
     publisher.gather(Duration::from_millis(100), &tallies, false);
     let heard = ask(&mut publisher, Duration::from_millis(200), idle).tallies.by_upstream;
--- a/tests/suite/feed/subscriber.rs
+++ b/tests/suite/feed/subscriber.rs
@@ -153,7 +153,7 @@
     let (to, poll) = asked(&outputs).expect("a question");
     let (to, sequence) = (to.to_owned(), poll.sequence);
     answer(&mut subscriber, ms(5), &to, news(sequence, 4));
-    subscriber.note(ms(100), &"hull-1".into(), &Counts::of(Kind::Cut, ms(3)));
+    subscriber.note(ms(100), &"hull-1".into(), &Counts::from_outcome(Kind::Cut, ms(3)));
     assert!(subscriber.wake() <= ms(130));
     let outputs = subscriber.handle(subscriber.wake(), Input::Tick);
     let (_, poll) = asked(&outputs).expect("a question");
