--- a/src/breaker/group.rs
+++ b/src/breaker/group.rs
@@ -380,7 +380,7 @@
     }
 
     /// Usual time until an answer: that of the median upstream.
-    pub fn usual(&self) -> Option<Duration> {
+    pub fn median_latency(&self) -> Option<Duration> {
         let median = median(self.means().into_iter().map(|(_, mean)| mean).collect())?;
         Some(Duration::from_secs_f64(median / 1000.0))
     }
--- a/src/node/attached/breakers.rs
+++ b/src/node/attached/breakers.rs
@@ -169,7 +169,7 @@
         upstream: &UpstreamId,
         ages: &[Duration],
     ) -> Counts {
-        let usual = self.groups.get(service).and_then(Group::usual).unwrap_or_default();
+        let usual = self.groups.get(service).and_then(Group::median_latency).unwrap_or_default();
         self.overdue.count(upstream, usual, ages)
     }
 }
