--- a/src/balance.rs
+++ b/src/balance.rs
@@ -13,25 +13,25 @@
 //! loaded one taken: within a fraction of a microsecond, without a herd. Figures
 //! and the ways weighed stand in `docs/design/balance.md`.
 
-mod ask;
 mod finish;
 mod load;
 mod member;
 mod pick;
 mod picker;
 mod report;
+mod request;
 mod setup;
 mod state;
 mod subset;
 mod verdicts;
 
-pub use ask::Ask;
 pub use finish::Finish;
 pub use member::Member;
 pub use pick::Pick;
 pub use pick::Ticket;
 pub use picker::Picker;
 pub use report::Report;
+pub use request::Request;
 pub use setup::Setup;
 pub use state::State;
 pub use verdicts::Verdicts;
--- a/src/balance/picker.rs
+++ b/src/balance/picker.rs
@@ -4,10 +4,10 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::balance::Ask;
 use crate::balance::Finish;
 use crate::balance::Member;
 use crate::balance::Pick;
+use crate::balance::Request;
 use crate::balance::Setup;
 use crate::balance::Ticket;
 use crate::balance::Verdicts;
@@ -100,13 +100,13 @@
 
     /// Chooses an upstream and counts the request as in flight there, or nothing
     /// when all that may take it are full.
-    pub fn pick(&mut self, now: Moment, ask: &Ask<'_>) -> Option<Pick> {
-        let total = self.gather(now, ask);
+    pub fn pick(&mut self, now: Moment, request: &Request<'_>) -> Option<Pick> {
+        let total = self.gather(now, request);
         let first = self.draw(total)?;
         let second = self.draw(total)?;
         let is_cheaper = self.cost(now, second) < Self::CLEARLY * self.cost(now, first);
         let position = if is_cheaper { second } else { first };
-        Some(self.begin(now, position, ask.is_long))
+        Some(self.begin(now, position, request.is_long))
     }
 
     /// Picks one upstream whatever its health, if it has room.
@@ -197,19 +197,19 @@
     }
 
     /// Lists the candidates, and returns their whole capacity.
-    fn gather(&mut self, now: Moment, ask: &Ask<'_>) -> f64 {
+    fn gather(&mut self, now: Moment, request: &Request<'_>) -> f64 {
         if self.setup.local && !self.is_near_full() {
-            let total = self.gather_some(now, ask, |load| load.is_near() && load.is_sound());
+            let total = self.gather_some(now, request, |load| load.is_near() && load.is_sound());
             if total > 0.0 {
                 return total;
             }
         }
         // A suspect one breaks most of what it gets; what may run once is lost there.
-        let total = self.gather_some(now, ask, Load::is_sound);
+        let total = self.gather_some(now, request, Load::is_sound);
         if total > 0.0 {
             return total;
         }
-        self.gather_some(now, ask, |_| true)
+        self.gather_some(now, request, |_| true)
     }
 
     /// Whether this entry has its part of the near upstreams' slots in use, and more.
@@ -232,12 +232,17 @@
         sound / sharing.max(1.0)
     }
 
-    fn gather_some(&mut self, now: Moment, ask: &Ask<'_>, takes: impl Fn(&Load) -> bool) -> f64 {
+    fn gather_some(
+        &mut self,
+        now: Moment,
+        request: &Request<'_>,
+        takes: impl Fn(&Load) -> bool,
+    ) -> f64 {
         self.open.clear();
         let mut total = 0.0;
         for position in &self.subset.positions {
             let load = &self.loads[*position];
-            let avoided = ask.avoid.contains(&load.member().upstream);
+            let avoided = request.avoid.contains(&load.member().upstream);
             if takes(load) && load.is_open(now) && !avoided {
                 let capacity = load.capacity(now, self.usual);
                 total += capacity;
--- a/src/balance/ask.rs
+++ b/src/balance/request.rs
@@ -2,7 +2,7 @@
 
 /// A request that needs an upstream.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Ask<'a> {
+pub struct Request<'a> {
     /// Upstreams that it was tried at before.
     pub avoid: &'a [UpstreamId],
     /// Whether its length is the caller's doing, as with an upload; such requests
--- a/src/bench/balance.rs
+++ b/src/bench/balance.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::balance::Ask;
 use crate::balance::Finish;
+use crate::balance::Request;
 use crate::balance::Setup;
 use crate::bench::health::judged;
 use crate::health::Kind;
@@ -115,7 +115,7 @@
     let started = Instant::now();
     for pick in 0..PICKS {
         let now = Duration::from_micros(u64::from(pick));
-        if let Some(pick) = picker.pick(now, &Ask::default()) {
+        if let Some(pick) = picker.pick(now, &Request::default()) {
             picker.finish(now, pick.ticket, Finish { kind: Kind::Success, latency, report: None });
         }
     }
--- a/src/node/traffic/service.rs
+++ b/src/node/traffic/service.rs
@@ -9,10 +9,10 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::balance;
-use crate::balance::Ask;
 use crate::balance::Finish;
 use crate::balance::Pick;
 use crate::balance::Picker;
+use crate::balance::Request;
 use crate::balance::Ticket;
 use crate::balance::Verdicts;
 use crate::breaker::Trial;
@@ -82,7 +82,7 @@
         avoid: &[UpstreamId],
         is_long: bool,
     ) -> Option<Pick> {
-        self.choice(now, view).picker.pick(now, &Ask { avoid, is_long })
+        self.choice(now, view).picker.pick(now, &Request { avoid, is_long })
     }
 
     /// A place at an upstream that is to be tried, each trial once; `repeatable` where the
--- a/tests/suite/balance/near.rs
+++ b/tests/suite/balance/near.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use hemlockfield::balance::Ask;
 use hemlockfield::balance::Picker;
+use hemlockfield::balance::Request;
 use hemlockfield::balance::Setup;
 use hemlockfield::balance::Verdicts;
 use hemlockfield::clock::Moment;
@@ -28,7 +28,7 @@
 
 /// Requests that come at once; how many go to near upstreams, in order of arrival.
 fn near(picker: &mut Picker, count: usize) -> Vec<bool> {
-    let pick = |_| picker.pick(Moment::ZERO, &Ask::default()).expect("room");
+    let pick = |_| picker.pick(Moment::ZERO, &Request::default()).expect("room");
     (0..count).map(pick).map(|pick| is_near(&pick.upstream)).collect()
 }
 
@@ -69,7 +69,7 @@
     let mut picker = local(1, 8);
     picker.refresh(&Suspect(&["u00", "u04"]));
     let mut served = Vec::new();
-    while let Some(pick) = picker.pick(Duration::ZERO, &Ask::default()) {
+    while let Some(pick) = picker.pick(Duration::ZERO, &Request::default()) {
         served.push(is_near(&pick.upstream));
     }
     let first = served.iter().position(|near| *near).expect("the last resort");
--- a/tests/suite/balance/share.rs
+++ b/tests/suite/balance/share.rs
@@ -1,8 +1,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use hemlockfield::balance::Ask;
 use hemlockfield::balance::Picker;
+use hemlockfield::balance::Request;
 use hemlockfield::balance::State;
 use hemlockfield::clock::Moment;
 use hemlockfield::health::Kind;
@@ -26,7 +26,7 @@
     let mut counts = BTreeMap::new();
     for turn in 0..count {
         let now = from + GAP * turn;
-        if let Some(pick) = picker.pick(now, &Ask::default()) {
+        if let Some(pick) = picker.pick(now, &Request::default()) {
             *counts.entry(pick.upstream.to_string()).or_default() += 1;
             let latency = latency(&pick.upstream);
             picker.finish(now, pick.ticket, finish(Kind::Success, latency));
@@ -62,7 +62,7 @@
     spread(&mut picker, Moment::ZERO, 1_000, |_| USUAL);
     let mut now = GAP * 1_000;
     let hot = loop {
-        let pick = picker.pick(now, &Ask::default()).expect("an idle upstream");
+        let pick = picker.pick(now, &Request::default()).expect("an idle upstream");
         if pick.upstream == "u03" {
             break pick;
         }
@@ -70,7 +70,7 @@
     };
     picker.finish(now, hot.ticket, finish(Kind::Refused, Duration::from_millis(2)));
     for _ in 0..200 {
-        let pick = picker.pick(now, &Ask::default()).expect("an idle upstream");
+        let pick = picker.pick(now, &Request::default()).expect("an idle upstream");
         assert_ne!(pick.upstream, "u03");
         picker.finish(now, pick.ticket, finish(Kind::Success, USUAL));
     }
@@ -86,7 +86,7 @@
     let mut picker = picker(0, 44, &ready(1));
     let mut most = |now: Moment, kind: Kind| {
         let mut picks = Vec::new();
-        while let Some(pick) = picker.pick(now, &Ask::default()) {
+        while let Some(pick) = picker.pick(now, &Request::default()) {
             picks.push(pick);
         }
         let count = picks.len();
@@ -130,13 +130,13 @@
     let mut picker = picker(0, 44, &ready(3));
     let avoid = [name(0).into(), name(2).into()];
     for _ in 0..50 {
-        let pick = picker.pick(Moment::ZERO, &Ask { avoid: &avoid, is_long: false });
+        let pick = picker.pick(Moment::ZERO, &Request { avoid: &avoid, is_long: false });
         let pick = pick.expect("the third upstream");
         assert_eq!(pick.upstream, name(1));
         picker.finish(Moment::ZERO, pick.ticket, finish(Kind::Success, USUAL));
     }
     let avoid = [name(0).into(), name(1).into(), name(2).into()];
-    assert_eq!(picker.pick(Moment::ZERO, &Ask { avoid: &avoid, is_long: false }), None);
+    assert_eq!(picker.pick(Moment::ZERO, &Request { avoid: &avoid, is_long: false }), None);
 }
 
 /// Uploads take as long as the caller's line lets them. They must count as in
@@ -144,13 +144,13 @@
 #[test]
 fn overdue_long_jobs() {
     let mut picker = picker(0, 44, &ready(1));
-    let lookup = picker.pick(Moment::ZERO, &Ask::default()).expect("an idle upstream");
+    let lookup = picker.pick(Moment::ZERO, &Request::default()).expect("an idle upstream");
     picker.finish(USUAL, lookup.ticket, finish(Kind::Success, USUAL));
-    let upload = picker.pick(USUAL, &Ask { avoid: &[], is_long: true }).expect("room");
+    let upload = picker.pick(USUAL, &Request { avoid: &[], is_long: true }).expect("room");
     let late = Duration::from_secs(9);
     assert_eq!(picker.overdue(late), []);
     assert_eq!(picker.in_flight("u00"), 1);
-    picker.pick(Moment::ZERO, &Ask::default()).expect("room");
+    picker.pick(Moment::ZERO, &Request::default()).expect("room");
     assert_eq!(picker.overdue(late), [("u00".into(), vec![late])]);
     picker.finish(late, upload.ticket, finish(Kind::Success, late));
     assert_eq!(picker.in_flight("u00"), 1);
