--- a/src/balance.rs
+++ b/src/balance.rs
@@ -13,7 +13,7 @@
 //! loaded one taken: within a fraction of a microsecond, without a herd. Figures
 //! and the ways weighed stand in `docs/design/balance.md`.
 
-mod finish;
+mod completion;
 mod load;
 mod member;
 mod pick;
@@ -25,7 +25,7 @@
 mod subset;
 mod verdicts;
 
-pub use finish::Finish;
+pub use completion::Completion;
 pub use member::Member;
 pub use pick::Pick;
 pub use pick::Ticket;
--- a/src/balance/finish.rs
+++ b/src/balance/completion.rs
@@ -5,7 +5,7 @@
 
 /// How a picked request ended.
 #[derive(Clone, Copy, Debug)]
-pub struct Finish {
+pub struct Completion {
     /// Outcome.
     pub kind: Kind,
     /// From the last byte of the request to the first byte of the answer.
--- a/src/balance/load.rs
+++ b/src/balance/load.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use crate::balance::Finish;
+use crate::balance::Completion;
 use crate::balance::Member;
 use crate::balance::Report;
 use crate::balance::Setup;
@@ -97,7 +97,7 @@
         &self.member.domain
     }
 
-    pub(crate) fn finish(&mut self, now: Moment, ticket: Ticket, finish: Finish) {
+    pub(crate) fn finish(&mut self, now: Moment, ticket: Ticket, completion: Completion) {
         let found = self.waiting.iter().position(|(request, _)| *request == ticket.request);
         match found {
             Some(place) => {
@@ -105,10 +105,10 @@
             }
             None => self.long = self.long.saturating_sub(1),
         }
-        self.report = finish.report.map(|report| (now, report)).or(self.report);
-        match finish.kind {
+        self.report = completion.report.map(|report| (now, report)).or(self.report);
+        match completion.kind {
             Kind::Refused => self.refused(now),
-            Kind::Success if found.is_some() => self.succeeded(now, finish.latency),
+            Kind::Success if found.is_some() => self.succeeded(now, completion.latency),
             _ => {}
         }
     }
--- a/src/balance/picker.rs
+++ b/src/balance/picker.rs
@@ -4,7 +4,7 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::balance::Finish;
+use crate::balance::Completion;
 use crate::balance::Member;
 use crate::balance::Pick;
 use crate::balance::Request;
@@ -75,10 +75,10 @@
     }
 
     /// Ends a pick. Unknown tickets, of members that left, are ignored.
-    pub fn finish(&mut self, now: Moment, ticket: Ticket, finish: Finish) {
+    pub fn finish(&mut self, now: Moment, ticket: Ticket, completion: Completion) {
         let found = self.loads.binary_search_by_key(&ticket.member, Load::number);
         if let Ok(position) = found {
-            self.loads[position].finish(now, ticket, finish);
+            self.loads[position].finish(now, ticket, completion);
         }
     }
 
--- a/src/bench/balance.rs
+++ b/src/bench/balance.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::balance::Finish;
+use crate::balance::Completion;
 use crate::balance::Request;
 use crate::balance::Setup;
 use crate::bench::health::judged;
@@ -116,7 +116,11 @@
     for pick in 0..PICKS {
         let now = Duration::from_micros(u64::from(pick));
         if let Some(pick) = picker.pick(now, &Request::default()) {
-            picker.finish(now, pick.ticket, Finish { kind: Kind::Success, latency, report: None });
+            picker.finish(
+                now,
+                pick.ticket,
+                Completion { kind: Kind::Success, latency, report: None },
+            );
         }
     }
     let each = started.elapsed() / PICKS;
--- a/src/bench/health/judged.rs
+++ b/src/bench/health/judged.rs
@@ -1,7 +1,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::balance::Finish;
+use crate::balance::Completion;
 use crate::balance::Member;
 use crate::balance::Picker;
 use crate::balance::Setup;
@@ -65,6 +65,6 @@
 }
 
 /// What a picker is told at the end of a request.
-pub(crate) fn finish(answer: &Answer) -> Finish {
-    Finish { kind: answer.kind, latency: answer.latency, report: answer.report }
+pub(crate) fn finish(answer: &Answer) -> Completion {
+    Completion { kind: answer.kind, latency: answer.latency, report: answer.report }
 }
--- a/src/node/traffic/place.rs
+++ b/src/node/traffic/place.rs
@@ -1,7 +1,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::balance::Finish;
+use crate::balance::Completion;
 use crate::balance::Pick;
 use crate::balance::Ticket;
 use crate::health;
@@ -84,7 +84,7 @@
     fn give_back(&mut self, kind: health::Kind, latency: Duration) {
         if !self.ended {
             self.ended = true;
-            let finish = Finish { kind, latency, report: None };
+            let finish = Completion { kind, latency, report: None };
             self.service.finish(self.shared.now(), self.ticket, finish);
         }
     }
--- a/src/node/traffic/service.rs
+++ b/src/node/traffic/service.rs
@@ -9,7 +9,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::balance;
-use crate::balance::Finish;
+use crate::balance::Completion;
 use crate::balance::Pick;
 use crate::balance::Picker;
 use crate::balance::Request;
@@ -104,8 +104,8 @@
         choice.picker.pick_only(now, &trial.upstream, false)
     }
 
-    pub(super) fn finish(&self, now: Moment, ticket: Ticket, finish: Finish) {
-        self.lock().picker.finish(now, ticket, finish);
+    pub(super) fn finish(&self, now: Moment, ticket: Ticket, completion: Completion) {
+        self.lock().picker.finish(now, ticket, completion);
     }
 
     /// What may be tried again, and the budget for it.
--- a/tests/suite/balance.rs
+++ b/tests/suite/balance.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use hemlockfield::balance::Finish;
+use hemlockfield::balance::Completion;
 use hemlockfield::balance::Member;
 use hemlockfield::balance::Picker;
 use hemlockfield::balance::Setup;
@@ -43,6 +43,6 @@
     picker
 }
 
-fn finish(kind: Kind, latency: Duration) -> Finish {
-    Finish { kind, latency, report: None }
+fn finish(kind: Kind, latency: Duration) -> Completion {
+    Completion { kind, latency, report: None }
 }
