--- a/src/balance.rs
+++ b/src/balance.rs
@@ -14,6 +14,7 @@
 //! and the ways weighed stand in `docs/design/balance.md`.
 
 mod completion;
+mod health;
 mod load;
 mod member;
 mod pick;
@@ -23,9 +24,9 @@
 mod setup;
 mod state;
 mod subset;
-mod verdicts;
 
 pub use completion::Completion;
+pub use health::Health;
 pub use member::Member;
 pub use pick::Pick;
 pub use pick::Ticket;
@@ -34,4 +35,3 @@
 pub use request::Request;
 pub use setup::Setup;
 pub use state::State;
-pub use verdicts::Verdicts;
--- a/src/balance/verdicts.rs
+++ b/src/balance/health.rs
@@ -1,7 +1,7 @@
 use crate::health::Judge;
 
 /// What the balance asks of health.
-pub trait Verdicts {
+pub trait Health {
     /// Whether an upstream gets work only where no other has room.
     fn is_suspect(&self, _upstream: &str) -> bool {
         false
@@ -11,7 +11,7 @@
     fn weight(&self, upstream: &str) -> f64;
 }
 
-impl Verdicts for Judge {
+impl Health for Judge {
     fn weight(&self, upstream: &str) -> f64 {
         Judge::weight(self, upstream)
     }
--- a/src/balance/picker.rs
+++ b/src/balance/picker.rs
@@ -5,12 +5,12 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::balance::Completion;
+use crate::balance::Health;
 use crate::balance::Member;
 use crate::balance::Pick;
 use crate::balance::Request;
 use crate::balance::Setup;
 use crate::balance::Ticket;
-use crate::balance::Verdicts;
 use crate::balance::load::Load;
 use crate::balance::subset;
 use crate::balance::subset::Subset;
@@ -130,12 +130,12 @@
 
     /// Takes over what health holds. Due at each tick of the judge and after each
     /// of its outputs that concern an upstream.
-    pub fn refresh(&mut self, verdicts: &dyn Verdicts) {
+    pub fn refresh(&mut self, health: &dyn Health) {
         let mut is_changed = false;
         for load in &mut self.loads {
-            let weight = verdicts.weight(&load.member().upstream);
+            let weight = health.weight(&load.member().upstream);
             is_changed |= load.set_health(weight);
-            load.set_suspect(verdicts.is_suspect(&load.member().upstream));
+            load.set_suspect(health.is_suspect(&load.member().upstream));
         }
         if is_changed {
             self.choose();
--- a/src/bench/balance/picked.rs
+++ b/src/bench/balance/picked.rs
@@ -1,5 +1,5 @@
+use crate::balance::Health;
 use crate::balance::Picker;
-use crate::balance::Verdicts;
 use crate::bench::health::chooser::Chooser;
 use crate::clock::Moment;
 use crate::health::Digest;
@@ -14,7 +14,7 @@
 
 struct AllSound;
 
-impl Verdicts for AllSound {
+impl Health for AllSound {
     fn weight(&self, _upstream: &str) -> f64 {
         1.0
     }
--- a/src/bench/health/acting.rs
+++ b/src/bench/health/acting.rs
@@ -8,7 +8,7 @@
 use super::detector::Way;
 use super::judged;
 use super::threshold::Threshold;
-use crate::balance::Verdicts;
+use crate::balance::Health;
 use crate::clock::Moment;
 use crate::health::Digest;
 use crate::health::Input;
@@ -40,7 +40,7 @@
     until: BTreeMap<usize, Moment>,
 }
 
-impl Verdicts for Out {
+impl Health for Out {
     fn weight(&self, upstream: &str) -> f64 {
         let until = self.until.get(&judged::position(upstream));
         if until.is_some_and(|until| self.now < *until) { 0.0 } else { 1.0 }
--- a/src/node/traffic/service.rs
+++ b/src/node/traffic/service.rs
@@ -10,11 +10,11 @@
 
 use crate::balance;
 use crate::balance::Completion;
+use crate::balance::Health;
 use crate::balance::Pick;
 use crate::balance::Picker;
 use crate::balance::Request;
 use crate::balance::Ticket;
-use crate::balance::Verdicts;
 use crate::breaker::Trial;
 use crate::clock::Moment;
 use crate::id::ServiceId;
--- a/src/node/view.rs
+++ b/src/node/view.rs
@@ -138,7 +138,7 @@
     }
 }
 
-impl balance::Verdicts for Service {
+impl balance::Health for Service {
     fn is_suspect(&self, upstream: &str) -> bool {
         self.suspects.contains(upstream)
     }
--- a/tests/suite/balance/near.rs
+++ b/tests/suite/balance/near.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
+use hemlockfield::balance::Health;
 use hemlockfield::balance::Picker;
 use hemlockfield::balance::Request;
 use hemlockfield::balance::Setup;
-use hemlockfield::balance::Verdicts;
 use hemlockfield::clock::Moment;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -34,7 +34,7 @@
 
 struct Suspect(&'static [&'static str]);
 
-impl Verdicts for Suspect {
+impl Health for Suspect {
     fn is_suspect(&self, upstream: &str) -> bool {
         self.0.contains(&upstream)
     }
--- a/tests/suite/balance/subset.rs
+++ b/tests/suite/balance/subset.rs
@@ -1,7 +1,7 @@
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
-use hemlockfield::balance::Verdicts;
+use hemlockfield::balance::Health;
 use rstest::rstest;
 
 use super::member;
@@ -12,7 +12,7 @@
 /// Holds some upstreams ejected.
 struct Ejected(Vec<usize>);
 
-impl Verdicts for Ejected {
+impl Health for Ejected {
     fn weight(&self, upstream: &str) -> f64 {
         let is_out = self.0.iter().any(|position| name(*position) == upstream);
         if is_out { 0.0 } else { 1.0 }
