--- a/src/balance/load.rs
+++ b/src/balance/load.rs
@@ -163,7 +163,7 @@
     /// comparisons while there is room elsewhere, and gets its full share when
     /// the queues of the others have made them as slow.
     pub(crate) fn cost(&self, now: Moment, usual: f64, setup: &Setup) -> f64 {
-        let far = if self.is_near { 1.0 } else { setup.remote };
+        let far = if self.is_near { 1.0 } else { setup.remote_cost };
         let told = if setup.uses_reports { self.told(now) } else { 0.0 };
         let slots = f64::from(self.member.slots.max(1));
         let busy = (self.in_flight() as f64 + told) / slots;
--- a/src/balance/picker.rs
+++ b/src/balance/picker.rs
@@ -177,7 +177,7 @@
     }
 
     fn choose(&mut self) {
-        self.subset = Subset::choose(&mut self.loads, self.setup.entries, self.setup.most);
+        self.subset = Subset::choose(&mut self.loads, self.setup.entries, self.setup.subset_max);
         if self.setup.local {
             self.subset.add_near(&self.loads);
             self.near_share = Self::near_share(&self.loads, self.setup.entries);
--- a/src/balance/setup.rs
+++ b/src/balance/setup.rs
@@ -13,10 +13,10 @@
     /// Whether far upstreams get work only when the near ones are full.
     pub local: bool,
     /// Most upstreams to use at once.
-    pub most: usize,
+    pub subset_max: usize,
     /// Factor on the cost of an upstream in another failure domain: work goes
     /// there when the near ones are this much more loaded.
-    pub remote: f64,
+    pub remote_cost: f64,
     /// Whether loads told on answers count.
     pub uses_reports: bool,
 }
@@ -25,7 +25,7 @@
     /// Most upstreams to use at once, unless set. An entry knows more of each when
     /// they are fewer: at 44 entries and 30 upstreams, twelve gave a lower p99
     /// than all thirty, and six a higher one, as hashing then loads some more.
-    pub const MOST: usize = 12;
+    pub const SUBSET_MAX: usize = 12;
 
     /// The usual setup of an entry.
     #[must_use]
@@ -35,8 +35,8 @@
             entries,
             entry,
             local: false,
-            most: Self::MOST,
-            remote: 1.2,
+            subset_max: Self::SUBSET_MAX,
+            remote_cost: 1.2,
             uses_reports: false,
         }
     }
--- a/src/bench/balance.rs
+++ b/src/bench/balance.rs
@@ -32,9 +32,9 @@
     ("two choices", Way::Simple(Rule::TwoChoices)),
     ("picker", Way::Picker(|_| {})),
     ("picker, reports", Way::Picker(|setup| setup.uses_reports = true)),
-    ("picker, no near", Way::Picker(|setup| setup.remote = 1.0)),
-    ("picker, most 32", Way::Picker(|setup| setup.most = 32)),
-    ("picker, most 6", Way::Picker(|setup| setup.most = 6)),
+    ("picker, no near", Way::Picker(|setup| setup.remote_cost = 1.0)),
+    ("picker, most 32", Way::Picker(|setup| setup.subset_max = 32)),
+    ("picker, most 6", Way::Picker(|setup| setup.subset_max = 6)),
 ];
 
 /// Length of each run.
