--- a/src/breaker/group.rs
+++ b/src/breaker/group.rs
@@ -70,7 +70,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Trial {
     /// Whether it is worth a request that may run only once.
-    pub allows_non_idempotent: bool,
+    pub allows_any: bool,
     /// Counts the trials of this entry: each is made once.
     pub number: u64,
     /// The upstream.
@@ -95,7 +95,7 @@
 #[derive(Clone, Debug)]
 struct Member {
     /// Whether requests that may run only once make its trials.
-    allows_non_idempotent: bool,
+    allows_any: bool,
     circuit: Circuit,
     /// When its last answer was an error, after one that was none.
     erred_at: Option<Moment>,
@@ -143,7 +143,7 @@
     /// An upstream takes work.
     pub fn join(&mut self, upstream: UpstreamId, slots: u32) {
         let fresh = Member {
-            allows_non_idempotent: false,
+            allows_any: false,
             circuit: Circuit::default(),
             erred_at: None,
             is_late: false,
@@ -259,7 +259,7 @@
             let after = member.circuit.state();
             changed |= after != before;
             let State::HalfOpen { passed, .. } = after else {
-                member.allows_non_idempotent = false;
+                member.allows_any = false;
                 member.trial = None;
                 member.trial_at = Moment::MAX;
                 member.passed = 0;
@@ -273,7 +273,7 @@
             let most = if is_high { ONCE_PRESSED } else { ONCE_MOST };
             let is_broken = member.circuit.cause() == Cause::Broken;
             let is_late = is_high && is_broken && now >= failed_at + ONCE_PRESSED + ONCE_LATE;
-            let every = match member.allows_non_idempotent {
+            let every = match member.allows_any {
                 _ if passed > 0 => TRIAL_SOON,
                 true if is_late => ONCE_SOON,
                 true => ONCE_EVERY,
@@ -287,10 +287,10 @@
             }
             let wanted = if helped { failed_at + ONCE_MOST } else { member.once_from };
             member.once_due = wanted.min(failed_at + most);
-            if !member.allows_non_idempotent && now >= member.once_due {
+            if !member.allows_any && now >= member.once_due {
                 // Many entries hold a trial that no request has made by now: drawn anew, they
                 // come one after the other.
-                member.allows_non_idempotent = true;
+                member.allows_any = true;
                 member.trial = None;
                 member.trial_at = Moment::MAX;
                 changed = true;
@@ -316,7 +316,7 @@
             State::HalfOpen { .. } => {
                 let is_set = member.trial_at != Moment::MAX;
                 let next = if is_set { member.trial_at } else { member.try_from };
-                Some(if member.allows_non_idempotent { next } else { next.min(member.once_due) })
+                Some(if member.allows_any { next } else { next.min(member.once_due) })
             }
             _ => member.circuit.wake(),
         };
@@ -326,12 +326,8 @@
     /// Trials that are due here.
     pub fn trials(&self) -> Vec<Trial> {
         let due = |(upstream, member): (&UpstreamId, &Member)| {
-            let allows_non_idempotent = member.allows_non_idempotent;
-            member.trial.map(|number| Trial {
-                allows_non_idempotent,
-                number,
-                upstream: upstream.clone(),
-            })
+            let allows_any = member.allows_any;
+            member.trial.map(|number| Trial { allows_any, number, upstream: upstream.clone() })
         };
         self.circuits.iter().filter_map(due).collect()
     }
--- a/src/node/traffic/service.rs
+++ b/src/node/traffic/service.rs
@@ -98,7 +98,7 @@
         }
         let mut choice = self.choice(now, view);
         let is_new = |trial: &&Trial| !choice.tried.contains(&trial.number);
-        let takes = |trial: &&Trial| repeatable || trial.allows_non_idempotent;
+        let takes = |trial: &&Trial| repeatable || trial.allows_any;
         let trial = view.trials.iter().filter(takes).find(is_new)?;
         choice.tried.insert(trial.number);
         choice.picker.pick_only(now, &trial.upstream, false)
--- a/tests/suite/breaker/error_history.rs
+++ b/tests/suite/breaker/error_history.rs
@@ -84,7 +84,7 @@
 
     fn choose(&mut self, is_lookup: bool) -> Option<(usize, bool)> {
         let trials = self.group.trials();
-        let due = trials.iter().filter(|trial| trial.allows_non_idempotent || is_lookup);
+        let due = trials.iter().filter(|trial| trial.allows_any || is_lookup);
         if let Some(trial) = due.into_iter().find(|trial| trial.number > self.tried) {
             self.tried = trial.number;
             return (0..UPSTREAMS).find(|at| name(*at) == trial.upstream).map(|at| (at, true));
--- a/tests/suite/breaker/once.rs
+++ b/tests/suite/breaker/once.rs
@@ -186,7 +186,7 @@
 
     fn choose(&mut self, entry: usize, is_lookup: bool) -> Option<(usize, bool)> {
         let trials = self.groups[entry].trials();
-        let due = trials.iter().filter(|trial| trial.allows_non_idempotent || is_lookup);
+        let due = trials.iter().filter(|trial| trial.allows_any || is_lookup);
         let fresh = due.into_iter().find(|trial| self.taken[entry].insert(trial.number));
         if let Some(trial) = fresh {
             return (0..UPSTREAMS).find(|at| name(*at) == trial.upstream).map(|at| (at, true));
--- a/tests/suite/breaker/outage_history.rs
+++ b/tests/suite/breaker/outage_history.rs
@@ -105,9 +105,8 @@
             }
             _ => false,
         };
-        let allows_non_idempotent =
-            |trial: &Trial| trial.allows_non_idempotent && trial.upstream == name(0);
-        if first.is_none() && group.trials().iter().any(allows_non_idempotent) {
+        let allows_any = |trial: &Trial| trial.allows_any && trial.upstream == name(0);
+        if first.is_none() && group.trials().iter().any(allows_any) {
             first = Some(now);
         }
     }
@@ -134,9 +133,8 @@
             5_000 | 7_000 | 9_000 => group.record(ms(now), &name(1), &passed),
             _ => false,
         };
-        let allows_non_idempotent =
-            |trial: &Trial| trial.allows_non_idempotent && trial.upstream == name(0);
-        if first.is_none() && group.trials().iter().any(allows_non_idempotent) {
+        let allows_any = |trial: &Trial| trial.allows_any && trial.upstream == name(0);
+        if first.is_none() && group.trials().iter().any(allows_any) {
             first = Some(now);
         }
     }
