--- a/src/breaker.rs
+++ b/src/breaker.rs
@@ -1,22 +1,23 @@
-//! Circuit breakers of upstreams, on what callers of all entries received.
+//! Circuit breakers of upstreams, driven by what callers of all entries received.
 //!
-//! **Load pattern.** Dozens of entries each see a few requests a second, so that each alone
-//! meets one upstream about once in two seconds; at any time up to a third of the upstreams
-//! break off most of their answers for some seconds while their own report is good.
+//! **Load pattern.** Dozens of entries each serve a few requests a second, so that one entry
+//! sends a request to one upstream about once in two seconds. At any time up to a third of the
+//! upstreams break off most of their answers for some seconds while their own health report is
+//! good.
 //!
-//! **Without it.** An entry needs several requests of its own to convict an upstream, by
-//! which time the upstream is well again: one request in six is lost, and those that may run
-//! only once are lost for good.
+//! **Without it.** An entry needs several requests of its own to detect a faulty upstream, and by
+//! then the upstream has recovered. One request in six fails, and those that are not idempotent
+//! can't be retried.
 //!
-//! **How.** Entries count what they received and tell it through the controls, a broken
-//! answer at once. One broken answer anywhere opens the breaker for a moment everywhere; then
-//! idempotent requests, which can be sent again, try whether the upstream is well; where a
-//! service has none, single requests of any kind do after some seconds. The floor bounds how
-//! many breakers are open.
+//! **How.** Entries count the outcomes of their requests and share the counts through the
+//! controls, a broken answer at once. One broken answer at any entry opens the breaker at all
+//! entries for a moment. Then idempotent requests, which can be retried, serve as trials of the
+//! upstream; where a service has none, single requests of any kind do after some seconds. The
+//! floor bounds how many breakers take their upstream out at once.
 //!
-//! Two things look like an upstream's fault and are none: an entry whose own network breaks
-//! its answers ([`LocalFault`]), and a service that has more work than it can do, whose requests
-//! run out of time at every upstream ([`Counts::hung`]).
+//! Two conditions look like a faulty upstream and are not: an entry whose own network breaks its
+//! answers ([`LocalFault`]), and an overloaded service, whose requests time out at every upstream
+//! ([`Counts::hung`]).
 
 mod cause;
 mod circuit;
--- a/src/breaker/cause.rs
+++ b/src/breaker/cause.rs
@@ -1,19 +1,19 @@
-//! What took an upstream out.
+//! Why an upstream was taken out.
 
 use super::Counts;
 
-/// What took an upstream out.
+/// Why an upstream was taken out.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Cause {
-    /// A broken answer.
+    /// A truncated or corrupted answer.
     Broken,
-    /// Errors of its own.
+    /// Error answers of the upstream itself.
     Failed,
-    /// A request that got no answer in its time.
+    /// A request that timed out.
     Hung,
-    /// Several requests that still wait, longer than usual.
+    /// Several pending requests that wait for longer than usual.
     Late,
-    /// A request that still waits, far longer than usual.
+    /// A pending request that waits for far longer than usual.
     Overdue,
     /// Connections that could not be opened.
     Unreached,
@@ -32,8 +32,8 @@
         }
     }
 
-    /// What speaks most against an upstream of which this was received.
-    pub(super) fn of(counts: &Counts) -> Self {
+    /// The strongest evidence of a fault in these counts.
+    pub(super) fn from_counts(counts: &Counts) -> Self {
         match counts {
             counts if counts.broken > 0 => Self::Broken,
             counts if counts.hung > counts.overdue => Self::Hung,
--- a/src/breaker/circuit.rs
+++ b/src/breaker/circuit.rs
@@ -1,4 +1,4 @@
-//! The breaker of one upstream.
+//! The circuit breaker of one upstream.
 
 use std::time::Duration;
 
@@ -7,77 +7,79 @@
 use super::Window;
 use crate::clock::Moment;
 
-/// A broken answer takes an upstream out for this long before it is tried: nine in ten are the
-/// first sign of a fault that lasts for seconds, and what is sent meanwhile is lost.
-const OPEN: Duration = Duration::from_millis(350);
-/// A failed trial takes it out for this long. Where a third of the upstreams are at fault at
-/// any time, the others have hardly room for all work, and one that is well again must not
-/// stay out: a second longer each time leaves queues that do not drain. Mean worth of loaded
-/// days with four seeds: 0.530 with 0.8 s growing to 2.4 s, 0.546 with 0.8 s, 0.558 with
-/// 0.5 s, 0.590 with 0.3 s on the smaller site; 0.557, 0.577, 0.599, 0.619 on the larger one.
-const AGAIN: Duration = Duration::from_millis(300);
-/// An error alone takes it out for this long, as the last choice: most such upstreams are well,
-/// and what is under way there shows soon if this one is not.
-const DOUBTED: Duration = Duration::from_millis(100);
-/// Requests past their usual time within this span, with no answer in it, are a fault: the
-/// upstream holds all it gets.
-const HELD: u32 = 3;
-const HELD_SPAN: Duration = Duration::from_millis(800);
-/// Failures of its own within the window that make a fault of it, where they are also this
-/// share of what ended: usual ones are one in a hundred.
-const FAILURES: u32 = 3;
-const FAILING: f64 = 0.4;
-/// Connections of this entry that failed within the window: the path is gone, perhaps only
-/// from here.
-const UNREACHED: u32 = 2;
-/// Connections of all entries that failed within the window, with no answer to anybody: the
-/// upstream is gone.
-const LOST: u32 = 4;
-/// Trials that have to go well, one after the other: a fault that breaks most answers lets one
+/// How long a broken answer keeps an upstream out before its first trial. Nine in ten broken
+/// answers are the first sign of a fault that lasts for seconds, and requests sent meanwhile
+/// fail.
+const OPEN_PAUSE: Duration = Duration::from_millis(350);
+/// How long a failed trial keeps an upstream out. Where a third of the upstreams are faulty at
+/// any time, the others have hardly any spare capacity, so that an upstream that has recovered
+/// must return soon: a second longer each time leaves queues that do not drain. Mean score of
+/// loaded days over four seeds: with a pause growing from 0.8 s to 2.4 s 0.530 on the smaller
+/// site and 0.557 on the larger one, with 0.8 s 0.546 and 0.577, with 0.5 s 0.558 and 0.599, with
+/// 0.3 s 0.590 and 0.619.
+const FAILED_TRIAL_PAUSE: Duration = Duration::from_millis(300);
+/// How long a single error makes an upstream a last resort. Most such upstreams are sound, and
+/// requests already in flight there soon show if this one is not.
+const SINGLE_ERROR_PAUSE: Duration = Duration::from_millis(100);
+/// This many late requests within the window, with no answer in it, are a fault: the upstream
+/// accepts requests and answers none.
+const LATE_MIN: u32 = 3;
+const LATE_WINDOW: Duration = Duration::from_millis(800);
+/// Failed requests within the window that are a fault if they are also at least this share of the
+/// completed ones. On a sound upstream one request in a hundred fails.
+const FAILED_MIN: u32 = 3;
+const FAILED_SHARE_MIN: f64 = 0.4;
+/// Failed connections of this entry within the window that are a fault: the path is broken,
+/// perhaps only from here.
+const OWN_UNREACHED_MIN: u32 = 2;
+/// Failed connections of all entries within the window that are a fault if no caller got an
+/// answer: the upstream is gone.
+const UNREACHED_MIN: u32 = 4;
+/// Successful trials in a row that close the breaker. A fault that breaks most answers lets one
 /// in six through.
-const TRIALS: u32 = 2;
-/// Hung requests within the window that make a fault of a crowded service's upstream, where
-/// they are also this share of what ended: while all have more work than they can do, each
-/// lets some of its requests run out of time, and taking it out leaves the others still less
-/// time. Gray ones that hang their requests hang half of them and more.
-const HUNG: u32 = 3;
-const HANGING: f64 = 0.6;
+const TRIALS_TO_CLOSE: u32 = 2;
+/// Hung requests within the window that are a fault in an overloaded service if they are also at
+/// least this share of the completed ones. Under overload every upstream lets some requests time
+/// out, and taking one out leaves the others even less time. Upstreams with a gray failure that
+/// hangs requests hang half of them or more.
+const HUNG_MIN: u32 = 3;
+const HUNG_SHARE_MIN: f64 = 0.6;
 
-/// Whether an upstream gets work.
+/// Whether an upstream gets requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum State {
-    /// As usual.
+    /// Requests are sent as usual.
     Closed,
-    /// None until then; then it is tried.
+    /// No requests are sent until the deadline; then trials begin.
     Open {
-        /// When it is tried.
+        /// When trials begin.
         until: Moment,
     },
-    /// Trials only.
+    /// Only trials are sent.
     HalfOpen {
-        /// Since when.
+        /// When trials began.
         since: Moment,
-        /// Trials that went well.
+        /// Successful trials so far.
         passed: u32,
     },
 }
 
-/// The breaker of one upstream.
+/// The circuit breaker of one upstream.
 #[derive(Clone, Debug)]
 pub struct Circuit {
     broken_at: Moment,
     cause: Cause,
-    cleared: bool,
-    crowded: bool,
-    doubts: bool,
+    is_cleared: bool,
+    is_overloaded: bool,
+    opens_on_error: bool,
     failed_at: Moment,
-    is_doubted: bool,
+    has_single_error: bool,
     opened_at: Moment,
     own: Window,
     passed_at: Moment,
-    /// How long a request had waited that took it out though it may yet be answered; `None`
-    /// where something certain did.
-    presumed_after: Option<Duration>,
+    /// How long the overdue requests that opened the breaker had waited on average. They may
+    /// still be answered; `None` if something certain opened it.
+    overdue_wait: Option<Duration>,
     state: State,
     window: Window,
 }
@@ -89,15 +91,15 @@
         Self {
             broken_at: Moment::ZERO,
             cause: Cause::Broken,
-            cleared: false,
-            crowded: false,
-            doubts: false,
+            is_cleared: false,
+            is_overloaded: false,
+            opens_on_error: false,
             failed_at: Moment::ZERO,
-            is_doubted: false,
+            has_single_error: false,
             opened_at: Moment::ZERO,
             own,
             passed_at: Moment::ZERO,
-            presumed_after: None,
+            overdue_wait: None,
             state: State::Closed,
             window,
         }
@@ -105,92 +107,94 @@
 }
 
 impl Circuit {
-    /// Whether the upstream gets work.
+    /// Current state.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// What the window holds.
+    /// Counts within the window as of the last update.
     pub fn recent(&self) -> Counts {
         self.window.sum()
     }
 
-    /// Whether a single error is all that speaks against it.
-    pub fn is_doubted(&self) -> bool {
-        self.is_doubted
+    /// Whether a single error is the only evidence of a fault.
+    pub fn has_single_error(&self) -> bool {
+        self.has_single_error
     }
 
-    /// When a caller last received something broken.
+    /// When a request last broke, hung or could not connect.
     pub fn broken_at(&self) -> Moment {
         self.broken_at
     }
 
-    /// What took it out, the last time.
+    /// Why the breaker last opened.
     pub fn cause(&self) -> Cause {
         self.cause
     }
 
-    /// Whether it is back because what had taken it out was no fault.
+    /// Whether the breaker last closed because the overdue request that had opened it was
+    /// answered after all.
     pub fn was_cleared(&self) -> bool {
-        self.cleared
+        self.is_cleared
     }
 
-    /// Whether this shows that the upstream was taken out for a request that was only slow: one
-    /// that had waited as long was answered whole.
+    /// Whether the counts show that the request that opened the breaker was only slow: a request
+    /// that waited at least as long was answered in full.
     fn is_cleared_by(&self, counts: &Counts) -> bool {
         let latency = Duration::from_millis(counts.millis);
-        self.presumed_after.is_some_and(|after| counts.answered == 1 && latency >= after)
+        self.overdue_wait.is_some_and(|after| counts.answered == 1 && latency >= after)
     }
 
-    /// When its present or last outage began, and when that was last known to go on.
+    /// Start of the current or last outage, and when its fault was last confirmed.
     pub fn outage(&self) -> (Moment, Moment) {
         (self.opened_at, self.failed_at)
     }
 
-    /// How long its last outage lasted: until between the last trial that failed and the first
-    /// that went well.
-    pub fn lasted(&self) -> Duration {
-        let known = self.failed_at.saturating_sub(self.opened_at);
-        known + self.passed_at.saturating_sub(self.failed_at) / 2
+    /// Duration of the last outage. Its end is taken to be halfway between the last failed trial
+    /// and the first successful one.
+    pub fn outage_duration(&self) -> Duration {
+        let confirmed = self.failed_at.saturating_sub(self.opened_at);
+        confirmed + self.passed_at.saturating_sub(self.failed_at) / 2
     }
 
-    /// Sets whether the service has more work than its upstreams can do.
-    pub fn set_crowded(&mut self, crowded: bool) {
-        self.crowded = crowded;
+    /// Sets whether the service is overloaded, so that hung requests alone are weak evidence.
+    pub fn set_overloaded(&mut self, is_overloaded: bool) {
+        self.is_overloaded = is_overloaded;
     }
 
-    /// Sets whether one error of the service's upstreams is a sign of a fault.
-    pub fn set_doubts(&mut self, doubts: bool) {
-        self.doubts = doubts;
+    /// Sets whether a single error opens the breaker.
+    pub fn set_opens_on_error(&mut self, opens_on_error: bool) {
+        self.opens_on_error = opens_on_error;
     }
 
-    /// What callers received within the window.
+    /// Counts within the window that ends `now`.
     pub fn recent_at(&self, now: Moment) -> Counts {
-        self.window.at(now)
+        self.window.sum_at(now)
     }
 
-    /// Whether callers of other entries lately got whole answers, and nothing broken.
+    /// Whether other entries recently got complete answers and saw no lost request that this
+    /// entry did not see.
     pub fn serves_others(&self, now: Moment) -> bool {
-        let (all, own) = (self.window.at(now), self.own.at(now));
+        let (all, own) = (self.window.sum_at(now), self.own.sum_at(now));
         all.answered > own.answered && all.lost() == own.lost()
     }
 
-    /// Takes what callers received here.
+    /// Records what callers of this entry received.
     pub fn record_own(&mut self, now: Moment, counts: &Counts) {
         let cleared = u32::from(self.is_cleared_by(counts));
-        self.own.roll(now);
+        self.own.expire(now);
         self.own.add(now, counts);
         self.record(now, &Counts { cleared, ..*counts });
     }
 
-    /// Takes what callers received at other entries.
+    /// Records what callers of other entries received.
     pub fn record(&mut self, now: Moment, counts: &Counts) {
-        if self.presumed_after.is_some() && counts.cleared > 0 {
+        if self.overdue_wait.is_some() && counts.cleared > 0 {
             self.close();
-            self.cleared = true;
+            self.is_cleared = true;
         }
-        let counts = &counts.without_cleared();
-        self.window.roll(now);
+        let counts = &counts.without_answered_overdue();
+        self.window.expire(now);
         self.window.add(now, counts);
         let fault_at = counts.fault_at(now);
         if counts.broken + counts.hung + counts.unreached > 0 {
@@ -198,52 +202,52 @@
         }
         match self.state {
             State::Closed => {
-                self.judge(now, counts);
-                if self.doubts && counts.failed > 0 && self.state == State::Closed {
-                    self.open(now, now, Cause::Failed, DOUBTED);
-                    self.is_doubted = true;
+                self.open_if_faulty(now, counts);
+                if self.opens_on_error && counts.failed > 0 && self.state == State::Closed {
+                    self.open(now, now, Cause::Failed, SINGLE_ERROR_PAUSE);
+                    self.has_single_error = true;
                 }
             }
-            State::Open { .. } if self.is_doubted && counts.faults() > 0 => {
-                self.is_doubted = false;
+            State::Open { .. } if self.has_single_error && counts.faults() > 0 => {
+                self.has_single_error = false;
                 self.failed_at = self.failed_at.max(fault_at);
-                self.state = State::Open { until: now + OPEN };
+                self.state = State::Open { until: now + OPEN_PAUSE };
             }
             State::Open { until } if counts.broken + counts.hung > 0 => {
-                // Requests that were under way when it opened end now; they tell that the
-                // fault goes on.
-                self.ascertain(counts);
+                // Requests that were in flight when the breaker opened end now; they show that
+                // the fault lasts.
+                self.confirm_fault(counts);
                 self.failed_at = self.failed_at.max(fault_at);
-                self.state = State::Open { until: until.max(fault_at + OPEN) };
+                self.state = State::Open { until: until.max(fault_at + OPEN_PAUSE) };
             }
             State::Open { .. } => {}
             State::HalfOpen { .. } if counts.faults() > 0 => {
-                // What hung from before the last failure on is no failure of a trial: taken for
-                // one, each caller that gave up put the next trial off by seconds.
-                self.ascertain(counts);
+                // A hung request sent before the last failure is not a failed trial. Counted as
+                // one, each caller that gave up delayed the next trial by seconds.
+                self.confirm_fault(counts);
                 if fault_at > self.failed_at {
-                    self.cause = Cause::of(counts);
-                    self.presumed_after = None;
-                    self.is_doubted = false;
+                    self.cause = Cause::from_counts(counts);
+                    self.overdue_wait = None;
+                    self.has_single_error = false;
                     self.failed_at = fault_at;
-                    self.state = State::Open { until: now + AGAIN };
+                    self.state = State::Open { until: now + FAILED_TRIAL_PAUSE };
                 }
             }
             State::HalfOpen { since, passed } => {
-                // Only trials count: answers to what was sent before the fault began come
-                // and are told late.
+                // Only trials count: answers to requests sent before the fault began are still
+                // arriving.
                 if passed == 0 && counts.passed > 0 {
                     self.passed_at = now;
                 }
-                self.pass(since, passed + counts.passed);
+                self.count_passed(since, passed + counts.passed);
             }
         }
     }
 
-    /// Moves on with time.
+    /// Drops old counts, and starts trials once the pause is over.
     pub fn tick(&mut self, now: Moment) {
-        self.own.roll(now);
-        self.window.roll(now);
+        self.own.expire(now);
+        self.window.expire(now);
         match self.state {
             State::Open { until } if now >= until => {
                 self.state = State::HalfOpen { since: now, passed: 0 };
@@ -252,7 +256,7 @@
         }
     }
 
-    /// When it wants to be told the time.
+    /// When [`Self::tick`] is next needed.
     pub fn wake(&self) -> Option<Moment> {
         match self.state {
             State::Closed | State::HalfOpen { .. } => None,
@@ -260,55 +264,55 @@
         }
     }
 
-    fn judge(&mut self, now: Moment, counts: &Counts) {
+    fn open_if_faulty(&mut self, now: Moment, counts: &Counts) {
         let sum = self.window.sum();
-        let failing = f64::from(sum.failed) >= FAILING * f64::from(sum.ended());
-        let recent = self.window.since(now.saturating_sub(HELD_SPAN));
-        let fault = counts.broken > 0
+        let is_failing = f64::from(sum.failed) >= FAILED_SHARE_MIN * f64::from(sum.ended());
+        let recent = self.window.sum_since(now.saturating_sub(LATE_WINDOW));
+        let is_faulty = counts.broken > 0
             || self.is_hanging(counts, &sum)
-            || (sum.failed >= FAILURES && failing)
-            || (recent.late >= HELD && recent.answered == 0)
-            || self.own.sum().unreached >= UNREACHED
-            || (sum.unreached >= LOST && sum.answered == 0);
-        if fault {
-            self.open(now, counts.fault_at(now), Cause::of(counts), OPEN);
-            self.presumed_after = sum.presumed_after().and(counts.presumed_after());
+            || (sum.failed >= FAILED_MIN && is_failing)
+            || (recent.late >= LATE_MIN && recent.answered == 0)
+            || self.own.sum().unreached >= OWN_UNREACHED_MIN
+            || (sum.unreached >= UNREACHED_MIN && sum.answered == 0);
+        if is_faulty {
+            self.open(now, counts.fault_at(now), Cause::from_counts(counts), OPEN_PAUSE);
+            self.overdue_wait = sum.overdue_wait().and(counts.overdue_wait());
         }
     }
 
-    /// Takes it for certain that it is at fault, where this is certain.
-    fn ascertain(&mut self, counts: &Counts) {
-        if counts.presumed_after().is_none() && self.presumed_after.take().is_some() {
-            self.cause = Cause::of(counts);
+    /// Marks the fault as confirmed if the counts hold more than requests that are still pending.
+    fn confirm_fault(&mut self, counts: &Counts) {
+        if counts.overdue_wait().is_none() && self.overdue_wait.take().is_some() {
+            self.cause = Cause::from_counts(counts);
         }
     }
 
     fn open(&mut self, now: Moment, failed_at: Moment, cause: Cause, pause: Duration) {
         self.cause = cause;
-        self.cleared = false;
+        self.is_cleared = false;
         self.failed_at = failed_at;
         self.opened_at = failed_at;
         self.state = State::Open { until: now + pause };
     }
 
     fn is_hanging(&self, counts: &Counts, sum: &Counts) -> bool {
-        if !self.crowded {
+        if !self.is_overloaded {
             return counts.hung > 0;
         }
-        sum.hung >= HUNG && f64::from(sum.hung) >= HANGING * f64::from(sum.ended())
+        sum.hung >= HUNG_MIN && f64::from(sum.hung) >= HUNG_SHARE_MIN * f64::from(sum.ended())
     }
 
-    fn pass(&mut self, since: Moment, passed: u32) {
+    fn count_passed(&mut self, since: Moment, passed: u32) {
         self.state = State::HalfOpen { since, passed };
-        if passed >= TRIALS {
+        if passed >= TRIALS_TO_CLOSE {
             self.close();
         }
     }
 
     fn close(&mut self) {
         self.state = State::Closed;
-        self.is_doubted = false;
-        self.presumed_after = None;
+        self.has_single_error = false;
+        self.overdue_wait = None;
         self.own.clear();
         self.window.clear();
     }
--- a/src/breaker/counts.rs
+++ b/src/breaker/counts.rs
@@ -1,4 +1,4 @@
-//! What callers received of one upstream in some span.
+//! Counts of what callers received of one upstream.
 
 use std::time::Duration;
 
@@ -8,42 +8,43 @@
 use crate::clock::Moment;
 use crate::health::Kind;
 
-/// What callers received of one upstream in some span.
+/// Counts of what callers received of one upstream in some time span.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Counts {
-    /// Errors of a service where one is a sign of a fault.
+    /// Errors in a service where a single one is a sign of a fault.
     pub alarming: u32,
-    /// Whole answers.
+    /// Complete answers.
     pub answered: u32,
-    /// Answers that were cut or spoiled.
+    /// Answers that were truncated or corrupted.
     pub broken: u32,
-    /// Whole answers to requests that had waited for as long as those that took the upstream out.
+    /// Complete answers to requests that had waited at least as long as the overdue ones that
+    /// opened the breaker.
     pub cleared: u32,
-    /// Failures that were the upstream's own answer.
+    /// Error answers of the upstream itself.
     pub failed: u32,
-    /// Answers that never came, or not in time. Unlike broken ones they are no proof of a
-    /// fault: of an upstream with more work than it can do they are the usual end.
+    /// Requests that got no answer, or none in time. Unlike broken answers they do not prove a
+    /// fault: at an overloaded upstream they are the usual outcome.
     pub hung: u32,
-    /// Requests that were past their usual time without an answer.
+    /// Requests that waited longer than usual without an answer.
     pub late: u32,
-    /// Time until the heads of whole answers, summed, in milliseconds.
+    /// Time to the heads of complete answers, summed, in milliseconds.
     pub millis: u64,
-    /// Those of them that are still under way: they are counted once more when they end.
+    /// Requests counted in `hung` that are still in flight; they are counted again when they end.
     pub overdue: u32,
-    /// Trials that were answered whole.
+    /// Trials that got a complete answer.
     pub passed: u32,
-    /// Those of them that were made by requests that could be sent again elsewhere.
+    /// Trials counted in `passed` whose requests could be retried elsewhere.
     pub spared: u32,
     /// Trials that failed.
     pub spent: u32,
     /// Connections that could not be opened.
     pub unreached: u32,
-    /// How long the requests without an answer had waited, summed, in milliseconds.
+    /// How long the requests counted in `hung` had waited, summed, in milliseconds.
     pub waited: u64,
 }
 
 impl Counts {
-    /// One outcome.
+    /// Counts one outcome.
     pub fn from_outcome(kind: Kind, latency: Duration) -> Self {
         let mut counts = Self::default();
         match kind {
@@ -63,7 +64,7 @@
         counts
     }
 
-    /// One outcome of a trial; `is_repeatable` where its request could be sent again elsewhere.
+    /// Counts the outcome of a trial; `is_repeatable` if its request could be retried elsewhere.
     pub fn from_trial(kind: Kind, latency: Duration, is_repeatable: bool) -> Self {
         let counts = Self::from_outcome(kind, latency);
         let spared = if is_repeatable { counts.answered } else { 0 };
@@ -71,7 +72,7 @@
         Self { passed: counts.answered, spared, spent, ..counts }
     }
 
-    /// Adds another span's.
+    /// Adds the counts of another span.
     pub fn add(&mut self, other: &Self) {
         self.alarming += other.alarming;
         self.answered += other.answered;
@@ -89,7 +90,7 @@
         self.waited += other.waited;
     }
 
-    /// Takes away what was added before.
+    /// Removes counts that were added before.
     pub(super) fn subtract(&mut self, other: &Self) {
         self.alarming -= other.alarming;
         self.answered -= other.answered;
@@ -107,16 +108,16 @@
         self.waited -= other.waited;
     }
 
-    /// How long a request had waited that is taken for hung; `None` where one ended so, or
-    /// something else is a certain fault.
-    pub(super) fn presumed_after(&self) -> Option<Duration> {
+    /// Mean wait of the hung requests if all of them are still in flight; `None` if one has
+    /// ended, or if something else is certain evidence of a fault.
+    pub(super) fn overdue_wait(&self) -> Option<Duration> {
         let is_certain = self.broken + self.unreached > 0 || self.hung > self.overdue;
-        let is_presumed = self.overdue > 0 && !is_certain;
-        is_presumed.then(|| Duration::from_millis(self.waited / u64::from(self.hung)))
+        let is_only_overdue = self.overdue > 0 && !is_certain;
+        is_only_overdue.then(|| Duration::from_millis(self.waited / u64::from(self.hung)))
     }
 
-    /// The same without requests that were taken for hung, where they turned out to be slow.
-    pub(super) fn without_cleared(&self) -> Self {
+    /// The counts without overdue requests, if one was answered after all.
+    pub(super) fn without_answered_overdue(&self) -> Self {
         if self.cleared == 0 {
             return *self;
         }
@@ -125,17 +126,18 @@
         Self { hung, overdue: 0, waited, ..*self }
     }
 
-    /// Whether nothing was received.
+    /// Whether all counts are zero.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
 
-    /// Whether others should know at once: the next request may go there.
+    /// Whether other entries should be told at once, as their next request may go to this
+    /// upstream.
     pub fn is_urgent(&self) -> bool {
         self.alarming + self.broken + self.cleared + self.hung + self.late + self.passed > 0
     }
 
-    /// Requests whose answer was broken, never came, or is late.
+    /// Requests whose answer broke, never came or is late.
     pub fn lost(&self) -> u32 {
         self.broken + self.hung + self.late
     }
@@ -145,8 +147,8 @@
         self.broken + self.failed + self.hung + self.unreached
     }
 
-    /// When the upstream was last at fault, by what is received `now`. A request without an
-    /// answer was held from its start on; that its caller gives up now tells nothing newer.
+    /// When the upstream was last at fault, by counts received `now`. A hung request is evidence
+    /// from its start only: that its caller gives up now shows nothing newer.
     pub(super) fn fault_at(&self, now: Moment) -> Moment {
         if self.broken + self.failed + self.unreached > 0 || self.hung == 0 {
             return now;
@@ -155,19 +157,19 @@
         now.saturating_sub(waited)
     }
 
-    /// Requests that failed, but for trials.
+    /// Failed requests, not counting trials.
     pub(super) fn failures(&self) -> u32 {
         let lost = self.broken + self.failed + self.hung;
         lost.saturating_sub(self.overdue + self.spent)
     }
 
-    /// Share of the requests that failed, but for trials.
-    pub(super) fn failing(&self) -> f64 {
+    /// Failed requests, not counting trials, as a share of the completed ones.
+    pub(super) fn failure_share(&self) -> f64 {
         let ended = self.ended().saturating_sub(self.overdue);
         f64::from(self.failures()) / f64::from(ended.max(1))
     }
 
-    /// Requests that ended.
+    /// Completed requests, including those that hung.
     pub fn ended(&self) -> u32 {
         self.answered + self.broken + self.failed + self.hung
     }
--- a/src/breaker/group.rs
+++ b/src/breaker/group.rs
@@ -1,4 +1,4 @@
-//! The breakers of one service.
+//! The circuit breakers of one service.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -17,75 +17,74 @@
 use crate::clock::Moment;
 use crate::id::UpstreamId;
 
-/// Pause between two trials of one upstream by all entries together: of the idempotent
-/// requests, a seventh to a quarter of all, a third of the upstreams take a third so.
-const TRIAL_EVERY: Duration = Duration::from_millis(250);
-/// The same once a trial has gone well: the fault is probably over, and the others may follow.
-const TRIAL_SOON: Duration = Duration::from_millis(150);
-/// Likelihood that an outage is over from which on an idempotent request is spent on it: it can
-/// be sent again, and an upstream that stays out leaves its work to the others.
-const OVER: f64 = 0.15;
-/// Longest after the last failure until then: what lasted long of late need not do so again.
-const TRY_MOST: Duration = Duration::from_millis(1500);
-/// Likelihood that an outage is over from which on a request that may run only once is spent on
-/// it. A service that gets nothing else has nobody to try its upstreams: closed by the clock,
-/// after 4.5 s to 18 s, breakers kept out a third of the upstreams that were sound.
-const OVER_ONCE: f64 = 0.5;
-/// Time since the last failure until then, where nothing is known of outages, and its bounds.
-const ONCE_USUAL: Duration = Duration::from_secs(3);
-const ONCE_LEAST: Duration = Duration::from_secs(1);
-const ONCE_MOST: Duration = Duration::from_secs(8);
-/// The most where the service loses many requests although upstreams are out: those that are
-/// well must take work then, and operators count one as sound again 2 s after it failed. Within
-/// another 2 s it gets a request so.
-const ONCE_PRESSED: Duration = Duration::from_millis(2800);
-/// Pause between two trials by requests that may run once, of all entries together. A fault
-/// that holds what it gets shows after a second: four trials a second lost four requests until
-/// all entries knew.
-const ONCE_EVERY: Duration = Duration::from_secs(1);
-/// The same where one should have come by now. Only where answers are broken: that shows at once,
-/// and the others hold back before their turn.
-const ONCE_SOON: Duration = Duration::from_millis(300);
-/// A trial should have come so long after it began to be due under pressure.
-const ONCE_LATE: Duration = Duration::from_millis(500);
-/// How long what idempotent requests showed counts.
-const HELPED: Duration = Duration::from_secs(5);
-/// An upstream whose answers take this many times as long as those of the median upstream is
-/// slow: usual ones differ by less, also when some of them are busy.
-const SLOW: f64 = 2.2;
-/// Answers within the window that show how fast an upstream is.
-const SHOWN: u32 = 4;
-/// Share of its usual work that a slow upstream gets: enough to see when it is fast again.
+/// Interval between idempotent trials of one upstream over all entries. With a third of the
+/// upstreams out, they take a third of the idempotent requests, a seventh to a quarter of all.
+const IDEMPOTENT_TRIAL_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval between trials over all entries after a successful one: the fault is probably over.
+const TRIAL_INTERVAL_AFTER_PASS: Duration = Duration::from_millis(150);
+/// Likelihood that an outage is over from which on idempotent requests make trials: they can be
+/// retried, and an upstream that stays out leaves its load to the others.
+const IDEMPOTENT_LIKELIHOOD: f64 = 0.15;
+/// Upper bound of the delay of idempotent trials: an outage may end sooner than recent ones.
+const IDEMPOTENT_DELAY_MAX: Duration = Duration::from_millis(1500);
+/// Likelihood that an outage is over from which on any request may make trials. A service may
+/// have no idempotent ones; closing its breakers after a fixed 4.5 s to 18 s instead kept out a
+/// third of the upstreams that were sound.
+const TRIAL_LIKELIHOOD: f64 = 0.5;
+/// Time from the last failure until any request may make trials, where too few outages are known,
+/// and its bounds.
+const TRIAL_DELAY_DEFAULT: Duration = Duration::from_secs(3);
+const TRIAL_DELAY_MIN: Duration = Duration::from_secs(1);
+const TRIAL_DELAY_MAX: Duration = Duration::from_secs(8);
+/// Upper bound of that time while many requests are lost: operators count an upstream as sound 2
+/// s after its last failure, and this bound gets it a request within another 2 s.
+const HIGH_LOSS_DELAY_MAX: Duration = Duration::from_millis(2800);
+/// Interval between trials of one upstream by any requests over all entries. A hang shows only
+/// after a second: four trials a second lost four requests before all entries knew.
+const TRIAL_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval between trials by any requests over all entries when one is overdue. Only for broken
+/// answers, which show at once, so that other entries cancel their trials in time.
+const TRIAL_INTERVAL_IF_OVERDUE: Duration = Duration::from_millis(300);
+/// Time after [`HIGH_LOSS_DELAY_MAX`] from which on a trial is overdue.
+const TRIAL_OVERDUE_AFTER: Duration = Duration::from_millis(500);
+/// How long a successful idempotent trial shows that the service has idempotent requests.
+const IDEMPOTENT_VALIDITY: Duration = Duration::from_secs(5);
+/// Factor over the mean latency of the median upstream above which an upstream is slow. Sound
+/// ones differ by less, even when some are busy.
+const SLOW_FACTOR: f64 = 2.2;
+/// Answers within the window that a mean latency needs.
+const LATENCY_SAMPLES_MIN: u32 = 4;
+/// Share of its usual load that a slow upstream gets: enough to detect when it is fast again.
 const SLOW_WEIGHT: f64 = 0.15;
 
-/// Share of hung requests at the other upstreams from which on the service is taken to have
-/// more work than they can do: a group of a tenth of them that hangs half of its requests
-/// comes to less, as it gets little work once it is found.
-const CROWDED: f64 = 0.06;
+/// Share of hung requests at the other upstreams above which the service counts as overloaded.
+/// Gray failures that hang half the requests of a tenth of the upstreams stay below it: these get
+/// few.
+const OVERLOAD_HUNG_SHARE: f64 = 0.06;
 
-/// An answer that comes later than this after an error tells nothing of it.
-const FOLLOWING: Duration = Duration::from_secs(2);
+/// Longest time from an error to the next answer of which it tells something.
+const ERROR_SERIES_GAP_MAX: Duration = Duration::from_secs(2);
 
-/// An upstream that a request may try.
+/// A trial of an upstream that one request may make.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Trial {
-    /// Whether it is worth a request that may run only once.
+    /// Whether any request may make it, and not only an idempotent one.
     pub allows_any: bool,
-    /// Counts the trials of this entry: each is made once.
+    /// Sequence number among the trials of this entry; each trial is made once.
     pub number: u64,
-    /// The upstream.
+    /// Upstream to send the request to.
     pub upstream: UpstreamId,
 }
 
-/// The breakers of one service, at one entry.
+/// The circuit breakers of one service, as one entry sees them.
 #[derive(Clone, Debug)]
 pub struct Group {
-    circuits: BTreeMap<UpstreamId, Member>,
+    members: BTreeMap<UpstreamId, Member>,
     entries: usize,
     errors: ErrorHistory,
     floor: f64,
-    /// When a trial by an idempotent request last went well.
-    helped_at: Option<Moment>,
+    /// When a trial by an idempotent request last succeeded.
+    idempotent_at: Option<Moment>,
     outages: OutageHistory,
     losses: Losses,
     random: ChaCha8Rng,
@@ -94,35 +93,35 @@
 
 #[derive(Clone, Debug)]
 struct Member {
-    /// Whether requests that may run only once make its trials.
+    /// Whether any request may make its trials, and not only idempotent ones.
     allows_any: bool,
     circuit: Circuit,
-    /// When its last answer was an error, after one that was none.
-    erred_at: Option<Moment>,
-    /// Whether a trial by requests that may run only once should have come by now.
-    is_late: bool,
-    /// When requests that may run only once begin to make its trials, as things are.
-    once_due: Moment,
-    /// The same, by what is known of outages.
-    once_from: Moment,
-    /// Trials that had gone well when the next one was set.
+    /// Time of the last answer if it was an error that followed no other.
+    error_at: Option<Moment>,
+    /// Whether a trial by any request is overdue.
+    is_overdue: bool,
+    /// When any request may make its trials, given losses and idempotent trials of the service.
+    any_due: Moment,
+    /// When any request may make its trials, given past outages alone.
+    any_from: Moment,
+    /// Successful trials when the next one was scheduled.
     passed: u32,
     slots: u32,
     trial_at: Moment,
     trial: Option<u64>,
-    /// When its trials begin.
-    try_from: Moment,
+    /// When idempotent requests may make its trials.
+    trials_from: Moment,
 }
 
 impl Group {
-    /// A service without upstreams; `floor` is the share of its slots that stay in use.
+    /// Creates a group without upstreams; `floor` is the share of its slots that stay in use.
     pub fn new(floor: f64, random: ChaCha8Rng) -> Self {
         Self {
-            circuits: BTreeMap::new(),
+            members: BTreeMap::new(),
             entries: 1,
             errors: ErrorHistory::default(),
             floor,
-            helped_at: None,
+            idempotent_at: None,
             outages: OutageHistory::default(),
             losses: Losses::default(),
             random,
@@ -140,120 +139,119 @@
         self.entries = entries.max(1);
     }
 
-    /// An upstream takes work.
+    /// Adds an upstream, or updates its slots.
     pub fn join(&mut self, upstream: UpstreamId, slots: u32) {
-        let fresh = Member {
+        let member = Member {
             allows_any: false,
             circuit: Circuit::default(),
-            erred_at: None,
-            is_late: false,
-            once_due: Moment::ZERO,
-            once_from: Moment::ZERO,
+            error_at: None,
+            is_overdue: false,
+            any_due: Moment::ZERO,
+            any_from: Moment::ZERO,
             passed: 0,
             slots,
             trial_at: Moment::ZERO,
             trial: None,
-            try_from: Moment::ZERO,
+            trials_from: Moment::ZERO,
         };
-        self.circuits.entry(upstream).or_insert(fresh).slots = slots;
+        self.members.entry(upstream).or_insert(member).slots = slots;
     }
 
-    /// An upstream is gone.
+    /// Removes an upstream.
     pub fn leave(&mut self, upstream: &UpstreamId) {
-        self.circuits.remove(upstream);
+        self.members.remove(upstream);
     }
 
-    /// Takes what callers received here; whether the upstream's state changed.
+    /// Records what callers of this entry received; returns whether the breaker's state changed.
     pub fn record_own(&mut self, now: Moment, upstream: &UpstreamId, counts: &Counts) -> bool {
-        self.look_for_crowd(now, upstream, counts);
-        self.look_for_help(now, upstream, counts);
-        self.look_for_errors(now, upstream, counts);
-        self.with(upstream, |circuit| circuit.record_own(now, counts))
+        self.detect_overload(now, upstream, counts);
+        self.record_idempotent_trial(now, upstream, counts);
+        self.record_error_series(now, upstream, counts);
+        self.update(upstream, |circuit| circuit.record_own(now, counts))
     }
 
-    /// Whether an upstream is back because a request that took it out was only slow. Other entries
-    /// have to be told.
+    /// Whether the breaker closed because its overdue request was answered; others must be told.
     pub fn was_cleared(&self, upstream: &UpstreamId) -> bool {
-        self.circuits.get(upstream).is_some_and(|member| member.circuit.was_cleared())
+        self.members.get(upstream).is_some_and(|member| member.circuit.was_cleared())
     }
 
-    /// Takes what callers received at other entries; whether the upstream's state changed.
+    /// Records what callers of other entries received; returns whether the state changed.
     pub fn record(&mut self, now: Moment, upstream: &UpstreamId, counts: &Counts) -> bool {
-        self.look_for_crowd(now, upstream, counts);
-        self.look_for_help(now, upstream, counts);
-        self.look_for_errors(now, upstream, counts);
-        self.with(upstream, |circuit| circuit.record(now, counts))
+        self.detect_overload(now, upstream, counts);
+        self.record_idempotent_trial(now, upstream, counts);
+        self.record_error_series(now, upstream, counts);
+        self.update(upstream, |circuit| circuit.record(now, counts))
     }
 
-    /// Whether callers of other entries lately got whole answers of it, and nothing broken.
+    /// Whether other entries recently got complete answers, and lost no more than this one saw.
     pub fn serves_others(&self, now: Moment, upstream: &UpstreamId) -> bool {
-        self.circuits.get(upstream).is_some_and(|member| member.circuit.serves_others(now))
+        self.members.get(upstream).is_some_and(|member| member.circuit.serves_others(now))
     }
 
-    /// Before a hung request is judged: whether it is the service that is full.
-    fn look_for_crowd(&mut self, now: Moment, upstream: &UpstreamId, counts: &Counts) {
+    /// Detects overload of the whole service, before hung requests of one upstream are judged.
+    fn detect_overload(&mut self, now: Moment, upstream: &UpstreamId, counts: &Counts) {
         if counts.hung == 0 {
             return;
         }
         let mut sum = Counts::default();
-        let others = self.circuits.iter().filter(|(id, _)| *id != upstream);
+        let others = self.members.iter().filter(|(id, _)| *id != upstream);
         others.for_each(|(_, member)| sum.add(&member.circuit.recent_at(now)));
-        let crowded = f64::from(sum.hung) > CROWDED * f64::from(sum.ended());
-        if let Some(member) = self.circuits.get_mut(upstream) {
-            member.circuit.set_crowded(crowded);
+        let is_overloaded = f64::from(sum.hung) > OVERLOAD_HUNG_SHARE * f64::from(sum.ended());
+        if let Some(member) = self.members.get_mut(upstream) {
+            member.circuit.set_overloaded(is_overloaded);
         }
     }
 
-    /// Whether idempotent requests make trials here, so that others need not.
-    fn look_for_help(&mut self, now: Moment, upstream: &UpstreamId, counts: &Counts) {
-        if counts.spared > 0 && self.circuits.contains_key(upstream) {
-            self.helped_at = Some(now);
+    /// Records that idempotent requests make trials in this service, so that others need not.
+    fn record_idempotent_trial(&mut self, now: Moment, upstream: &UpstreamId, counts: &Counts) {
+        if counts.spared > 0 && self.members.contains_key(upstream) {
+            self.idempotent_at = Some(now);
         }
     }
 
-    /// Whether an upstream's error is a sign of a fault here.
+    /// Whether a single error of an upstream is a sign of a fault in this service.
     pub fn has_recurring_errors(&self) -> bool {
         self.errors.is_recurring()
     }
 
-    /// Whether an error follows on one.
-    fn look_for_errors(&mut self, now: Moment, upstream: &UpstreamId, counts: &Counts) {
-        let Some(member) = self.circuits.get_mut(upstream) else { return };
+    /// Records whether an error was followed by another one.
+    fn record_error_series(&mut self, now: Moment, upstream: &UpstreamId, counts: &Counts) {
+        let Some(member) = self.members.get_mut(upstream) else { return };
         if counts.ended() == 0 {
             return;
         }
-        let failed = counts.failed > counts.answered;
-        match member.erred_at.take() {
-            Some(at) if now < at + FOLLOWING => self.errors.add(failed),
-            _ if counts.failed > 1 && failed => self.errors.add(true),
+        let is_error = counts.failed > counts.answered;
+        match member.error_at.take() {
+            Some(at) if now < at + ERROR_SERIES_GAP_MAX => self.errors.add(is_error),
+            _ if counts.failed > 1 && is_error => self.errors.add(true),
             _ if counts.failed > 0 && member.circuit.state() == State::Closed => {
-                member.erred_at = Some(now);
+                member.error_at = Some(now);
             }
             _ => {}
         }
     }
 
-    fn with(&mut self, upstream: &UpstreamId, note: impl FnOnce(&mut Circuit)) -> bool {
-        let Some(member) = self.circuits.get_mut(upstream) else { return false };
+    fn update(&mut self, upstream: &UpstreamId, record: impl FnOnce(&mut Circuit)) -> bool {
+        let Some(member) = self.members.get_mut(upstream) else { return false };
         let before = member.circuit.state();
-        member.circuit.set_doubts(self.errors.is_recurring());
-        note(&mut member.circuit);
+        member.circuit.set_opens_on_error(self.errors.is_recurring());
+        record(&mut member.circuit);
         let after = member.circuit.state();
         if after != before && matches!(after, State::Open { .. }) {
             member.trial = None;
         }
         if after != before && after == State::Closed && !member.circuit.was_cleared() {
-            self.outages.add(member.circuit.lasted());
+            self.outages.add(member.circuit.outage_duration());
         }
         after != before
     }
 
-    /// Moves on with time; whether any state changed.
+    /// Advances all breakers and schedules trials; returns whether anything changed.
     pub fn tick(&mut self, now: Moment) -> bool {
         let mut changed = false;
-        let helped = self.helped_at.is_some_and(|at| now < at + HELPED);
-        self.losses.update(now, self.circuits.values().map(|member| member.circuit.recent()));
-        for member in self.circuits.values_mut() {
+        let has_idempotent = self.idempotent_at.is_some_and(|at| now < at + IDEMPOTENT_VALIDITY);
+        self.losses.update(now, self.members.values().map(|member| member.circuit.recent()));
+        for member in self.members.values_mut() {
             let before = member.circuit.state();
             member.circuit.tick(now);
             let after = member.circuit.state();
@@ -266,149 +264,151 @@
                 continue;
             };
             if !matches!(before, State::HalfOpen { .. }) {
-                (member.try_from, member.once_from) = moments(&self.outages, &member.circuit);
+                (member.trials_from, member.any_from) =
+                    trial_starts(&self.outages, &member.circuit);
             }
             let failed_at = member.circuit.outage().1;
             let is_high = self.losses.is_high(now);
-            let most = if is_high { ONCE_PRESSED } else { ONCE_MOST };
+            let delay_max = if is_high { HIGH_LOSS_DELAY_MAX } else { TRIAL_DELAY_MAX };
             let is_broken = member.circuit.cause() == Cause::Broken;
-            let is_late = is_high && is_broken && now >= failed_at + ONCE_PRESSED + ONCE_LATE;
-            let every = match member.allows_any {
-                _ if passed > 0 => TRIAL_SOON,
-                true if is_late => ONCE_SOON,
-                true => ONCE_EVERY,
-                false => TRIAL_EVERY,
+            let is_overdue = is_high
+                && is_broken
+                && now >= failed_at + HIGH_LOSS_DELAY_MAX + TRIAL_OVERDUE_AFTER;
+            let interval = match member.allows_any {
+                _ if passed > 0 => TRIAL_INTERVAL_AFTER_PASS,
+                true if is_overdue => TRIAL_INTERVAL_IF_OVERDUE,
+                true => TRIAL_INTERVAL,
+                false => IDEMPOTENT_TRIAL_INTERVAL,
             };
-            let spread = every * self.entries as u32;
-            if passed != member.passed || is_late != member.is_late {
+            let entry_interval = interval * self.entries as u32;
+            if passed != member.passed || is_overdue != member.is_overdue {
                 member.passed = passed;
-                member.is_late = is_late;
+                member.is_overdue = is_overdue;
                 member.trial_at = Moment::MAX;
             }
-            let wanted = if helped { failed_at + ONCE_MOST } else { member.once_from };
-            member.once_due = wanted.min(failed_at + most);
-            if !member.allows_any && now >= member.once_due {
-                // Many entries hold a trial that no request has made by now: drawn anew, they
-                // come one after the other.
+            let due = if has_idempotent { failed_at + TRIAL_DELAY_MAX } else { member.any_from };
+            member.any_due = due.min(failed_at + delay_max);
+            if !member.allows_any && now >= member.any_due {
+                // Many entries hold a trial that no request has made; new ones come one by one.
                 member.allows_any = true;
                 member.trial = None;
                 member.trial_at = Moment::MAX;
                 changed = true;
             }
-            if member.trial_at == Moment::MAX && now >= member.try_from {
-                // Each entry waits for a share of its own, so that all together try at the
-                // pace meant.
-                member.trial_at = now + spread.mul_f64(self.random.random_range(0.0..1.0));
+            if member.trial_at == Moment::MAX && now >= member.trials_from {
+                // Each entry waits for a random part of its interval, so that all entries
+                // together keep the intended rate.
+                member.trial_at = now + entry_interval.mul_f64(self.random.random_range(0.0..1.0));
             }
             if member.trial_at <= now {
                 self.trials += 1;
                 member.trial = Some(self.trials);
-                member.trial_at = now + spread;
+                member.trial_at = now + entry_interval;
                 changed = true;
             }
         }
         changed
     }
 
-    /// When it wants to be told the time.
+    /// When [`Self::tick`] is next needed.
     pub fn wake(&self) -> Option<Moment> {
         let due = |member: &Member| match member.circuit.state() {
             State::HalfOpen { .. } => {
                 let is_set = member.trial_at != Moment::MAX;
-                let next = if is_set { member.trial_at } else { member.try_from };
-                Some(if member.allows_any { next } else { next.min(member.once_due) })
+                let next = if is_set { member.trial_at } else { member.trials_from };
+                Some(if member.allows_any { next } else { next.min(member.any_due) })
             }
             _ => member.circuit.wake(),
         };
-        self.circuits.values().filter_map(due).min()
+        self.members.values().filter_map(due).min()
     }
 
-    /// Trials that are due here.
+    /// Trials that are due at this entry.
     pub fn trials(&self) -> Vec<Trial> {
         let due = |(upstream, member): (&UpstreamId, &Member)| {
             let allows_any = member.allows_any;
             member.trial.map(|number| Trial { allows_any, number, upstream: upstream.clone() })
         };
-        self.circuits.iter().filter_map(due).collect()
+        self.members.iter().filter_map(due).collect()
     }
 
-    /// Share of its usual work that each upstream gets, where that isn't all.
+    /// Share of its usual load that each upstream gets, where that is less than all.
     pub fn weights(&self) -> BTreeMap<UpstreamId, f64> {
-        let mut weights = self.slow();
-        weights.extend(self.out().into_iter().map(|id| (id.clone(), 0.0)));
+        let mut weights = self.slow_weights();
+        weights.extend(self.ejected().into_iter().map(|id| (id.clone(), 0.0)));
         weights
     }
 
-    /// Upstreams whose breaker is open and that stay in use: the last to be chosen. Those that a
-    /// single error speaks against stay, and those that the floor keeps, which have broken nothing
-    /// for longest.
+    /// Upstreams whose breaker is not closed but that stay in use as a last resort: those with a
+    /// single error, and those kept by the floor, which broke an answer least recently.
     pub fn suspects(&self) -> BTreeSet<UpstreamId> {
-        let out = self.out();
-        self.open().map(|(id, _)| id).filter(|id| !out.contains(id)).cloned().collect()
+        let ejected = self.ejected();
+        self.unclosed().map(|(id, _)| id).filter(|id| !ejected.contains(id)).cloned().collect()
     }
 
-    fn out(&self) -> BTreeSet<&UpstreamId> {
-        let all: u64 = self.circuits.values().map(|member| u64::from(member.slots)).sum();
-        let may_go = all - (all as f64 * self.floor).ceil() as u64;
-        let is_certain = |(_, member): &(&UpstreamId, &Member)| !member.circuit.is_doubted();
-        let mut open: Vec<(&UpstreamId, &Member)> = self.open().filter(is_certain).collect();
+    fn ejected(&self) -> BTreeSet<&UpstreamId> {
+        let all: u64 = self.members.values().map(|member| u64::from(member.slots)).sum();
+        let slots_max = all - (all as f64 * self.floor).ceil() as u64;
+        let is_certain = |(_, member): &(&UpstreamId, &Member)| !member.circuit.has_single_error();
+        let mut open: Vec<(&UpstreamId, &Member)> = self.unclosed().filter(is_certain).collect();
         open.sort_by_key(|(_, member)| std::cmp::Reverse(member.circuit.broken_at()));
-        let mut gone = 0;
+        let mut slots = 0;
         let mut fits = |(_, member): &(&UpstreamId, &Member)| {
-            gone += u64::from(member.slots);
-            gone <= may_go
+            slots += u64::from(member.slots);
+            slots <= slots_max
         };
         open.into_iter().take_while(|one| fits(one)).map(|(id, _)| id).collect()
     }
 
-    fn open(&self) -> impl Iterator<Item = (&UpstreamId, &Member)> {
-        self.circuits.iter().filter(|(_, member)| member.circuit.state() != State::Closed)
+    fn unclosed(&self) -> impl Iterator<Item = (&UpstreamId, &Member)> {
+        self.members.iter().filter(|(_, member)| member.circuit.state() != State::Closed)
     }
 
     /// State of an upstream's breaker.
     pub fn state(&self, upstream: &UpstreamId) -> State {
-        self.circuits.get(upstream).map_or(State::Closed, |member| member.circuit.state())
+        self.members.get(upstream).map_or(State::Closed, |member| member.circuit.state())
     }
 
-    /// What took an upstream out, the last time; `None` where it is not known.
+    /// Why an upstream's breaker last opened; `None` for an unknown upstream.
     pub fn cause(&self, upstream: &UpstreamId) -> Option<Cause> {
-        self.circuits.get(upstream).map(|member| member.circuit.cause())
+        self.members.get(upstream).map(|member| member.circuit.cause())
     }
 
-    /// Usual time until an answer: that of the median upstream.
+    /// Mean latency of the median upstream.
     pub fn median_latency(&self) -> Option<Duration> {
         let median = median(self.means().into_iter().map(|(_, mean)| mean).collect())?;
         Some(Duration::from_secs_f64(median / 1000.0))
     }
 
-    /// Mean time until an answer, in milliseconds, of upstreams that have shown it.
+    /// Mean latency in milliseconds of each upstream with enough answers.
     fn means(&self) -> Vec<(&UpstreamId, f64)> {
         let mean = |member: &Member| {
             let recent = member.circuit.recent();
-            let shown = recent.answered >= SHOWN;
-            shown.then(|| recent.millis as f64 / f64::from(recent.answered))
+            let is_known = recent.answered >= LATENCY_SAMPLES_MIN;
+            is_known.then(|| recent.millis as f64 / f64::from(recent.answered))
         };
-        self.circuits.iter().filter_map(|(id, member)| Some((id, mean(member)?))).collect()
+        self.members.iter().filter_map(|(id, member)| Some((id, mean(member)?))).collect()
     }
 
-    fn slow(&self) -> BTreeMap<UpstreamId, f64> {
+    fn slow_weights(&self) -> BTreeMap<UpstreamId, f64> {
         let means = self.means();
         let Some(median) = median(means.iter().map(|(_, mean)| *mean).collect()) else {
             return BTreeMap::new();
         };
-        let slow = means.into_iter().filter(|(_, mean)| *mean > SLOW * median);
+        let slow = means.into_iter().filter(|(_, mean)| *mean > SLOW_FACTOR * median);
         slow.map(|(id, _)| (id.clone(), SLOW_WEIGHT)).collect()
     }
 }
 
-/// When trials of an upstream begin: by idempotent requests, and by those that may run once.
-fn moments(outages: &OutageHistory, circuit: &Circuit) -> (Moment, Moment) {
+/// When idempotent requests, and when any requests, may make trials of an upstream.
+fn trial_starts(outages: &OutageHistory, circuit: &Circuit) -> (Moment, Moment) {
     let (opened_at, failed_at) = circuit.outage();
     let lasted = failed_at.saturating_sub(opened_at);
     let over_at = |likelihood| outages.over_at(lasted, likelihood).map(|age| opened_at + age);
-    let try_from = over_at(OVER).unwrap_or(failed_at).min(failed_at + TRY_MOST);
-    let once_from = over_at(OVER_ONCE).unwrap_or(failed_at + ONCE_USUAL);
-    (try_from, once_from.clamp(failed_at + ONCE_LEAST, failed_at + ONCE_MOST))
+    let idempotent =
+        over_at(IDEMPOTENT_LIKELIHOOD).unwrap_or(failed_at).min(failed_at + IDEMPOTENT_DELAY_MAX);
+    let any = over_at(TRIAL_LIKELIHOOD).unwrap_or(failed_at + TRIAL_DELAY_DEFAULT);
+    (idempotent, any.clamp(failed_at + TRIAL_DELAY_MIN, failed_at + TRIAL_DELAY_MAX))
 }
 
 fn median(mut values: Vec<f64>) -> Option<f64> {
--- a/src/breaker/local_fault.rs
+++ b/src/breaker/local_fault.rs
@@ -1,4 +1,4 @@
-//! Whether broken answers are the entry's own fault.
+//! Detects that broken answers are caused by the entry's own network.
 
 use std::collections::BTreeSet;
 use std::collections::VecDeque;
@@ -7,34 +7,34 @@
 use crate::clock::Moment;
 use crate::id::UpstreamId;
 
-/// An entry to which so many upstreams broke answers within the span, while they answered all
-/// others, takes itself for the cause. It meets one such at most where it is the first to see
-/// an upstream's fault: of forty upstreams three come to be at fault in that time, and a dozen
-/// entries share in finding them.
-const UPSTREAMS: usize = 4;
-const SPAN: Duration = Duration::from_secs(3);
+/// An entry that gets broken answers from this many upstreams within the window, while they serve
+/// other entries, takes its own network for the cause. When upstreams are at fault, an entry is
+/// the first to see it at one of them at most: of forty upstreams three become faulty in that
+/// time, and a dozen entries share in finding them.
+const UPSTREAMS_MIN: usize = 4;
+const WINDOW: Duration = Duration::from_secs(3);
 
-/// The upstreams that lately broke answers to this entry and to no other.
+/// Upstreams that recently broke answers to this entry and to no other.
 #[derive(Debug, Default)]
 pub struct LocalFault {
-    broken: VecDeque<(Moment, UpstreamId)>,
+    failures: VecDeque<(Moment, UpstreamId)>,
 }
 
 impl LocalFault {
-    /// Notes that an upstream that answers all others broke an answer here, or is late with
-    /// it. What other entries saw too is not told: where a third of the upstreams are at
-    /// fault, every entry meets as many.
+    /// Records that an upstream that serves other entries broke an answer here, or is late with
+    /// one. Failures that other entries saw too must not be recorded: where a third of the
+    /// upstreams are faulty, every entry meets as many.
     pub fn record(&mut self, now: Moment, upstream: &UpstreamId) {
-        self.broken.push_back((now, upstream.clone()));
+        self.failures.push_back((now, upstream.clone()));
     }
 
-    /// Whether so many upstreams broke their answers to this entry alone that it is probably
-    /// its own network: told to others, that would take sound upstreams from all.
+    /// Whether enough upstreams broke answers to this entry alone that its own network is the
+    /// likely cause. Reports to other entries would then take sound upstreams from all of them.
     pub fn is_likely(&mut self, now: Moment) -> bool {
-        while self.broken.front().is_some_and(|(at, _)| now >= *at + SPAN) {
-            self.broken.pop_front();
+        while self.failures.front().is_some_and(|(at, _)| now >= *at + WINDOW) {
+            self.failures.pop_front();
         }
-        let upstreams: BTreeSet<&UpstreamId> = self.broken.iter().map(|(_, id)| id).collect();
-        upstreams.len() >= UPSTREAMS
+        let upstreams: BTreeSet<&UpstreamId> = self.failures.iter().map(|(_, id)| id).collect();
+        upstreams.len() >= UPSTREAMS_MIN
     }
 }
--- a/src/breaker/outage_history.rs
+++ b/src/breaker/outage_history.rs
@@ -1,46 +1,46 @@
-//! How long outages of a service's upstreams lasted of late.
+//! How long recent outages of a service's upstreams lasted.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Outages kept: some dozen seconds' worth where a third of 40 upstreams are out at a time.
-const KEPT: usize = 48;
-/// Fewest outages that show anything: fewer are as likely chance.
-const LEAST: usize = 6;
+/// Outages kept: those of about a dozen seconds where a third of 40 upstreams are out at a time.
+const CAPACITY: usize = 48;
+/// Outages needed for a result; with fewer it may be chance.
+const OUTAGES_MIN: usize = 6;
 
-/// How long outages of a service's upstreams lasted of late.
+/// How long recent outages of a service's upstreams lasted.
 ///
-/// **Load pattern.** Some upstreams break a single answer and are well again; others break most
-/// for some seconds. Which it is shows only when they are tried, and a request is lost or sent
-/// again each time that it is too early.
+/// **Load pattern.** Some upstreams break a single answer and are sound again; others break most
+/// answers for some seconds. Only a trial tells which, and each trial that comes too early costs
+/// a lost request or a retry.
 ///
-/// **Without it.** Tried four times a second from the start, upstreams whose outages last for
-/// seven seconds cost two dozen requests each: 35% of all lookups met one first. Where requests
-/// may run only once, each is lost.
+/// **Without it.** With four trials a second from the start, upstreams whose outages last seven
+/// seconds cost two dozen requests each, and 35% of all idempotent requests hit one first.
+/// Requests that are not idempotent are lost each time.
 #[derive(Clone, Debug, Default)]
 pub struct OutageHistory {
-    lengths: VecDeque<Duration>,
+    durations: VecDeque<Duration>,
 }
 
 impl OutageHistory {
-    /// Notes how long one lasted.
-    pub fn add(&mut self, length: Duration) {
-        if self.lengths.len() == KEPT {
-            self.lengths.pop_front();
+    /// Records the duration of an outage.
+    pub fn add(&mut self, duration: Duration) {
+        if self.durations.len() == CAPACITY {
+            self.durations.pop_front();
         }
-        self.lengths.push_back(length);
+        self.durations.push_back(duration);
     }
 
-    /// Age at which an outage that goes on at age `lasted` is over with this likelihood; `None`
-    /// where too few are known that lasted so long.
+    /// Age at which an outage that has already lasted for `lasted` is over with this likelihood;
+    /// `None` if too few known outages lasted longer.
     pub fn over_at(&self, lasted: Duration, likelihood: f64) -> Option<Duration> {
         let mut longer: Vec<Duration> =
-            self.lengths.iter().copied().filter(|length| *length > lasted).collect();
-        if longer.len() < LEAST {
+            self.durations.iter().copied().filter(|duration| *duration > lasted).collect();
+        if longer.len() < OUTAGES_MIN {
             return None;
         }
         longer.sort_unstable();
-        let place = (longer.len() as f64 * likelihood) as usize;
-        longer.get(place).copied()
+        let index = (longer.len() as f64 * likelihood) as usize;
+        longer.get(index).copied()
     }
 }
--- a/src/breaker/window.rs
+++ b/src/breaker/window.rs
@@ -1,4 +1,4 @@
-//! The last seconds of what callers received.
+//! Counts over a sliding window.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,64 +6,65 @@
 use super::Counts;
 use crate::clock::Moment;
 
-/// Length of the window: at five requests a second of all entries, about a dozen outcomes,
-/// and not longer than the shortest faults last.
-const SPAN: Duration = Duration::from_millis(2500);
-/// Length of one part, by which the window moves.
-const PART: Duration = Duration::from_millis(125);
+/// Length of the window. At five requests a second of all entries it holds about a dozen
+/// outcomes, and it is no longer than the shortest faults last.
+const LENGTH: Duration = Duration::from_millis(2500);
+/// Length of one bucket, the step by which the window moves.
+const BUCKET: Duration = Duration::from_millis(125);
 
-/// The last seconds of what callers received.
+/// Counts over a sliding window.
 #[derive(Clone, Debug, Default)]
 pub struct Window {
-    parts: VecDeque<(Moment, Counts)>,
-    /// All parts together: read for each upstream at each change of one.
+    buckets: VecDeque<(Moment, Counts)>,
+    /// Sum of all buckets, kept up to date because it is read for each upstream whenever one
+    /// changes.
     sum: Counts,
 }
 
 impl Window {
-    /// Adds what was received now.
+    /// Adds counts received `now`.
     pub fn add(&mut self, now: Moment, counts: &Counts) {
         self.sum.add(counts);
-        match self.parts.back_mut() {
-            Some((at, part)) if now < *at + PART => part.add(counts),
-            _ => self.parts.push_back((now, *counts)),
+        match self.buckets.back_mut() {
+            Some((at, bucket)) if now < *at + BUCKET => bucket.add(counts),
+            _ => self.buckets.push_back((now, *counts)),
         }
     }
 
-    /// Forgets what is too old.
-    pub fn roll(&mut self, now: Moment) {
-        while let Some((at, part)) = self.parts.front().copied() {
-            if now < at + SPAN {
+    /// Drops buckets that have left the window.
+    pub fn expire(&mut self, now: Moment) {
+        while let Some((at, bucket)) = self.buckets.front().copied() {
+            if now < at + LENGTH {
                 break;
             }
-            self.parts.pop_front();
-            self.sum.subtract(&part);
+            self.buckets.pop_front();
+            self.sum.subtract(&bucket);
         }
     }
 
-    /// Forgets all.
+    /// Drops all buckets.
     pub fn clear(&mut self) {
-        self.parts.clear();
+        self.buckets.clear();
         self.sum = Counts::default();
     }
 
-    /// What came at `from` or later.
-    pub fn since(&self, from: Moment) -> Counts {
+    /// Counts received at `from` or later.
+    pub fn sum_since(&self, from: Moment) -> Counts {
         let mut sum = Counts::default();
-        let parts = self.parts.iter().filter(|(at, _)| *at >= from);
-        parts.for_each(|(_, part)| sum.add(part));
+        let buckets = self.buckets.iter().filter(|(at, _)| *at >= from);
+        buckets.for_each(|(_, bucket)| sum.add(bucket));
         sum
     }
 
-    /// What is not too old now.
-    pub fn at(&self, now: Moment) -> Counts {
+    /// Counts within the window that ends `now`.
+    pub fn sum_at(&self, now: Moment) -> Counts {
         let mut sum = Counts::default();
-        let parts = self.parts.iter().filter(|(at, _)| now < *at + SPAN);
-        parts.for_each(|(_, part)| sum.add(part));
+        let buckets = self.buckets.iter().filter(|(at, _)| now < *at + LENGTH);
+        buckets.for_each(|(_, bucket)| sum.add(bucket));
         sum
     }
 
-    /// All that it holds.
+    /// Counts of all buckets held.
     pub fn sum(&self) -> Counts {
         self.sum
     }
--- a/tests/suite/breaker.rs
+++ b/tests/suite/breaker.rs
@@ -1,8 +1,8 @@
-//! Breakers of a service's upstreams, on what callers received.
+//! Tests of `hemlockfield::breaker`.
 
 mod circuit;
 mod error_history;
 mod group;
 mod local_fault;
-mod once;
+mod non_idempotent;
 mod outage_history;
--- a/tests/suite/breaker/group.rs
+++ b/tests/suite/breaker/group.rs
@@ -1,4 +1,4 @@
-//! The breakers of one service, on a replayed load.
+//! Tests of the breakers of one service.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::circuit::ms;
-use super::circuit::one;
+use super::circuit::outcome;
 
 const COUNT: usize = 12;
 
@@ -25,39 +25,39 @@
 }
 
 fn cut(group: &mut Group, now: Duration, at: usize) {
-    group.record(now, &name(at), &one(Kind::Cut));
+    group.record(now, &name(at), &outcome(Kind::Cut));
 }
 
-fn out(group: &Group) -> usize {
+fn ejected(group: &Group) -> usize {
     group.weights().values().filter(|weight| **weight <= 0.0).count()
 }
 
-// Two thirds of the upstreams break an answer, one after the other: more than may be out. Half
-// stay in use. Those that have been well for longest are kept, and only as the last choice, so
-// that callers get the four sound ones first.
+// Two thirds of the upstreams break an answer one after the other, more than the floor lets out.
+// Half must stay in use: the four sound ones, and as a last resort the two that broke an answer
+// least recently.
 #[test]
 fn weights_many_at_fault() {
     let mut group = group(0.5);
     for at in 0..8 {
         cut(&mut group, ms(100 * at as u64), at);
     }
-    assert_eq!(out(&group), 6);
+    assert_eq!(ejected(&group), 6);
     assert_eq!(group.weights().get(&name(7)), Some(&0.0));
     let suspects: Vec<_> = group.suspects().into_iter().collect();
     assert_eq!(suspects, [name(0), name(1)]);
 }
 
-// Nothing is suspect while the floor does not bind.
+// No upstream is a last resort while fewer are out than the floor allows.
 #[test]
 fn suspects_below_floor() {
     let mut group = group(0.5);
     cut(&mut group, ms(0), 3);
-    assert_eq!(out(&group), 1);
+    assert_eq!(ejected(&group), 1);
     assert!(group.suspects().is_empty());
 }
 
-// Answers of one upstream take three times as long as those of the others. It gets a little
-// work, to show when it is fast again, and none is lost.
+// One upstream takes three times as long as the others. It must get a small share, enough to
+// detect when it is fast again.
 #[test]
 fn weights_slow() {
     let mut group = group(0.5);
@@ -72,8 +72,8 @@
     assert!((0.05..0.5).contains(&weights[&name(5)]), "{weights:?}");
 }
 
-/// Replays a load: a third of the upstreams cut 17 of 20 answers for `lasts`, each in turn for
-/// the entry that tries it. Gives when the last of them was back, and the trials that failed.
+/// Simulates a third of the upstreams breaking 17 of 20 answers for `lasts`, with one entry
+/// making all trials. Returns when the last breaker closed, and the number of failed trials.
 fn replay(lasts: Duration) -> (Duration, usize) {
     let mut group = group(0.5);
     let bad = COUNT / 3;
@@ -100,25 +100,25 @@
     panic!("not back after 20 s");
 }
 
-// Four of twelve upstreams cut most answers for ten seconds. Of the 600 requests that such a
-// service gets meanwhile less than a sixth is spent on trials that fail, which the budget of a
-// fifth has sent again; once the fault is over all are back within two seconds, before what
-// they should have done has queued up at the others.
+// Four of twelve upstreams break most answers for ten seconds. Less than a sixth of the 600
+// requests in that time may go to failed trials, which the retry budget of a fifth covers. All
+// breakers must close within two seconds of the end, before queues build up at the other
+// upstreams.
 #[test]
-fn trials_of_a_long_fault() {
-    let (back, failed) = replay(ms(10_000));
-    assert!(back <= ms(12_000), "{back:?}");
+fn trials_long_fault() {
+    let (closed_at, failed) = replay(ms(10_000));
+    assert!(closed_at <= ms(12_000), "{closed_at:?}");
     assert!(failed <= 100, "{failed}");
 }
 
-// The same fault lasts for a second only: all are back a second and a half later.
+// A fault lasts for one second. All breakers must close within another second and a half.
 #[test]
-fn trials_of_a_short_fault() {
-    let (back, _) = replay(ms(1_000));
-    assert!(back <= ms(2_500), "{back:?}");
+fn trials_short_fault() {
+    let (closed_at, _) = replay(ms(1_000));
+    assert!(closed_at <= ms(2_500), "{closed_at:?}");
 }
 
-// Upstreams come and go; one that is gone is not tried, and its service needs no room for it.
+// An upstream that was removed must get no trials and take no part in the floor.
 #[test]
 fn leave_open() {
     let mut group = group(0.5);
@@ -126,91 +126,92 @@
     group.leave(&name(1));
     group.tick(ms(5_000));
     assert!(group.trials().is_empty());
-    assert_eq!(out(&group), 0);
+    assert_eq!(ejected(&group), 0);
 }
 
-// All upstreams have more work than they can do, and each lets every fifth request run out of
-// time. Taken out for that, they leave the others still less time, until half are out and the
-// rest answers nobody: callers of a site at twice its usual load lost one order in six so.
+// All upstreams are overloaded, and each lets every fifth request time out. Taking them out for
+// that leaves the others even less time, until half are out and the rest answers nobody: at twice
+// the usual load one non-idempotent request in six was lost.
 #[test]
-fn record_hung_all_full() {
+fn record_hung_all_overloaded() {
     let mut group = group(0.5);
     for round in 0..40 {
         for at in 0..COUNT {
             let kind = if (round + at) % 5 == 0 { Kind::Silent } else { Kind::Success };
-            group.record(ms(100 * round as u64), &name(at), &one(kind));
+            group.record(ms(100 * round as u64), &name(at), &outcome(kind));
         }
     }
-    let few = out(&group) + group.suspects().len();
-    assert!(few <= 2, "{few} are out");
+    let affected = ejected(&group) + group.suspects().len();
+    assert!(affected <= 2, "{affected} are out");
 }
 
-// One upstream hangs its requests while the others answer. The first one that hangs takes it
-// out, and so does it among others that are full, once most of what it got has hung.
+// One upstream hangs its requests. The first hung request must open its breaker if the others
+// answer; if the others are overloaded, the breaker must open once most of its requests have
+// hung.
 #[test]
 fn record_hung_one() {
-    let mut calm = group(0.5);
-    calm.record(ms(0), &name(0), &one(Kind::Silent));
-    assert_eq!(out(&calm), 1);
-    let mut full = group(0.5);
+    let mut idle = group(0.5);
+    idle.record(ms(0), &name(0), &outcome(Kind::Silent));
+    assert_eq!(ejected(&idle), 1);
+    let mut overloaded = group(0.5);
     for round in 0..20 {
         for at in 1..COUNT {
             let kind = if (round + at) % 5 == 0 { Kind::Silent } else { Kind::Success };
-            full.record(ms(100 * round as u64), &name(at), &one(kind));
+            overloaded.record(ms(100 * round as u64), &name(at), &outcome(kind));
         }
-        full.record(ms(100 * round as u64), &name(0), &one(Kind::Silent));
+        overloaded.record(ms(100 * round as u64), &name(0), &outcome(Kind::Silent));
     }
-    assert_eq!(full.weights().get(&name(0)), Some(&0.0));
+    assert_eq!(overloaded.weights().get(&name(0)), Some(&0.0));
 }
 
-// A request takes five times as long as usual and counts as hung after a second; a moment later
-// it is answered whole. The upstream served all along, and is back at once: with trials by
-// requests that may run once it had no work for seconds, while others were full.
+// A request takes five times as long as usual, counts as hung after a second, and is then
+// answered in full. The breaker must close at once: waiting for non-idempotent trials, the sound
+// upstream had no load for seconds while others were full.
 #[test]
-fn record_answered_after_all() {
+fn record_overdue_answered() {
     let mut group = group(0.5);
-    let waits = Counts { hung: 1, overdue: 1, waited: 1_000, ..Counts::default() };
-    group.record_own(ms(1_000), &name(3), &waits);
-    assert_eq!(out(&group), 1);
+    let overdue = Counts { hung: 1, overdue: 1, waited: 1_000, ..Counts::default() };
+    group.record_own(ms(1_000), &name(3), &overdue);
+    assert_eq!(ejected(&group), 1);
     group.record_own(ms(1_400), &name(3), &Counts::from_outcome(Kind::Success, ms(1_400)));
     assert_eq!(group.state(&name(3)), State::Closed);
 }
 
-// The entry whose request was slow tells the others; one that hears of the wait and of its end
-// at once takes nothing out.
+// The entry whose request was slow reports that it was answered. An entry that receives the
+// overdue request and its answer together must not open the breaker.
 #[test]
-fn record_cleared_elsewhere() {
-    let waits = Counts { hung: 1, overdue: 1, waited: 1_000, ..Counts::default() };
+fn record_cleared_at_other_entry() {
+    let overdue = Counts { hung: 1, overdue: 1, waited: 1_000, ..Counts::default() };
     let cleared = Counts { cleared: 1, ..Counts::from_outcome(Kind::Success, ms(1_400)) };
     let mut group = group(0.5);
-    group.record(ms(1_000), &name(3), &waits);
-    assert_eq!(out(&group), 1);
+    group.record(ms(1_000), &name(3), &overdue);
+    assert_eq!(ejected(&group), 1);
     group.record(ms(1_400), &name(3), &cleared);
-    assert_eq!(out(&group), 0);
-    let mut both = waits;
+    assert_eq!(ejected(&group), 0);
+    let mut both = overdue;
     both.add(&cleared);
     group.record(ms(2_000), &name(4), &both);
-    assert_eq!(out(&group), 0);
+    assert_eq!(ejected(&group), 0);
 }
 
-// A request hangs, and its caller gives up; another one was slow, and is answered whole. That one
-// hung is certain, so the upstream stays out.
+// One request timed out, another was slow and then answered. The timeout is certain, so the
+// breaker must stay open.
 #[test]
 fn record_answered_beside_hung() {
     let mut group = group(0.5);
-    let waits = Counts { hung: 1, overdue: 1, waited: 1_000, ..Counts::default() };
-    group.record_own(ms(1_000), &name(3), &waits);
+    let overdue = Counts { hung: 1, overdue: 1, waited: 1_000, ..Counts::default() };
+    group.record_own(ms(1_000), &name(3), &overdue);
     group.record_own(ms(2_000), &name(3), &Counts::from_outcome(Kind::Timeout, ms(2_000)));
     group.record_own(ms(2_100), &name(3), &Counts::from_outcome(Kind::Success, ms(1_400)));
-    assert_eq!(out(&group), 1);
+    assert_eq!(ejected(&group), 1);
 }
 
-// An upstream was taken out for a broken answer. That a slow one from before comes whole is no
-// reason to take it back.
+// A broken answer opened the breaker. The complete answer to an earlier slow request must not
+// close it.
 #[test]
 fn record_answered_after_cut() {
     let mut group = group(0.5);
     cut(&mut group, ms(1_000), 3);
     group.record_own(ms(1_400), &name(3), &Counts::from_outcome(Kind::Success, ms(1_400)));
-    assert_eq!(out(&group), 1);
+    assert_eq!(ejected(&group), 1);
 }
--- a/tests/suite/breaker/local_fault.rs
+++ b/tests/suite/breaker/local_fault.rs
@@ -1,4 +1,4 @@
-//! Whether an entry takes broken answers for its own fault.
+//! Detection of a fault of the entry's own network.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::circuit::ms;
-use super::circuit::one;
+use super::circuit::outcome;
 
 const COUNT: u64 = 8;
 
@@ -25,54 +25,54 @@
     group
 }
 
-/// What the entry makes of an answer that its own caller did not get.
-fn cut_here(group: &mut Group, local_fault: &mut LocalFault, now: Duration, at: u64) {
+/// Records a broken answer at this entry as `node` does.
+fn record_own_cut(group: &mut Group, local_fault: &mut LocalFault, now: Duration, at: u64) {
     if group.serves_others(now, &name(at)) {
         local_fault.record(now, &name(at));
     }
-    group.record_own(now, &name(at), &one(Kind::Cut));
+    group.record_own(now, &name(at), &outcome(Kind::Cut));
 }
 
-fn told(group: &mut Group, now: Duration, at: u64, kind: Kind) {
-    group.record(now, &name(at), &one(kind));
+fn record_other(group: &mut Group, now: Duration, at: u64, kind: Kind) {
+    group.record(now, &name(at), &outcome(kind));
 }
 
-// Eight upstreams break their answers together, each to callers of all entries. An entry that
-// takes itself for the cause after the fourth keeps the others in the dark, and each of them
-// loses a request at each upstream: it must go on telling.
+// Eight upstreams break their answers at the same time, at all entries. If the entry took its own
+// network for the cause after the fourth, it would stop reporting, and each other entry would
+// lose a request at each of the remaining upstreams.
 #[test]
 fn is_likely_many_upstreams_at_fault() {
     let (mut group, mut local_fault) = (group(), LocalFault::default());
     for at in 0..COUNT {
-        told(&mut group, ms(100 * at), at, Kind::Success);
-        told(&mut group, ms(100 * at + 20), at, Kind::Cut);
-        cut_here(&mut group, &mut local_fault, ms(100 * at + 60), at);
+        record_other(&mut group, ms(100 * at), at, Kind::Success);
+        record_other(&mut group, ms(100 * at + 20), at, Kind::Cut);
+        record_own_cut(&mut group, &mut local_fault, ms(100 * at + 60), at);
     }
     assert!(!local_fault.is_likely(ms(1000)));
 }
 
-// One entry's link loses what it sends, and four upstreams that answer everybody else seem to
-// break their answers to it. Told to the others, that would take four sound upstreams from
-// their callers, and then all the rest.
+// The link of one entry loses packets, so that four upstreams that serve all other entries seem
+// to break their answers. Reported to the others, that would take out four sound upstreams, and
+// then the rest.
 #[test]
 fn is_likely_others_are_served() {
     let (mut group, mut local_fault) = (group(), LocalFault::default());
     for at in 0..4 {
-        told(&mut group, ms(100 * at), at, Kind::Success);
-        cut_here(&mut group, &mut local_fault, ms(100 * at + 60), at);
+        record_other(&mut group, ms(100 * at), at, Kind::Success);
+        record_own_cut(&mut group, &mut local_fault, ms(100 * at + 60), at);
     }
     assert!(local_fault.is_likely(ms(1000)));
     assert!(!local_fault.is_likely(ms(3300)), "what is three seconds old counts no more");
 }
 
-// An entry's own answers are no evidence about what others get: alone with its upstreams, it
-// has nobody to compare with, and tells what it sees.
+// An entry's own answers say nothing about what others get. The only entry of its upstreams has
+// no comparison, and reports what it sees.
 #[test]
 fn is_likely_nobody_to_compare_with() {
     let (mut group, mut local_fault) = (group(), LocalFault::default());
     for at in 0..COUNT {
         group.record_own(ms(100 * at), &name(at), &Counts::from_outcome(Kind::Success, ms(200)));
-        cut_here(&mut group, &mut local_fault, ms(100 * at + 60), at);
+        record_own_cut(&mut group, &mut local_fault, ms(100 * at + 60), at);
     }
     assert!(!local_fault.is_likely(ms(1000)));
 }
--- a/tests/suite/breaker/outage_history.rs
+++ b/tests/suite/breaker/outage_history.rs
@@ -1,4 +1,4 @@
-//! When upstreams are tried, by how long outages lasted.
+//! Tests of when trials begin, given the duration of past outages.
 
 use hemlockfield::breaker::Counts;
 use hemlockfield::breaker::Group;
@@ -10,9 +10,9 @@
 use rstest::rstest;
 
 use super::circuit::ms;
-use super::circuit::one;
+use super::circuit::outcome;
 
-// Few outages were seen: what they have in common may be chance, and nothing is read from them.
+// With few outages, what they have in common may be chance: there must be no estimate.
 #[test]
 fn over_at_few() {
     let mut outages = OutageHistory::default();
@@ -22,11 +22,11 @@
     assert_eq!(outages.over_at(ms(0), 0.5), Some(ms(7_000)));
 }
 
-// One outage in four is a single cut answer, the others last for seven seconds or eight. One in
-// six is over at once, so a lookup is risked then; an order waits for seven seconds. An outage
-// that has lasted for two seconds is one of the long ones.
+// One outage in four is a single broken answer, the others last seven or eight seconds. One in
+// six is over at once, so that an idempotent request may try early; a non-idempotent one waits
+// for seven seconds. An outage that has lasted two seconds is one of the long ones.
 #[test]
-fn over_at_two_kinds() {
+fn over_at_short_and_long() {
     let mut outages = OutageHistory::default();
     (0..8).for_each(|_| outages.add(ms(200)));
     (0..16).for_each(|_| outages.add(ms(7_000)));
@@ -37,8 +37,8 @@
     assert_eq!(outages.over_at(ms(7_500), 0.15), Some(ms(8_000)));
 }
 
-/// Trials that fail in each of `rounds` outages of seven seconds, and the longest time from the
-/// end of one until the upstream is in use.
+/// Failed trials in each of `rounds` outages of seven seconds, and the longest time in
+/// milliseconds from the end of an outage until the upstream is in use.
 fn replay(rounds: u64) -> (Vec<usize>, u64) {
     let mut group = Group::new(0.5, ChaCha8Rng::seed_from_u64(5));
     group.join("hull-1".into(), 4);
@@ -49,7 +49,7 @@
     for now in (0..rounds * 20_000).step_by(50) {
         let (round, at) = (now / 20_000, now % 20_000);
         if at == 0 {
-            group.record(ms(now), &"hull-1".into(), &one(Kind::Cut));
+            group.record(ms(now), &"hull-1".into(), &outcome(Kind::Cut));
         }
         group.tick(ms(now));
         for trial in group.trials() {
@@ -69,29 +69,29 @@
     (failed, longest)
 }
 
-// An upstream breaks its answers for seven seconds, again and again. At first lookups try it
-// all the time, and a dozen meet the fault. Once that is known to be its way they begin later,
-// and it is back as soon.
+// An upstream repeatedly breaks its answers for seven seconds. At first a dozen trials fail in an
+// outage. Once the usual duration is known, trials must begin later, and the upstream must return
+// just as soon.
 #[test]
-fn trials_learnt() {
+fn trials_after_known_outages() {
     let (failed, longest) = replay(12);
     assert!(failed[0] >= 10, "{failed:?}");
     assert!(failed[8..].iter().all(|failed| *failed <= 6), "{failed:?}");
     assert!(longest <= 1_500, "{longest} ms");
 }
 
-// Of ten upstreams nine show each some seconds, by lookups, that they are well again. The tenth
-// goes on breaking its answers, and no lookup has come to it yet. Orders, which may run only
-// once, are not spent on it before eight seconds; where there are no lookups, after three. Forty
-// of forty-one requests get their answers meanwhile.
+// Nine of ten upstreams recover within seconds, as idempotent trials show; the tenth stays
+// faulty, and no idempotent request has tried it yet. A non-idempotent request must try it only
+// after eight seconds, or after three if the service has no idempotent requests, as one request
+// in forty-one is lost meanwhile.
 #[rstest]
-#[case::lookups(true, 8_000)]
+#[case::idempotent(true, 8_000)]
 #[case::none(false, 3_000)]
-fn trials_non_idempotent(#[case] lookups: bool, #[case] from: u64) {
+fn trials_non_idempotent(#[case] has_idempotent: bool, #[case] from: u64) {
     let mut group = Group::new(0.5, ChaCha8Rng::seed_from_u64(5));
     let name = |at: usize| compact_str::format_compact!("hull-{at}");
     (0..10).for_each(|at| group.join(name(at), 4));
-    group.record(ms(0), &name(0), &one(Kind::Cut));
+    group.record(ms(0), &name(0), &outcome(Kind::Cut));
     let mut first = None;
     let answered = Counts { answered: 2, millis: 40, ..Counts::default() };
     for now in (0..12_000).step_by(50) {
@@ -99,8 +99,8 @@
         group.tick(ms(now));
         let other = name(1 + now as usize / 1_000 % 9);
         match now % 1_000 {
-            0 => group.record(ms(now), &other, &one(Kind::Cut)),
-            400 | 450 if lookups => {
+            0 => group.record(ms(now), &other, &outcome(Kind::Cut)),
+            400 | 450 if has_idempotent => {
                 group.record(ms(now), &other, &Counts::from_trial(Kind::Success, ms(20), true))
             }
             _ => false,
@@ -114,21 +114,21 @@
     assert!((from..from + 400).contains(&first), "{first}");
 }
 
-// Orders, which may run only once, have shown that one of ten upstreams is well; three were on
-// their way, and the third ends after the breaker is closed. It is no lookup: the other upstream
-// that is out gets an order after four seconds all the same, and not after eight.
+// Two non-idempotent trials closed a breaker, and a third one ends afterwards. It must not count
+// as an idempotent trial, which would delay the trial of the other open breaker from four to
+// eight seconds.
 #[test]
-fn trials_non_idempotent_late_order() {
+fn trials_non_idempotent_late_success() {
     let mut group = Group::new(0.5, ChaCha8Rng::seed_from_u64(5));
     let name = |at: usize| compact_str::format_compact!("hull-{at}");
     (0..10).for_each(|at| group.join(name(at), 4));
-    group.record(ms(0), &name(1), &one(Kind::Cut));
+    group.record(ms(0), &name(1), &outcome(Kind::Cut));
     let passed = Counts::from_trial(Kind::Success, ms(20), false);
     let mut first = None;
     for now in (0..16_000).step_by(50) {
         group.tick(ms(now));
         match now {
-            4_500 => group.record(ms(now), &name(0), &one(Kind::Cut)),
+            4_500 => group.record(ms(now), &name(0), &outcome(Kind::Cut)),
             4_600 | 4_700 => group.record(ms(now), &name(1), &passed),
             5_000 | 7_000 | 9_000 => group.record(ms(now), &name(1), &passed),
             _ => false,
