--- a/src/balance.rs
+++ b/src/balance.rs
@@ -1,17 +1,16 @@
-//! Which upstream a request goes to: subset, slots, connections and score.
+//! Chooses the upstream of a request: subset, slots, connections and cost.
 //!
-//! **Load pattern.** Dozens of entries share upstreams with a handful of slots
-//! and a few hundred connections each. One entry has a request in flight at any
-//! one upstream only now and then, so that its own counts say little.
+//! **Load pattern.** Dozens of entries share upstreams with a handful of slots and a few hundred
+//! connections each. One entry rarely has a request in flight at any given upstream, so that its
+//! own counts say little.
 //!
-//! **Without it.** Taking turns sends an old, slow upstream as much as a new one
-//! and it queues without end; least-in-flight over all upstreams opens
-//! connections from each entry to each upstream, and sends work to the one that
-//! fails fastest.
+//! **Without it.** Round robin sends an old, slow upstream as much as a new one, and its queue
+//! grows without end. Least-in-flight over all upstreams opens connections from each entry to
+//! each upstream, and prefers the upstream that fails fastest.
 //!
-//! **Grounds.** Two candidates drawn in proportion to what each can do, the less
-//! loaded one taken: within a fraction of a microsecond, without a herd. Figures
-//! and the ways weighed stand in `docs/design/balance.md`.
+//! **How.** Two candidates are drawn in proportion to their capacity and the cheaper one is
+//! taken. This costs a fraction of a microsecond and does not make all entries pick the same
+//! upstream. `docs/design/balance.md` has the figures and the alternatives considered.
 
 mod completion;
 mod health;
--- a/src/balance/completion.rs
+++ b/src/balance/completion.rs
@@ -3,13 +3,13 @@
 use crate::balance::Report;
 use crate::health::Kind;
 
-/// How a picked request ended.
+/// How a picked request completed.
 #[derive(Clone, Copy, Debug)]
 pub struct Completion {
     /// Outcome.
     pub kind: Kind,
-    /// From the last byte of the request to the first byte of the answer.
+    /// Time from the last byte of the request to the first byte of the answer.
     pub latency: Duration,
-    /// Load told on the answer.
+    /// Load reported with the answer.
     pub report: Option<Report>,
 }
--- a/src/balance/health.rs
+++ b/src/balance/health.rs
@@ -1,13 +1,13 @@
 use crate::health::Judge;
 
-/// What the balance asks of health.
+/// Health of upstreams as the balancer needs it.
 pub trait Health {
-    /// Whether an upstream gets work only where no other has room.
+    /// Whether an upstream gets requests only where no other has room.
     fn is_suspect(&self, _upstream: &str) -> bool {
         false
     }
 
-    /// Share of its usual work that an upstream should get; nought when ejected.
+    /// Share of its usual load that an upstream should get; zero if ejected.
     fn weight(&self, upstream: &str) -> f64;
 }
 
--- a/src/balance/load.rs
+++ b/src/balance/load.rs
@@ -9,54 +9,54 @@
 use crate::health::Kind;
 use crate::id::DomainId;
 
-/// What this entry knows of the load of one upstream.
+/// Load of one upstream as this entry knows it.
 #[derive(Clone, Debug)]
 pub(crate) struct Load {
-    crowd: f64,
+    sharing_entries: f64,
     full_until: Moment,
     health: f64,
     is_near: bool,
     is_suspect: bool,
-    /// Mean latency in seconds, and when it was last measured.
+    /// Mean latency in seconds, and when it was last updated.
     latency: Option<(f64, Moment)>,
     limit: f64,
-    long: usize,
+    long_running: usize,
     member: Member,
     number: u64,
     rank: u64,
-    /// Share of the last answers that were refusals, and when the last was.
+    /// Share of recent answers that were refusals, and when the last refusal was.
     refusals: (f64, Moment),
     report: Option<(Moment, Report)>,
     waiting: Vec<(u64, Moment)>,
 }
 
 impl Load {
-    /// Share of the newest answer in the mean latency: the last twenty or so.
-    const NEWEST: f64 = 0.05;
-    /// Time after which a mean latency without new answers has lost two thirds of
-    /// its weight. Without it a slow upstream that recovered would lose every
-    /// comparison, get no work, and so never be measured again.
-    const MEMORY: Duration = Duration::from_secs(30);
-    /// Factor on the limit at a refusal.
-    const BACK_OFF: f64 = 0.7;
-    /// Cost of refusals: one in five doubles it, so that slower upstreams with
-    /// room are used before callers are refused.
-    const FULL: f64 = 5.0;
-    /// Age at which a refusal has lost two thirds of its weight: a burst is over.
-    const FULL_FADE: Duration = Duration::from_secs(5);
-    /// Age at which a told load has lost two thirds of its weight.
-    const FADE: Duration = Duration::from_millis(250);
+    /// Weight of the newest answer in the moving averages, which cover about the last twenty.
+    const EWMA_WEIGHT: f64 = 0.05;
+    /// Time after which a mean latency without new answers has lost two thirds of its weight.
+    /// Without this decay a slow upstream that recovered would lose every comparison, get no
+    /// requests, and so never be measured again.
+    const LATENCY_DECAY: Duration = Duration::from_secs(30);
+    /// Factor applied to the limit at a refusal.
+    const REFUSAL_BACKOFF: f64 = 0.7;
+    /// Cost factor of refusals. One refusal in five answers doubles the cost, so that slower
+    /// upstreams with room are used before callers are refused.
+    const REFUSAL_COST: f64 = 5.0;
+    /// Age at which a refusal has lost two thirds of its weight, as bursts are short.
+    const REFUSAL_DECAY: Duration = Duration::from_secs(5);
+    /// Age at which a reported load has lost two thirds of its weight.
+    const REPORT_DECAY: Duration = Duration::from_millis(250);
 
     pub(crate) fn new(number: u64, rank: u64, is_near: bool, member: Member) -> Self {
         Self {
-            crowd: 1.0,
+            sharing_entries: 1.0,
             full_until: Moment::ZERO,
             health: 1.0,
             is_near,
             is_suspect: false,
             latency: None,
             limit: f64::from(member.slots.max(1)),
-            long: 0,
+            long_running: 0,
             member,
             number,
             rank,
@@ -68,17 +68,17 @@
 
     pub(crate) fn begin(&mut self, request: u64, now: Moment, is_long: bool) {
         if is_long {
-            self.long += 1;
+            self.long_running += 1;
         } else {
             self.waiting.push((request, now));
         }
     }
 
-    /// Work it can do, in requests a second; `usual` stands in for a latency not
-    /// yet known.
-    pub(crate) fn capacity(&self, now: Moment, usual: f64) -> f64 {
+    /// Requests a second that it can serve; `default_latency` in seconds is used for a latency
+    /// not yet known.
+    pub(crate) fn capacity(&self, now: Moment, default_latency: f64) -> f64 {
         let share = self.health * self.member.state.share(now);
-        let latency = self.expected(now, usual);
+        let latency = self.expected_latency(now, default_latency);
         share * f64::from(self.member.slots.max(1)) / latency
     }
 
@@ -86,10 +86,10 @@
         self.member.connections
     }
 
-    /// Connections that this entry may hold, so that all entries together stay
-    /// below what the upstream accepts.
+    /// Connections that this entry may hold, so that all entries together stay below what the
+    /// upstream accepts.
     pub(crate) fn connection_cap(&self) -> u32 {
-        let cap = f64::from(self.member.connections) / self.crowd.max(1.0);
+        let cap = f64::from(self.member.connections) / self.sharing_entries.max(1.0);
         (cap as u32).max(1)
     }
 
@@ -100,25 +100,25 @@
     pub(crate) fn finish(&mut self, now: Moment, ticket: Ticket, completion: Completion) {
         let found = self.waiting.iter().position(|(request, _)| *request == ticket.request);
         match found {
-            Some(place) => {
-                self.waiting.swap_remove(place);
+            Some(position) => {
+                self.waiting.swap_remove(position);
             }
-            None => self.long = self.long.saturating_sub(1),
+            None => self.long_running = self.long_running.saturating_sub(1),
         }
         self.report = completion.report.map(|report| (now, report)).or(self.report);
         match completion.kind {
-            Kind::Refused => self.refused(now),
-            Kind::Success if found.is_some() => self.succeeded(now, completion.latency),
+            Kind::Refused => self.record_refusal(now),
+            Kind::Success if found.is_some() => self.record_success(now, completion.latency),
             _ => {}
         }
     }
 
     pub(crate) fn in_flight(&self) -> usize {
-        self.waiting.len() + self.long
+        self.waiting.len() + self.long_running
     }
 
-    /// Whether it can take one more request from here.
-    pub(crate) fn is_open(&self, now: Moment) -> bool {
+    /// Whether it can take one more request from this entry.
+    pub(crate) fn has_room(&self, now: Moment) -> bool {
         let cap = self.limit.min(f64::from(self.connection_cap()));
         now >= self.full_until && (self.in_flight() as f64) < cap.max(1.0).floor()
     }
@@ -128,12 +128,12 @@
         self.is_near
     }
 
-    /// Whether it gets work before those that are suspect.
+    /// Whether it is preferred to suspect upstreams.
     pub(crate) fn is_sound(&self) -> bool {
         !self.is_suspect
     }
 
-    /// Whether it may be given work at all.
+    /// Whether it may get requests at all.
     pub(crate) fn is_usable(&self) -> bool {
         self.health > 0.0 && self.member.state != crate::balance::State::Draining
     }
@@ -150,36 +150,38 @@
         self.number
     }
 
-    /// Ages of requests that wait for longer than twice the mean.
+    /// Ages of the requests that wait for longer than twice the mean latency.
     pub(crate) fn overdue(&self, now: Moment) -> Vec<Duration> {
-        let bar = 2.0 * self.latency().unwrap_or(f64::INFINITY);
+        let threshold = 2.0 * self.latency().unwrap_or(f64::INFINITY);
         let ages = self.waiting.iter().map(|(_, since)| now.saturating_sub(*since));
-        ages.filter(|age| age.as_secs_f64() > bar).collect()
+        ages.filter(|age| age.as_secs_f64() > threshold).collect()
     }
 
-    /// What a request would cost here, for comparing two candidates.
+    /// Cost of a request here, for comparing two candidates.
     ///
-    /// The latency counts by its root: an old, slow upstream loses most
-    /// comparisons while there is room elsewhere, and gets its full share when
-    /// the queues of the others have made them as slow.
-    pub(crate) fn cost(&self, now: Moment, usual: f64, setup: &Setup) -> f64 {
-        let far = if self.is_near { 1.0 } else { setup.remote_cost };
-        let told = if setup.uses_reports { self.told(now) } else { 0.0 };
+    /// The square root of the latency counts: an old, slow upstream loses most comparisons while
+    /// there is room elsewhere, and gets its full share once queues have made the others as slow.
+    pub(crate) fn cost(&self, now: Moment, default_latency: f64, setup: &Setup) -> f64 {
+        let domain_factor = if self.is_near { 1.0 } else { setup.remote_cost };
+        let reported = if setup.uses_reports { self.reported_load(now) } else { 0.0 };
         let slots = f64::from(self.member.slots.max(1));
-        let busy = (self.in_flight() as f64 + told) / slots;
-        let full = 1.0 + Self::FULL * self.refusing(now);
-        (1.0 + busy) * far * full * self.expected(now, usual).sqrt()
+        let utilization = (self.in_flight() as f64 + reported) / slots;
+        let refusal_factor = 1.0 + Self::REFUSAL_COST * self.refusal_share(now);
+        (1.0 + utilization)
+            * domain_factor
+            * refusal_factor
+            * self.expected_latency(now, default_latency).sqrt()
     }
 
     pub(crate) fn rank(&self) -> u64 {
         self.rank
     }
 
-    pub(crate) fn set_crowd(&mut self, crowd: f64) {
-        self.crowd = crowd;
+    pub(crate) fn set_sharing_entries(&mut self, sharing_entries: f64) {
+        self.sharing_entries = sharing_entries;
     }
 
-    /// Sets the share that health allows; true when it came to or from nought.
+    /// Sets whether it gets requests only where no sound upstream has room.
     pub(crate) fn set_suspect(&mut self, is_suspect: bool) {
         self.is_suspect = is_suspect;
     }
@@ -194,50 +196,51 @@
         self.member = member;
     }
 
-    /// Latency to expect, in seconds: the mean, fading to the `usual` one.
-    fn expected(&self, now: Moment, usual: f64) -> f64 {
+    /// Expected latency in seconds: the mean, decaying towards `default_latency`.
+    fn expected_latency(&self, now: Moment, default_latency: f64) -> f64 {
         let Some((mean, at)) = self.latency else {
-            return usual;
+            return default_latency;
         };
-        (usual + (mean - usual) * kept(now, at, Self::MEMORY)).max(1e-6)
+        (default_latency + (mean - default_latency) * decay_factor(now, at, Self::LATENCY_DECAY))
+            .max(1e-6)
     }
 
-    fn refusing(&self, now: Moment) -> f64 {
+    fn refusal_share(&self, now: Moment) -> f64 {
         let (share, at) = self.refusals;
-        share * kept(now, at, Self::FULL_FADE)
+        share * decay_factor(now, at, Self::REFUSAL_DECAY)
     }
 
-    /// A refusal means that it is full now: others get the next requests for
-    /// about the time in which one of its slots comes free.
-    fn refused(&mut self, now: Moment) {
-        let share = self.refusing(now);
-        self.refusals = (share + Self::NEWEST * (1.0 - share), now);
-        self.limit = (self.limit * Self::BACK_OFF).max(1.0);
+    /// Records a refusal: it is full now, so the next requests go elsewhere for about the time in
+    /// which one of its slots becomes free.
+    fn record_refusal(&mut self, now: Moment) {
+        let share = self.refusal_share(now);
+        self.refusals = (share + Self::EWMA_WEIGHT * (1.0 - share), now);
+        self.limit = (self.limit * Self::REFUSAL_BACKOFF).max(1.0);
         let per_slot = self.latency().unwrap_or(0.0) / f64::from(self.member.slots.max(1));
         self.full_until = now + Duration::from_secs_f64(per_slot);
     }
 
-    fn succeeded(&mut self, now: Moment, latency: Duration) {
-        self.refusals.0 -= Self::NEWEST * self.refusals.0;
+    fn record_success(&mut self, now: Moment, latency: Duration) {
+        self.refusals.0 -= Self::EWMA_WEIGHT * self.refusals.0;
         let newest = latency.as_secs_f64();
         let (mean, at) = self.latency.unwrap_or((newest, now));
-        let share = (1.0 - kept(now, at, Self::MEMORY)).max(Self::NEWEST);
+        let share = (1.0 - decay_factor(now, at, Self::LATENCY_DECAY)).max(Self::EWMA_WEIGHT);
         self.latency = Some((mean + share * (newest - mean), now));
-        let most = 2.0 * f64::from(self.member.slots.max(1));
-        self.limit = (self.limit + 1.0 / self.limit).min(most);
+        let limit_max = 2.0 * f64::from(self.member.slots.max(1));
+        self.limit = (self.limit + 1.0 / self.limit).min(limit_max);
     }
 
-    /// Load told on the last answer, fading as it grows old.
-    fn told(&self, now: Moment) -> f64 {
+    /// In-flight requests reported with the last answer, decaying with age.
+    fn reported_load(&self, now: Moment) -> f64 {
         let Some((at, report)) = self.report else {
             return 0.0;
         };
-        f64::from(report.in_flight) * kept(now, at, Self::FADE)
+        f64::from(report.in_flight) * decay_factor(now, at, Self::REPORT_DECAY)
     }
 }
 
-/// Share of what was measured `at` a moment that still counts.
-fn kept(now: Moment, at: Moment, memory: Duration) -> f64 {
+/// Remaining weight of a value measured `at` a moment.
+fn decay_factor(now: Moment, at: Moment, memory: Duration) -> f64 {
     let age = now.saturating_sub(at).as_secs_f64();
     (-age / memory.as_secs_f64()).exp()
 }
--- a/src/balance/member.rs
+++ b/src/balance/member.rs
@@ -10,11 +10,11 @@
 pub struct Member {
     /// Connections that it accepts from all entries together.
     pub connections: u32,
-    /// Failure domain it runs in.
+    /// Failure domain that it runs in.
     pub domain: DomainId,
-    /// Requests it runs at once. Nought counts as one.
+    /// Requests that it runs at once; zero counts as one.
     pub slots: u32,
-    /// Where it is in its life.
+    /// Lifecycle state.
     pub state: State,
     /// Upstream.
     pub upstream: UpstreamId,
--- a/src/balance/pick.rs
+++ b/src/balance/pick.rs
@@ -1,23 +1,23 @@
 use crate::clock::Moment;
 use crate::id::UpstreamId;
 
-/// An upstream chosen for one request, which counts as in flight from now on.
+/// An upstream chosen for one request, which counts as in flight until it is finished.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pick {
     /// Connections that this entry may hold to the upstream, idle ones included.
     pub connections: u32,
-    /// To be handed back to [`crate::balance::Picker::finish`] whatever happens.
+    /// Must be passed to [`crate::balance::Picker::finish`], whatever the outcome.
     pub ticket: Ticket,
     /// Upstream.
     pub upstream: UpstreamId,
 }
 
-/// What ends a pick.
+/// Identifies a pick when its request completes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Ticket {
-    /// Member, numbered by announcement.
+    /// Number of the member, in order of announcement.
     pub(crate) member: u64,
-    /// Request, numbered by pick.
+    /// Number of the request, in order of picks.
     pub(crate) request: u64,
     /// When it was picked.
     pub(crate) since: Moment,
--- a/src/balance/picker.rs
+++ b/src/balance/picker.rs
@@ -19,38 +19,39 @@
 
 /// Chooses upstreams of one service for one entry.
 ///
-/// Shared by traffic threads behind one lock; a pick and its finish each hold it
-/// for less than a microsecond.
+/// Shared by traffic threads behind one lock; a pick and its completion each hold it for less
+/// than a microsecond.
 #[derive(Clone, Debug)]
 pub struct Picker {
     loads: Vec<Load>,
     next_member: u64,
     next_request: u64,
-    /// Own requests at near upstreams from which on far ones take some too.
+    /// In-flight requests of this entry at near upstreams from which on far ones get some too.
     near_share: f64,
-    open: Vec<(usize, f64)>,
+    candidates: Vec<(usize, f64)>,
     random: ChaCha8Rng,
     setup: Setup,
     subset: Subset,
-    usual: f64,
+    default_latency: f64,
 }
 
 impl Picker {
-    /// Part of the first candidate's cost that the second must stay below. Less
-    /// than that is the noise of the means, and whoever is lowest by noise would
-    /// draw the work of all.
-    const CLEARLY: f64 = 0.9;
-    /// Own requests at near upstreams, over the own part of their slots, from which on far
-    /// ones take some too: requests come unevenly, and a queue costs less than a border.
-    const SPILL: f64 = 1.5;
-    /// The same in standard deviations of a part that arrivals use by chance. Of a part of
-    /// one slot, a quarter of the requests would cross the border without it while nine in
-    /// ten of the near slots are free.
-    const SPILL_CHANCE: f64 = 1.0;
-    /// Latency, in seconds, that is presumed while none is known.
-    const PRESUMED: f64 = 0.025;
+    /// The second candidate is taken if its cost is below this share of the first one's. Smaller
+    /// differences are noise of the means, and the upstream that is lowest by noise would attract
+    /// all requests.
+    const COST_RATIO_MAX: f64 = 0.9;
+    /// In-flight requests of this entry at near upstreams, relative to its share of their slots,
+    /// from which on far ones get some too. Requests arrive unevenly, and a short queue costs
+    /// less than crossing failure domains.
+    const SPILL_FACTOR: f64 = 1.5;
+    /// Standard deviations of random arrivals that the entry's share of near slots allows for.
+    /// With a share of one slot, a quarter of the requests would otherwise leave the failure
+    /// domain while nine in ten of the near slots are free.
+    const SPILL_DEVIATIONS: f64 = 1.0;
+    /// Latency assumed while none is known.
+    const DEFAULT_LATENCY_SECONDS: f64 = 0.025;
 
-    /// A picker without upstreams.
+    /// Creates a picker without upstreams.
     #[must_use]
     pub fn new(setup: Setup, random: ChaCha8Rng) -> Self {
         Self {
@@ -58,23 +59,22 @@
             next_member: 0,
             next_request: 0,
             near_share: 0.0,
-            open: Vec::new(),
+            candidates: Vec::new(),
             random,
             setup,
             subset: Subset::default(),
-            usual: Self::PRESUMED,
+            default_latency: Self::DEFAULT_LATENCY_SECONDS,
         }
     }
 
-    /// Connections that this entry may hold to an upstream; nought for one that
-    /// it doesn't use.
+    /// Connections that this entry may hold to an upstream; zero for one that it does not use.
     #[must_use]
     pub fn connections(&self, upstream: &str) -> u32 {
         let used = self.used().find(|load| load.member().upstream == upstream);
         used.map_or(0, Load::connection_cap)
     }
 
-    /// Ends a pick. Unknown tickets, of members that left, are ignored.
+    /// Records the completion of a request. Tickets of removed members are ignored.
     pub fn finish(&mut self, now: Moment, ticket: Ticket, completion: Completion) {
         let found = self.loads.binary_search_by_key(&ticket.member, Load::number);
         if let Ok(position) = found {
@@ -82,14 +82,14 @@
         }
     }
 
-    /// Requests in flight from here at an upstream.
+    /// In-flight requests of this entry at an upstream.
     #[must_use]
     pub fn in_flight(&self, upstream: &str) -> usize {
         let load = self.loads.iter().find(|load| load.member().upstream == upstream);
         load.map_or(0, Load::in_flight)
     }
 
-    /// Upstreams with requests that wait unusually long, for
+    /// Upstreams with requests that wait unusually long, and the ages of these, for
     /// [`crate::health::Input::Pending`].
     #[must_use]
     pub fn overdue(&self, now: Moment) -> Vec<(UpstreamId, Vec<Duration>)> {
@@ -98,20 +98,20 @@
         ages.filter(|(_, ages)| !ages.is_empty()).collect()
     }
 
-    /// Chooses an upstream and counts the request as in flight there, or nothing
-    /// when all that may take it are full.
+    /// Chooses an upstream and counts the request as in flight there; `None` if all candidates
+    /// are full.
     pub fn pick(&mut self, now: Moment, request: &Request<'_>) -> Option<Pick> {
-        let total = self.gather(now, request);
+        let total = self.gather_candidates(now, request);
         let first = self.draw(total)?;
         let second = self.draw(total)?;
-        let is_cheaper = self.cost(now, second) < Self::CLEARLY * self.cost(now, first);
+        let is_cheaper = self.cost(now, second) < Self::COST_RATIO_MAX * self.cost(now, first);
         let position = if is_cheaper { second } else { first };
         Some(self.begin(now, position, request.is_long))
     }
 
-    /// Picks one upstream whatever its health, if it has room.
+    /// Picks the given upstream regardless of its health, if it has room.
     pub fn pick_only(&mut self, now: Moment, upstream: &UpstreamId, is_long: bool) -> Option<Pick> {
-        let wanted = |load: &Load| load.member().upstream == *upstream && load.is_open(now);
+        let wanted = |load: &Load| load.member().upstream == *upstream && load.has_room(now);
         let position = self.loads.iter().position(wanted)?;
         Some(self.begin(now, position, is_long))
     }
@@ -128,8 +128,8 @@
         }
     }
 
-    /// Takes over what health holds. Due at each tick of the judge and after each
-    /// of its outputs that concern an upstream.
+    /// Updates the health of all upstreams. Must be called at each tick of the judge and after
+    /// each of its outputs that concerns an upstream.
     pub fn refresh(&mut self, health: &dyn Health) {
         let mut is_changed = false;
         for load in &mut self.loads {
@@ -138,20 +138,20 @@
             load.set_suspect(health.is_suspect(&load.member().upstream));
         }
         if is_changed {
-            self.choose();
+            self.choose_subset();
         }
-        self.measure();
+        self.update_default_latency();
     }
 
-    /// Takes over how many entries the fleet has.
+    /// Sets the number of entries in the fleet.
     pub fn set_entries(&mut self, entries: usize) {
         if self.setup.entries != entries {
             self.setup.entries = entries;
-            self.choose();
+            self.choose_subset();
         }
     }
 
-    /// Takes over the announced upstreams: the whole list each time.
+    /// Replaces the announced upstreams by a complete list.
     pub fn set_members(&mut self, members: &[Member]) {
         let mut wanted: BTreeMap<&UpstreamId, &Member> =
             members.iter().map(|member| (&member.upstream, member)).collect();
@@ -168,15 +168,15 @@
             self.loads.push(Load::new(self.next_member, rank, is_near, member.clone()));
             self.next_member += 1;
         }
-        self.choose();
+        self.choose_subset();
     }
 
-    /// Upstreams that this entry uses at the moment.
+    /// Upstreams that this entry currently uses.
     pub fn subset(&self) -> impl Iterator<Item = &UpstreamId> {
         self.used().map(|load| &load.member().upstream)
     }
 
-    fn choose(&mut self) {
+    fn choose_subset(&mut self) {
         self.subset = Subset::choose(&mut self.loads, self.setup.entries, self.setup.subset_max);
         if self.setup.local {
             self.subset.add_near(&self.loads);
@@ -184,43 +184,44 @@
         }
     }
 
-    /// Draws one of the gathered candidates in proportion to its capacity.
+    /// Draws one of the candidates in proportion to its capacity.
     fn draw(&mut self, total: f64) -> Option<usize> {
-        let mut left = self.random.random_range(0.0..1.0) * total;
-        for (position, capacity) in &self.open {
-            left -= capacity;
-            if left < 0.0 {
+        let mut remaining = self.random.random_range(0.0..1.0) * total;
+        for (position, capacity) in &self.candidates {
+            remaining -= capacity;
+            if remaining < 0.0 {
                 return Some(*position);
             }
         }
-        self.open.last().map(|(position, _)| *position)
+        self.candidates.last().map(|(position, _)| *position)
     }
 
-    /// Lists the candidates, and returns their whole capacity.
-    fn gather(&mut self, now: Moment, request: &Request<'_>) -> f64 {
+    /// Collects the candidates and returns their total capacity.
+    fn gather_candidates(&mut self, now: Moment, request: &Request<'_>) -> f64 {
         if self.setup.local && !self.is_near_full() {
-            let total = self.gather_some(now, request, |load| load.is_near() && load.is_sound());
+            let total = self.gather_where(now, request, |load| load.is_near() && load.is_sound());
             if total > 0.0 {
                 return total;
             }
         }
-        // A suspect one breaks most of what it gets; what may run once is lost there.
-        let total = self.gather_some(now, request, Load::is_sound);
+        // A suspect upstream breaks most requests, and non-idempotent ones are lost there.
+        let total = self.gather_where(now, request, Load::is_sound);
         if total > 0.0 {
             return total;
         }
-        self.gather_some(now, request, |_| true)
+        self.gather_where(now, request, |_| true)
     }
 
-    /// Whether this entry has its part of the near upstreams' slots in use, and more.
+    /// Whether this entry uses more than its share of the near upstreams' slots.
     fn is_near_full(&self) -> bool {
         let near = self.used().filter(|load| load.is_near());
-        let most = self.near_share + Self::SPILL_CHANCE * self.near_share.sqrt();
-        let most = most.max(Self::SPILL * self.near_share);
-        near.map(Load::in_flight).sum::<usize>() as f64 >= most
+        let limit = self.near_share + Self::SPILL_DEVIATIONS * self.near_share.sqrt();
+        let limit = limit.max(Self::SPILL_FACTOR * self.near_share);
+        near.map(Load::in_flight).sum::<usize>() as f64 >= limit
     }
 
-    /// An entry's part of the near upstreams' sound slots, with entries spread as slots are.
+    /// This entry's share of the slots of sound near upstreams, if entries are spread over
+    /// failure domains as slots are.
     fn near_share(loads: &[Load], entries: usize) -> f64 {
         let slots = |load: &&Load| f64::from(load.member().slots);
         let all: f64 = loads.iter().map(|load| slots(&load)).sum();
@@ -232,36 +233,36 @@
         sound / sharing.max(1.0)
     }
 
-    fn gather_some(
+    fn gather_where(
         &mut self,
         now: Moment,
         request: &Request<'_>,
-        takes: impl Fn(&Load) -> bool,
+        accepts: impl Fn(&Load) -> bool,
     ) -> f64 {
-        self.open.clear();
+        self.candidates.clear();
         let mut total = 0.0;
         for position in &self.subset.positions {
             let load = &self.loads[*position];
             let avoided = request.avoid.contains(&load.member().upstream);
-            if takes(load) && load.is_open(now) && !avoided {
-                let capacity = load.capacity(now, self.usual);
+            if accepts(load) && load.has_room(now) && !avoided {
+                let capacity = load.capacity(now, self.default_latency);
                 total += capacity;
-                self.open.push((*position, capacity));
+                self.candidates.push((*position, capacity));
             }
         }
         total
     }
 
-    /// Takes the mean of the known latencies for those not known.
-    fn measure(&mut self) {
+    /// Sets the default latency to the mean of the known ones.
+    fn update_default_latency(&mut self) {
         let known: Vec<f64> = self.used().filter_map(Load::latency).collect();
         if !known.is_empty() {
-            self.usual = known.iter().sum::<f64>() / known.len() as f64;
+            self.default_latency = known.iter().sum::<f64>() / known.len() as f64;
         }
     }
 
     fn cost(&self, now: Moment, position: usize) -> f64 {
-        self.loads[position].cost(now, self.usual, &self.setup)
+        self.loads[position].cost(now, self.default_latency, &self.setup)
     }
 
     fn used(&self) -> impl Iterator<Item = &Load> {
--- a/src/balance/request.rs
+++ b/src/balance/request.rs
@@ -3,9 +3,9 @@
 /// A request that needs an upstream.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Request<'a> {
-    /// Upstreams that it was tried at before.
+    /// Upstreams that it was already tried at.
     pub avoid: &'a [UpstreamId],
-    /// Whether its length is the caller's doing, as with an upload; such requests
-    /// say nothing by waiting, and stay out of [`crate::balance::Picker::overdue`].
+    /// Whether the caller determines its duration, as with an upload. Such a request says nothing
+    /// by waiting, and is left out of [`crate::balance::Picker::overdue`].
     pub is_long: bool,
 }
--- a/src/balance/setup.rs
+++ b/src/balance/setup.rs
@@ -1,33 +1,33 @@
 use crate::id::DomainId;
 use crate::id::NodeId;
 
-/// What a picker is told at its start.
+/// Settings of a picker.
 #[derive(Clone, Debug)]
 pub struct Setup {
     /// Failure domain of this entry.
     pub domain: DomainId,
-    /// Entries in the fleet that share the upstreams.
+    /// Entries of the fleet, which share the upstreams.
     pub entries: usize,
     /// Name of this entry.
     pub entry: NodeId,
-    /// Whether far upstreams get work only when the near ones are full.
+    /// Whether far upstreams get requests only when the near ones are full.
     pub local: bool,
-    /// Most upstreams to use at once.
+    /// Highest number of upstreams to use at once.
     pub subset_max: usize,
-    /// Factor on the cost of an upstream in another failure domain: work goes
-    /// there when the near ones are this much more loaded.
+    /// Cost factor of an upstream in another failure domain: it gets requests when the near ones
+    /// are loaded more by this factor.
     pub remote_cost: f64,
-    /// Whether loads told on answers count.
+    /// Whether loads reported with answers are used.
     pub uses_reports: bool,
 }
 
 impl Setup {
-    /// Most upstreams to use at once, unless set. An entry knows more of each when
-    /// they are fewer: at 44 entries and 30 upstreams, twelve gave a lower p99
-    /// than all thirty, and six a higher one, as hashing then loads some more.
+    /// Default of [`Self::subset_max`]. An entry knows more of each upstream when it uses fewer:
+    /// at 44 entries and 30 upstreams, a limit of twelve gave a lower p99 latency than no limit,
+    /// and six a higher one, as hashing then loads some upstreams more.
     pub const SUBSET_MAX: usize = 12;
 
-    /// The usual setup of an entry.
+    /// Default settings of an entry.
     #[must_use]
     pub fn new(entry: NodeId, domain: DomainId, entries: usize) -> Self {
         Self {
--- a/src/balance/state.rs
+++ b/src/balance/state.rs
@@ -3,10 +3,10 @@
 
 use crate::clock::Moment;
 
-/// Where an upstream is in its life.
+/// Lifecycle state of an upstream.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum State {
-    /// Leaving: gets no new work.
+    /// Leaving: gets no new requests.
     Draining,
     /// Takes its full share.
     Ready,
@@ -20,11 +20,11 @@
 }
 
 impl State {
-    /// First share of a cold upstream: enough to fill its caches, and few enough
-    /// that its slow first answers are rare.
-    const COLD: f64 = 0.1;
+    /// Share of a cold upstream at its start: enough to fill its caches, and low enough that its
+    /// slow first answers are rare.
+    const INITIAL_SHARE: f64 = 0.1;
 
-    /// Share of its usual work at `now`.
+    /// Share of its usual load at `now`.
     #[must_use]
     pub fn share(self, now: Moment) -> f64 {
         match self {
@@ -33,7 +33,7 @@
             Self::Warm { since, until } => {
                 let length = until.saturating_sub(since).as_secs_f64().max(f64::EPSILON);
                 let passed = now.saturating_sub(since).as_secs_f64();
-                Self::COLD + (1.0 - Self::COLD) * (passed / length).min(1.0)
+                Self::INITIAL_SHARE + (1.0 - Self::INITIAL_SHARE) * (passed / length).min(1.0)
             }
         }
     }
--- a/tests/suite/balance/near.rs
+++ b/tests/suite/balance/near.rs
@@ -1,4 +1,4 @@
-//! Upstreams in the entry's own failure domain first.
+//! Tests of the preference for upstreams in the entry's own failure domain.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use super::DOMAINS;
 use super::ready;
 
-/// Entry in the first of four failure domains, among as many as say.
+/// Picker of an entry in the first of four failure domains.
 fn local(entries: usize, upstreams: usize) -> Picker {
     let setup = Setup::new("entry".into(), DOMAINS[0].into(), entries);
     let setup = Setup { local: true, ..setup };
@@ -26,8 +26,8 @@
     upstream[1..].parse::<usize>().is_ok_and(|number| number.is_multiple_of(4))
 }
 
-/// Requests that come at once; how many go to near upstreams, in order of arrival.
-fn near(picker: &mut Picker, count: usize) -> Vec<bool> {
+/// Picks `count` requests at once; returns for each whether it went to a near upstream.
+fn pick_at_once(picker: &mut Picker, count: usize) -> Vec<bool> {
     let pick = |_| picker.pick(Moment::ZERO, &Request::default()).expect("room");
     (0..count).map(pick).map(|pick| is_near(&pick.upstream)).collect()
 }
@@ -44,26 +44,27 @@
     }
 }
 
-// Eight upstreams of four slots, 32 entries: an entry's part of the near slots is one. Two
-// requests at once are chance, not load, and stay near; more mean that the near ones fill up.
+// With 32 entries and eight upstreams of four slots, the entry's share of near slots is one. Two
+// concurrent requests are chance and must stay near; more are load and may leave the failure
+// domain.
 #[test]
-fn pick_small_part() {
+fn pick_small_near_share() {
     let mut picker = local(32, 8);
-    assert_eq!(near(&mut picker, 4), [true, true, false, false]);
+    assert_eq!(pick_at_once(&mut picker, 4), [true, true, false, false]);
 }
 
-// With four entries the part is eight slots; a burst of twelve is served near, and what comes
-// on top also goes to the other failure domains.
+// With four entries the entry's share of near slots is eight. A burst of requests must stay near
+// at first, and later requests go to other failure domains too.
 #[test]
-fn pick_large_part() {
+fn pick_large_near_share() {
     let mut picker = local(4, 8);
-    let served = near(&mut picker, 20);
+    let served = pick_at_once(&mut picker, 20);
     assert!(served[..8].iter().all(|near| *near), "{served:?}");
     assert!(served[12..].iter().any(|near| !near), "{served:?}");
 }
 
-// All near upstreams are suspect: they break most of what they get. Requests cross the border
-// to sound ones, and come back when nobody else has room.
+// All near upstreams are suspect and break most requests. Requests must go to sound upstreams in
+// other failure domains, and to suspect ones only when no other has room.
 #[test]
 fn pick_near_suspects() {
     let mut picker = local(1, 8);
--- a/tests/suite/balance/share.rs
+++ b/tests/suite/balance/share.rs
@@ -13,19 +13,19 @@
 use super::picker;
 use super::ready;
 
-const GAP: Duration = Duration::from_millis(10);
-const USUAL: Duration = Duration::from_millis(25);
+const INTERVAL: Duration = Duration::from_millis(10);
+const LATENCY: Duration = Duration::from_millis(25);
 
-/// Sends requests one after another and counts where they go.
-fn spread(
+/// Sends `count` requests one after another; returns how many each upstream got.
+fn send(
     picker: &mut Picker,
     from: Moment,
     count: u32,
     latency: fn(&str) -> Duration,
 ) -> BTreeMap<String, u32> {
     let mut counts = BTreeMap::new();
-    for turn in 0..count {
-        let now = from + GAP * turn;
+    for index in 0..count {
+        let now = from + INTERVAL * index;
         if let Some(pick) = picker.pick(now, &Request::default()) {
             *counts.entry(pick.upstream.to_string()).or_default() += 1;
             let latency = latency(&pick.upstream);
@@ -40,74 +40,73 @@
     f64::from(counts.get(upstream).copied().unwrap_or_default()) / f64::from(all)
 }
 
-/// One of eight upstreams takes ten times as long. Turns would send it an eighth
-/// of the requests, whose callers all wait; it must get far less, and still
-/// enough to be seen when it recovers.
+/// One of eight upstreams takes ten times as long. Round robin would send it an eighth of the
+/// requests; it must get far fewer, but enough to detect when it recovers.
 #[test]
 fn pick_slow_upstream() {
     let mut picker = picker(0, 44, &ready(8));
-    let slow = |upstream: &str| if upstream == "u03" { USUAL * 10 } else { USUAL };
-    spread(&mut picker, Moment::ZERO, 4_000, slow);
-    let counts = spread(&mut picker, GAP * 4_000, 4_000, slow);
+    let slow = |upstream: &str| if upstream == "u03" { LATENCY * 10 } else { LATENCY };
+    send(&mut picker, Moment::ZERO, 4_000, slow);
+    let counts = send(&mut picker, INTERVAL * 4_000, 4_000, slow);
     assert!(share(&counts, "u03") < 0.02, "{counts:?}");
-    let counts = spread(&mut picker, GAP * 8_000, 40_000, |_| USUAL);
+    let counts = send(&mut picker, INTERVAL * 8_000, 40_000, |_| LATENCY);
     assert!(share(&counts, "u03") > 0.04, "{counts:?}");
 }
 
-/// Other entries fill one upstream, which refuses what comes from here. The next
-/// requests must go elsewhere at once, and come back when it takes work again.
+/// Other entries fill one upstream, which refuses a request. The next requests must go elsewhere
+/// at once, and return when it takes requests again.
 #[test]
-fn pick_hot_upstream() {
+fn pick_full_upstream() {
     let mut picker = picker(0, 44, &ready(8));
-    spread(&mut picker, Moment::ZERO, 1_000, |_| USUAL);
-    let mut now = GAP * 1_000;
-    let hot = loop {
+    send(&mut picker, Moment::ZERO, 1_000, |_| LATENCY);
+    let mut now = INTERVAL * 1_000;
+    let busy = loop {
         let pick = picker.pick(now, &Request::default()).expect("an idle upstream");
         if pick.upstream == "u03" {
             break pick;
         }
-        picker.finish(now, pick.ticket, finish(Kind::Success, USUAL));
+        picker.finish(now, pick.ticket, finish(Kind::Success, LATENCY));
     };
-    picker.finish(now, hot.ticket, finish(Kind::Refused, Duration::from_millis(2)));
+    picker.finish(now, busy.ticket, finish(Kind::Refused, Duration::from_millis(2)));
     for _ in 0..200 {
         let pick = picker.pick(now, &Request::default()).expect("an idle upstream");
         assert_ne!(pick.upstream, "u03");
-        picker.finish(now, pick.ticket, finish(Kind::Success, USUAL));
+        picker.finish(now, pick.ticket, finish(Kind::Success, LATENCY));
     }
-    now += GAP;
-    let counts = spread(&mut picker, now, 2_000, |_| USUAL);
+    now += INTERVAL;
+    let counts = send(&mut picker, now, 2_000, |_| LATENCY);
     assert!(share(&counts, "u03") > 0.08, "{counts:?}");
 }
 
-/// An upstream refuses for long; the limit on what it has in flight from here
-/// falls to one and grows again with its successes.
+/// While an upstream refuses, the limit on this entry's in-flight requests there must fall to
+/// one, and then grow again with successes.
 #[test]
-fn pick_limit_learned() {
+fn pick_limit_after_refusals() {
     let mut picker = picker(0, 44, &ready(1));
-    let mut most = |now: Moment, kind: Kind| {
+    let mut fill = |now: Moment, kind: Kind| {
         let mut picks = Vec::new();
         while let Some(pick) = picker.pick(now, &Request::default()) {
             picks.push(pick);
         }
         let count = picks.len();
         for pick in picks {
-            picker.finish(now, pick.ticket, finish(kind, USUAL));
+            picker.finish(now, pick.ticket, finish(kind, LATENCY));
         }
         count
     };
-    assert_eq!(most(Moment::ZERO, Kind::Success), 4);
+    assert_eq!(fill(Moment::ZERO, Kind::Success), 4);
     for second in 1..5 {
-        most(Duration::from_secs(second), Kind::Refused);
+        fill(Duration::from_secs(second), Kind::Refused);
     }
-    assert_eq!(most(Duration::from_secs(5), Kind::Success), 1);
+    assert_eq!(fill(Duration::from_secs(5), Kind::Success), 1);
     for second in 6..20 {
-        most(Duration::from_secs(second), Kind::Success);
+        fill(Duration::from_secs(second), Kind::Success);
     }
-    assert!(most(Duration::from_secs(20), Kind::Success) > 4);
+    assert!(fill(Duration::from_secs(20), Kind::Success) > 4);
 }
 
-/// A cold upstream answers slowly until its caches are filled. Its share must
-/// start small and rise to that of the others.
+/// A cold upstream is slow until its caches are filled. Its share must start small and rise to
+/// that of the others.
 #[test]
 fn pick_cold_start() {
     let mut members = ready(8);
@@ -115,7 +114,7 @@
     members[3] = member(3, State::Warm { since: Moment::ZERO, until });
     let mut picker = picker(0, 44, &members);
     let shares: Vec<f64> = (0..5)
-        .map(|part| spread(&mut picker, GAP * 1_000 * part, 1_000, |_| USUAL))
+        .map(|part| send(&mut picker, INTERVAL * 1_000 * part, 1_000, |_| LATENCY))
         .map(|counts| share(&counts, "u03"))
         .collect();
     assert!(shares[0] < 0.05, "{shares:?}");
@@ -123,8 +122,8 @@
     assert!(shares[4] > 0.08, "{shares:?}");
 }
 
-/// A request tried at two upstreams goes to a third, and to nobody when it has
-/// been everywhere: admission tells the caller that it was not run.
+/// A request tried at two upstreams must go to the third. Tried at all of them, it must get none,
+/// so that admission can tell the caller that it was not run.
 #[test]
 fn pick_avoid() {
     let mut picker = picker(0, 44, &ready(3));
@@ -133,20 +132,20 @@
         let pick = picker.pick(Moment::ZERO, &Request { avoid: &avoid, is_long: false });
         let pick = pick.expect("the third upstream");
         assert_eq!(pick.upstream, name(1));
-        picker.finish(Moment::ZERO, pick.ticket, finish(Kind::Success, USUAL));
+        picker.finish(Moment::ZERO, pick.ticket, finish(Kind::Success, LATENCY));
     }
     let avoid = [name(0).into(), name(1).into(), name(2).into()];
     assert_eq!(picker.pick(Moment::ZERO, &Request { avoid: &avoid, is_long: false }), None);
 }
 
-/// Uploads take as long as the caller's line lets them. They must count as in
-/// flight, and never as an upstream that doesn't answer.
+/// An upload lasts as long as the caller's connection needs. It must count as in flight, but not
+/// as overdue.
 #[test]
-fn overdue_long_jobs() {
+fn overdue_long_request() {
     let mut picker = picker(0, 44, &ready(1));
     let lookup = picker.pick(Moment::ZERO, &Request::default()).expect("an idle upstream");
-    picker.finish(USUAL, lookup.ticket, finish(Kind::Success, USUAL));
-    let upload = picker.pick(USUAL, &Request { avoid: &[], is_long: true }).expect("room");
+    picker.finish(LATENCY, lookup.ticket, finish(Kind::Success, LATENCY));
+    let upload = picker.pick(LATENCY, &Request { avoid: &[], is_long: true }).expect("room");
     let late = Duration::from_secs(9);
     assert_eq!(picker.overdue(late), []);
     assert_eq!(picker.in_flight("u00"), 1);
--- a/tests/suite/balance/subset.rs
+++ b/tests/suite/balance/subset.rs
@@ -9,7 +9,7 @@
 use super::picker;
 use super::ready;
 
-/// Holds some upstreams ejected.
+/// Reports the given upstreams as ejected.
 struct Ejected(Vec<usize>);
 
 impl Health for Ejected {
@@ -19,9 +19,9 @@
     }
 }
 
-/// Each upstream accepts 400 connections from all entries together; beyond that
-/// it refuses them, and callers of the unlucky entries see failures. Whatever
-/// the fleet's size, the caps of all entries must add up to no more.
+/// Each upstream accepts 400 connections from all entries together and refuses more, so that
+/// callers of some entries would see failures. The caps of all entries must not add up to more
+/// for any fleet size.
 #[rstest]
 fn connections_of_fleet(#[values(44, 520)] entries: usize, #[values(8, 30, 56)] upstreams: usize) {
     let mut sums: BTreeMap<String, u32> = BTreeMap::new();
@@ -35,8 +35,8 @@
     assert!(sums.values().all(|sum| *sum <= 400), "{sums:?}");
 }
 
-/// A failure domain goes down at once. An entry whose upstreams were all there
-/// would refuse every caller, so each subset spans all domains.
+/// A whole failure domain fails. An entry with all its upstreams there would refuse every caller,
+/// so each subset must span all domains.
 #[rstest]
 fn subset_spans_domains(#[values(44, 520)] entries: usize, #[values(8, 30)] upstreams: usize) {
     for entry in 0..entries {
@@ -50,8 +50,8 @@
     }
 }
 
-/// An upstream leaves. If entries hashed anew, all would open connections to
-/// other upstreams at once; only those that used it may change, by one each.
+/// An upstream leaves. If entries hashed anew, all would open connections to other upstreams at
+/// once. Only those that used it may change their subset, by one upstream.
 #[test]
 fn subset_after_leave() {
     for entry in 0..44 {
@@ -66,9 +66,8 @@
     }
 }
 
-/// Health ejects most of what an entry uses, and the floor holds over the whole
-/// service. The entry must take others instead, or it refuses callers while
-/// there is capacity.
+/// Health ejects most of an entry's subset, as the floor holds over the whole service. The entry
+/// must use others instead of refusing callers while there is capacity.
 #[test]
 fn subset_after_ejections() {
     let mut picker = picker(1, 520, &ready(30));
@@ -80,14 +79,14 @@
     assert_eq!(picker.subset().collect::<Vec<_>>(), [&name(0)]);
 }
 
-/// A draining upstream gets no new work, and its place goes to another.
+/// A draining upstream must get no new requests, and another one takes its place.
 #[test]
 fn subset_without_draining() {
     let mut members = ready(30);
     let mut picker = picker(1, 44, &members);
     let size = picker.subset().count();
-    for (position, draining) in members.iter_mut().enumerate().take(10) {
-        *draining = member(position, hemlockfield::balance::State::Draining);
+    for (position, announced) in members.iter_mut().enumerate().take(10) {
+        *announced = member(position, hemlockfield::balance::State::Draining);
     }
     picker.set_members(&members);
     assert_eq!(picker.subset().count(), size);
