--- a/src/balance/load.rs
+++ b/src/balance/load.rs
@@ -186,6 +186,7 @@
         self.is_suspect = is_suspect;
     }
 
+    /// Sets the share that health allows; returns whether it came to or from zero.
     pub(crate) fn set_health(&mut self, weight: f64) -> bool {
         let was_usable = self.health > 0.0;
         self.health = weight;
