--- /dev/null
+++ b/src/exchange/connection.rs
@@ -0,0 +1,311 @@
+//! A client connection to an upstream or another HTTP server.
+
+use std::io;
+use std::net::SocketAddr;
+use std::time::Duration;
+use std::time::Instant;
+
+use async_std::future::timeout;
+use async_std::net::TcpStream;
+use bytes::Bytes;
+use futures::FutureExt;
+use futures::pin_mut;
+use futures::select;
+use http::HeaderName;
+use http::HeaderValue;
+use http::Method;
+
+use super::Answer;
+use super::Body;
+use super::BodyError;
+use super::BodyReader;
+use super::Failure;
+use super::Framing;
+use super::Request;
+use super::Response;
+use super::Socket;
+use super::answer::Completion;
+use super::clean_response;
+use super::head;
+use super::response_writer::encode_chunk;
+
+/// Largest head of an answer, in bytes.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Shortest idle time after which an upstream may have closed a connection for being idle:
+/// upstreams keep idle connections open for several seconds.
+const MIN_UPSTREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Largest body of an answer that is received completely before it is forwarded, in bytes. If
+/// such an answer is cut, the attempt fails visibly and an idempotent request can be retried.
+const MAX_BUFFERED_BYTES: u64 = 64 * 1024;
+
+/// Timeouts of one attempt at an upstream.
+#[derive(Clone, Copy, Debug)]
+pub struct Timeouts {
+    /// For opening the connection.
+    pub connect: Duration,
+    /// From sending the last byte of the request to receiving the head of the answer.
+    pub first_byte: Duration,
+    /// Between two reads of the answer's body.
+    pub idle: Duration,
+}
+
+/// An open connection, which carries one request at a time.
+#[derive(Debug)]
+pub struct Connection {
+    opened_at: Instant,
+    idle_limit: Option<Duration>,
+    /// How long it was idle in the pool before this use.
+    idle_before_use: Duration,
+    socket: Socket,
+    request_count: u32,
+}
+
+impl Connection {
+    /// Opens a connection.
+    ///
+    /// # Errors
+    ///
+    /// If the connection is refused or not open within `limit`; nothing was sent then.
+    pub async fn connect(address: SocketAddr, limit: Duration) -> Result<Self, Failure> {
+        let stream = match timeout(limit, TcpStream::connect(address)).await {
+            Ok(Ok(stream)) => stream,
+            Ok(Err(error)) => return Err(Failure::Connect(error.to_string())),
+            Err(_) => return Err(Failure::Connect(format!("no answer within {limit:?}"))),
+        };
+        stream.set_nodelay(true).ok();
+        Ok(Self {
+            opened_at: Instant::now(),
+            idle_limit: None,
+            idle_before_use: Duration::ZERO,
+            socket: Socket::new(stream),
+            request_count: 0,
+        })
+    }
+
+    /// Time at which it was opened.
+    pub fn opened_at(&self) -> Instant {
+        self.opened_at
+    }
+
+    /// How long the upstream keeps it open while idle, if its last answer said so.
+    pub fn idle_limit(&self) -> Option<Duration> {
+        self.idle_limit
+    }
+
+    /// Records how long it was idle before it was taken from the pool.
+    pub(super) fn with_idle_time(mut self, idle: Duration) -> Self {
+        self.idle_before_use = idle;
+        self
+    }
+
+    /// Whether it has carried a request.
+    pub fn is_used(&self) -> bool {
+        self.request_count > 0
+    }
+
+    /// Whether it is open and no unexpected bytes have arrived on it.
+    pub async fn is_idle(&self) -> bool {
+        self.socket.is_idle().await
+    }
+
+    /// Closes it, which cancels a request that is running on it.
+    pub fn close(&self) {
+        self.socket.close();
+    }
+
+    pub(super) fn has_buffered(&self) -> bool {
+        self.socket.has_buffered()
+    }
+
+    /// Sends a request and receives the answer: a small body completely, a large one as a
+    /// stream. Dropping the future closes the connection, which cancels the request.
+    ///
+    /// # Errors
+    ///
+    /// If no answer arrives, it can't be parsed, or it is cut before its body is streamed.
+    pub async fn send(mut self, request: Request, timeouts: Timeouts) -> Result<Answer, Failure> {
+        let reused = self.request_count > 0 && self.idle_before_use >= MIN_UPSTREAM_IDLE_TIMEOUT;
+        self.request_count += 1;
+        let method = request.method.clone();
+        let guard = Guard(Some(self.socket.clone()));
+        let (response, sent) = self.send_and_read_head(request, timeouts, reused).await?;
+        self.idle_limit = head::idle_limit(&response.headers);
+        let (response, completion) = self.read_body(response, &method, timeouts).await?;
+        guard.disarm();
+        Ok(Answer { completion, connection: self, response, sent })
+    }
+
+    /// Returns the head of the answer, and whether the whole request was sent before it arrived.
+    async fn send_and_read_head(
+        &self,
+        request: Request,
+        timeouts: Timeouts,
+        reused: bool,
+    ) -> Result<(Response, bool), Failure> {
+        let echo = request.expected_echo();
+        let send = self.write_request(request).fuse();
+        let receive = self.read_head(echo.as_ref(), timeouts, reused).fuse();
+        pin_mut!(send, receive);
+        let sent = select! {
+            sent = send => sent,
+            head = receive => return head.map(|head| (head, false)),
+        };
+        match sent {
+            Ok(()) => (),
+            Err(SendError::Body(error)) => return Err(Failure::Upload(error.to_string())),
+            // An upstream may answer and close before it has read the whole request.
+            Err(SendError::Io(error)) => {
+                tracing::debug!(target: "hemlockfield::exchange", "can't send the rest: {error}");
+                let response = receive.await?;
+                // The failed write has consumed the socket's reset error, so that reads now end
+                // as after a regular close. For an answer that ends by close, a truncated body
+                // would be taken for a complete one.
+                if head::response_framing(&response)? == Framing::Close {
+                    return Err(Failure::Cut(error.to_string()));
+                }
+                return Ok((response, false));
+            }
+        }
+        match timeout(timeouts.first_byte, receive).await {
+            Ok(head) => head.map(|head| (head, true)),
+            Err(_) => Err(Failure::Silent(timeouts.first_byte)),
+        }
+    }
+
+    async fn write_request(&self, request: Request) -> Result<(), SendError> {
+        let mut bytes = request.encode();
+        let chunked = request.body.len().is_none();
+        match request.body {
+            Body::Empty => (),
+            Body::Buffered(body) => bytes.extend_from_slice(&body),
+            Body::Stream(mut reader) => {
+                self.socket.write(&bytes).await?;
+                while let Some(data) = reader.next().await? {
+                    if chunked {
+                        self.socket.write(&encode_chunk(&data)).await?;
+                    } else {
+                        self.socket.write(&data).await?;
+                    }
+                }
+                bytes = if chunked { b"0\r\n\r\n".to_vec() } else { Vec::new() };
+            }
+        }
+        Ok(self.socket.write(&bytes).await?)
+    }
+
+    /// Reads the head of the final answer to this request. Interim answers (1xx) and late
+    /// answers to other requests are skipped.
+    async fn read_head(
+        &self,
+        echo: Option<&(HeaderName, HeaderValue)>,
+        timeouts: Timeouts,
+        reused: bool,
+    ) -> Result<Response, Failure> {
+        loop {
+            let bytes = self.socket.read_head(MAX_HEAD_BYTES).await;
+            let bytes = bytes.map_err(|error| Failure::Malformed(error.to_string()))?;
+            let response = Response::parse(&bytes.ok_or(Failure::Closed { reused })?)?;
+            let is_foreign = echo.is_some_and(|(name, value)| {
+                response.headers.get(name).is_some_and(|echoed| echoed != value)
+            });
+            if is_foreign {
+                self.skip_response(&response, timeouts).await?;
+            } else if response.status >= 200 {
+                return Ok(response);
+            }
+        }
+    }
+
+    /// Reads and discards the body of a late answer to another request.
+    async fn skip_response(&self, response: &Response, timeouts: Timeouts) -> Result<(), Failure> {
+        let framing = head::response_framing(response)?;
+        if framing == Framing::Close {
+            return Err(Failure::Malformed(
+                "it belongs to another request and has no length".to_owned(),
+            ));
+        }
+        let mut reader = BodyReader::new(self.socket.clone(), framing, u64::MAX, timeouts.idle);
+        reader.read_all().await.map(drop).map_err(|error| Failure::Cut(error.to_string()))
+    }
+
+    /// Reads a small body completely and leaves a large one as a stream.
+    async fn read_body(
+        &self,
+        mut response: Response,
+        method: &Method,
+        timeouts: Timeouts,
+    ) -> Result<(Response, Completion), Failure> {
+        let keep_alive = !head::says_close(&response.headers);
+        let framing = head::response_framing(&response)?;
+        let bodiless = *method == Method::HEAD || matches!(response.status, 204 | 304);
+        clean_response(&mut response);
+        let framing = if bodiless { Framing::Length(0) } else { framing };
+        let mut reader = BodyReader::new(self.socket.clone(), framing, u64::MAX, timeouts.idle);
+        let completion = Completion::new(&reader, keep_alive && framing != Framing::Close);
+        match framing {
+            Framing::Length(length) if length <= MAX_BUFFERED_BYTES => {
+                let body = reader.read_all().await;
+                response.body =
+                    Body::Buffered(body.map_err(|error| Failure::Cut(error.to_string()))?);
+            }
+            Framing::Close => response.body = self.read_until_close(reader).await?,
+            Framing::Chunked | Framing::Length(_) => {
+                response.body = Body::Stream(Box::new(reader));
+            }
+        }
+        Ok((response, completion))
+    }
+
+    /// Reads a body that ends with its connection. It is buffered if it is small enough, so that
+    /// it can be forwarded with its length.
+    async fn read_until_close(&self, mut reader: BodyReader) -> Result<Body, Failure> {
+        let mut buffered = Vec::new();
+        loop {
+            let bytes = reader.next().await.map_err(|error| Failure::Cut(error.to_string()))?;
+            let Some(bytes) = bytes else { return Ok(buffered.into()) };
+            buffered.extend_from_slice(&bytes);
+            if buffered.len() as u64 > MAX_BUFFERED_BYTES {
+                reader.push_back(Bytes::from(buffered));
+                return Ok(Body::Stream(Box::new(reader)));
+            }
+        }
+    }
+}
+
+/// Why a request could not be sent.
+enum SendError {
+    /// Its body could not be read from the caller.
+    Body(BodyError),
+    /// Writing to the upstream failed.
+    Io(io::Error),
+}
+
+impl From<BodyError> for SendError {
+    fn from(error: BodyError) -> Self {
+        Self::Body(error)
+    }
+}
+
+impl From<io::Error> for SendError {
+    fn from(error: io::Error) -> Self {
+        Self::Io(error)
+    }
+}
+
+/// Closes the connection on drop unless disarmed: without that, the upstream would continue to
+/// work on a request whose answer nobody waits for.
+struct Guard(Option<Socket>);
+
+impl Guard {
+    fn disarm(mut self) {
+        self.0 = None;
+    }
+}
+
+impl Drop for Guard {
+    fn drop(&mut self) {
+        if let Some(socket) = &self.0 {
+            socket.close();
+        }
+    }
+}
