--- a/src/breaker/cause.rs
+++ b/src/breaker/cause.rs
@@ -1,19 +1,19 @@
-//! What took an upstream out.
+//! Why an upstream was taken out.
 
-use super::Tally;
+use super::Counts;
 
-/// What took an upstream out.
+/// Why an upstream was taken out.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Cause {
-    /// A broken answer.
+    /// A truncated or corrupted answer.
     Broken,
-    /// Errors of its own.
+    /// Error answers of the upstream itself.
     Failed,
-    /// A request that got no answer in its time.
+    /// A request that timed out.
     Hung,
-    /// Several requests that still wait, longer than usual.
+    /// Several pending requests that wait for longer than usual.
     Late,
-    /// A request that still waits, far longer than usual.
+    /// A pending request that waits for far longer than usual.
     Overdue,
     /// Connections that could not be opened.
     Unreached,
@@ -32,15 +32,15 @@
         }
     }
 
-    /// What speaks most against an upstream of which this was received.
-    pub(super) fn of(tally: &Tally) -> Self {
-        match tally {
-            tally if tally.broken > 0 => Self::Broken,
-            tally if tally.hung > tally.overdue => Self::Hung,
-            tally if tally.failed > 0 => Self::Failed,
-            tally if tally.unreached > 0 => Self::Unreached,
-            tally if tally.overdue > 0 => Self::Overdue,
-            tally if tally.late > 0 => Self::Late,
+    /// The strongest evidence of a fault in these counts.
+    pub(super) fn from_counts(counts: &Counts) -> Self {
+        match counts {
+            counts if counts.broken > 0 => Self::Broken,
+            counts if counts.hung > counts.overdue => Self::Hung,
+            counts if counts.failed > 0 => Self::Failed,
+            counts if counts.unreached > 0 => Self::Unreached,
+            counts if counts.overdue > 0 => Self::Overdue,
+            counts if counts.late > 0 => Self::Late,
             _ => Self::Failed,
         }
     }
--- a/src/cli/client.rs
+++ b/src/cli/client.rs
@@ -7,9 +7,9 @@
 use http::Method;
 use http::header;
 
-use crate::exchange::Leg;
-use crate::exchange::Limits;
+use crate::exchange::Connection;
 use crate::exchange::Request;
+use crate::exchange::Timeouts;
 
 use super::Error;
 
@@ -36,9 +36,11 @@
         request.body = body.into();
     }
     let asked = async {
-        let limits = Limits { connect: PATIENCE, first_byte: PATIENCE, idle: PATIENCE };
-        let leg = Leg::dial(address, PATIENCE).await.map_err(|failure| failure.to_string())?;
-        let answer = leg.ask(request, limits).await.map_err(|failure| failure.to_string())?;
+        let timeouts = Timeouts { connect: PATIENCE, first_byte: PATIENCE, idle: PATIENCE };
+        let connection =
+            Connection::connect(address, PATIENCE).await.map_err(|failure| failure.to_string())?;
+        let answer =
+            connection.send(request, timeouts).await.map_err(|failure| failure.to_string())?;
         let mut response = answer.response;
         let body = response.body_text().await.map_err(|error| error.to_string())?;
         Ok(Answer { body, status: response.status })
--- a/src/rule.rs
+++ b/src/rule.rs
@@ -1,23 +1,23 @@
-//! Ordered rules: conditions, actions and the first match.
+//! Ordered routing rules with conditions and actions; the first rule that matches decides.
 //!
 //! Operators submit one YAML document with services, classes, teams and rules.
-//! [`Rules::parse`] checks it whole; [`Rules::decide`] finds the first rule
-//! that holds for a request. A plain scan over 4,200 rules would cost every
-//! request tens of microseconds, so an [`Index`] by host, path and team leaves
-//! a handful of candidates, and gives exactly what the scan gives.
+//! [`Rules::parse`] validates it as a whole; [`Rules::decide`] finds the first rule that
+//! matches a request. A linear scan over 4,200 rules would cost every request tens of
+//! microseconds. An [`Index`] by host, path and team reduces that to a few candidates with
+//! the same result as the scan.
 
 mod action;
 mod class;
 mod condition;
+mod criterion;
 mod error;
 mod explanation;
 mod headers;
 mod index;
 mod limits;
-mod part;
+mod not_run_signal;
 mod pattern;
 mod probe;
-mod refusal;
 mod request;
 #[allow(clippy::module_inception)]
 mod rule;
@@ -31,25 +31,25 @@
 pub use action::Action;
 pub use class::Class;
 pub use condition::Condition;
+pub use criterion::Criterion;
 pub use error::Error;
 pub use explanation::Explanation;
-pub use explanation::Passed;
+pub use explanation::Skipped;
 pub use headers::Headers;
 pub use index::Index;
 pub use limits::Limits;
-pub use part::Part;
+pub use not_run_signal::NotRunSignal;
 pub use pattern::Host;
 pub use pattern::Path;
 pub use probe::Probe;
-pub use refusal::Refusal;
 pub use request::Request;
 pub use rule::Rule;
 pub use rules::Rules;
 pub use service::Service;
 pub use split::Portion;
 pub use split::Split;
-pub use state::Calm;
+pub use state::AllHealthy;
 pub use state::ServiceState;
-pub use state::State;
-pub use terms::ATTEMPTS;
+pub use state::StateSource;
+pub use terms::DEFAULT_ATTEMPTS;
 pub use terms::Terms;
--- a/src/rule/part.rs
+++ b/src/rule/criterion.rs
@@ -1,25 +1,25 @@
 use std::fmt;
 
-/// Part of a condition, as an explanation names it.
+/// Criterion of a condition; the names in explanations are those of the document's fields.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum Part {
-    /// Who sent the request.
+pub enum Criterion {
+    /// Name of the caller.
     Caller,
-    /// A header's presence or value.
+    /// Presence or value of a header.
     Header,
-    /// The host.
+    /// Host.
     Host,
-    /// The method.
+    /// Method.
     Method,
-    /// The path.
+    /// Path.
     Path,
-    /// The state of a service.
+    /// State of a service.
     ServiceState,
-    /// The team of the caller.
+    /// Team of the caller.
     Team,
 }
 
-impl fmt::Display for Part {
+impl fmt::Display for Criterion {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         formatter.write_str(match self {
             Self::Caller => "caller",
--- a/src/rule/explanation.rs
+++ b/src/rule/explanation.rs
@@ -1,33 +1,33 @@
 use std::fmt;
 
 use super::Action;
-use super::Part;
+use super::Criterion;
 use super::Request;
 use super::Rule;
-use super::State;
+use super::StateSource;
 use crate::id::TeamId;
 
-/// A rule that did not hold.
+/// A rule that did not match.
 #[derive(Clone, Debug)]
-pub struct Passed<'a> {
-    /// The part that failed.
-    pub part: Part,
-    /// The rule.
+pub struct Skipped<'a> {
+    /// First criterion that did not match.
+    pub criterion: Criterion,
+    /// Rule that was skipped.
     pub rule: &'a Rule,
 }
 
-/// Which rule decides a request, and why those before it did not.
+/// Which rule decides a request, and why the earlier ones did not match.
 #[derive(Clone, Debug)]
 pub struct Explanation<'a> {
-    /// The rule that decides; `None` when no rule holds.
+    /// Rule that decides; `None` if no rule matches.
     pub decides: Option<&'a Rule>,
-    /// How many earlier rules are for another host or path.
-    pub elsewhere: usize,
-    /// Whether it is refused for want of an API key.
+    /// Number of earlier rules for another host or path.
+    pub skipped_by_location: usize,
+    /// Whether the request is refused because it has no valid API key.
     pub needs_key: bool,
-    /// Earlier rules for this host and path, with the part that failed.
-    pub passed: Vec<Passed<'a>>,
-    /// Team of the caller.
+    /// Earlier rules for this host and path that did not match.
+    pub skipped: Vec<Skipped<'a>>,
+    /// Team of the caller, if known.
     pub team: Option<TeamId>,
 }
 
@@ -36,27 +36,27 @@
         rules: &'a [Rule],
         request: &Request,
         team: Option<&TeamId>,
-        state: &dyn State,
+        state: &dyn StateSource,
     ) -> Self {
         let team_name = team.cloned();
-        let mut found = Self {
+        let mut explanation = Self {
             decides: None,
-            elsewhere: 0,
+            skipped_by_location: 0,
             needs_key: false,
-            passed: Vec::new(),
+            skipped: Vec::new(),
             team: team_name,
         };
         for rule in rules {
-            match rule.when.failing(request, team, state) {
+            match rule.when.first_mismatch(request, team, state) {
                 None => {
-                    found.decides = Some(rule);
+                    explanation.decides = Some(rule);
                     break;
                 }
-                Some(Part::Host | Part::Path) => found.elsewhere += 1,
-                Some(part) => found.passed.push(Passed { part, rule }),
+                Some(Criterion::Host | Criterion::Path) => explanation.skipped_by_location += 1,
+                Some(criterion) => explanation.skipped.push(Skipped { criterion, rule }),
             }
         }
-        found
+        explanation
     }
 }
 
@@ -65,20 +65,27 @@
         if let Some(team) = &self.team {
             writeln!(formatter, "caller is in team `{team}`")?;
         }
-        if self.elsewhere > 0 {
-            writeln!(formatter, "{} earlier rules are for another host or path", self.elsewhere)?;
+        if self.skipped_by_location > 0 {
+            writeln!(
+                formatter,
+                "{} earlier rules are for another host or path",
+                self.skipped_by_location
+            )?;
         }
-        for Passed { part, rule } in &self.passed {
-            let wanted = rule.when.wanted(*part);
+        for Skipped { criterion, rule } in &self.skipped {
+            let expected = rule.when.accepted_values(*criterion);
             let place = format!("line {}: `{}`", rule.line, rule.name);
-            writeln!(formatter, "{place} passed over: `{part}` fails, it wants {wanted}")?;
+            writeln!(
+                formatter,
+                "{place} skipped: `{criterion}` does not match, expected {expected}"
+            )?;
         }
         if self.needs_key {
-            let text = "teams have API keys; without a known one the request is refused with 401";
+            let text = "teams have API keys; without a valid one the request is refused with 401";
             return write!(formatter, "{text}, not run");
         }
         let Some(rule) = self.decides else {
-            return write!(formatter, "no rule holds; the request is refused with 404, not run");
+            return write!(formatter, "no rule matches; the request is refused with 404, not run");
         };
         write!(formatter, "line {}: `{}` decides: ", rule.line, rule.name)?;
         match &rule.then {
