--- /dev/null
+++ b/src/balance/health.rs
@@ -0,0 +1,18 @@
+use crate::health::Monitor;
+
+/// Health of upstreams as the balancer needs it.
+pub trait Health {
+    /// Whether an upstream gets requests only where no other has room.
+    fn is_suspect(&self, _upstream: &str) -> bool {
+        false
+    }
+
+    /// Share of its usual load that an upstream should get; zero if ejected.
+    fn weight(&self, upstream: &str) -> f64;
+}
+
+impl Health for Monitor {
+    fn weight(&self, upstream: &str) -> f64 {
+        Monitor::weight(self, upstream)
+    }
+}
--- a/src/bench/balance.rs
+++ b/src/bench/balance.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::balance::Ask;
-use crate::balance::Finish;
+use crate::balance::Completion;
+use crate::balance::Request;
 use crate::balance::Setup;
 use crate::bench::health::judged;
 use crate::health::Kind;
@@ -32,9 +32,9 @@
     ("two choices", Way::Simple(Rule::TwoChoices)),
     ("picker", Way::Picker(|_| {})),
     ("picker, reports", Way::Picker(|setup| setup.uses_reports = true)),
-    ("picker, no near", Way::Picker(|setup| setup.remote = 1.0)),
-    ("picker, most 32", Way::Picker(|setup| setup.most = 32)),
-    ("picker, most 6", Way::Picker(|setup| setup.most = 6)),
+    ("picker, no near", Way::Picker(|setup| setup.remote_cost = 1.0)),
+    ("picker, most 32", Way::Picker(|setup| setup.subset_max = 32)),
+    ("picker, most 6", Way::Picker(|setup| setup.subset_max = 6)),
 ];
 
 /// Length of each run.
@@ -115,8 +115,12 @@
     let started = Instant::now();
     for pick in 0..PICKS {
         let now = Duration::from_micros(u64::from(pick));
-        if let Some(pick) = picker.pick(now, &Ask::default()) {
-            picker.finish(now, pick.ticket, Finish { kind: Kind::Success, latency, report: None });
+        if let Some(pick) = picker.pick(now, &Request::default()) {
+            picker.finish(
+                now,
+                pick.ticket,
+                Completion { kind: Kind::Success, latency, report: None },
+            );
         }
     }
     let each = started.elapsed() / PICKS;
--- a/src/node/attached/breakers.rs
+++ b/src/node/attached/breakers.rs
@@ -7,11 +7,11 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::breaker::Blame;
 use crate::breaker::Cause;
-use crate::breaker::Panel;
+use crate::breaker::Counts;
+use crate::breaker::Group;
+use crate::breaker::LocalFault;
 use crate::breaker::State;
-use crate::breaker::Tally;
 use crate::clock::Moment;
 use crate::id::ServiceId;
 use crate::id::UpstreamId;
@@ -26,10 +26,10 @@
 /// Breakers of all services at one entry.
 #[derive(Debug)]
 pub(super) struct Breakers {
-    blame: Blame,
+    local_fault: LocalFault,
     looked_at: Moment,
     overdue: Overdue,
-    panels: BTreeMap<ServiceId, Panel>,
+    groups: BTreeMap<ServiceId, Group>,
     random: ChaCha8Rng,
 }
 
@@ -55,22 +55,22 @@
 impl Breakers {
     pub(super) fn new(now: Moment, random: ChaCha8Rng) -> Self {
         Self {
-            blame: Blame::default(),
+            local_fault: LocalFault::default(),
             looked_at: now,
             overdue: Overdue::default(),
-            panels: BTreeMap::new(),
+            groups: BTreeMap::new(),
             random,
         }
     }
 
     /// Breakers of one service.
-    pub(super) fn get(&self, service: &ServiceId) -> Option<&Panel> {
-        self.panels.get(service)
+    pub(super) fn get(&self, service: &ServiceId) -> Option<&Group> {
+        self.groups.get(service)
     }
 
     /// When they want to be looked at.
     pub(super) fn wake(&self) -> Option<Moment> {
-        let next = self.panels.values().filter_map(Panel::wake).min();
+        let next = self.groups.values().filter_map(Group::wake).min();
         next.map(|at| at.max(self.looked_at + LOOK))
     }
 
@@ -81,8 +81,8 @@
         }
         self.looked_at = now;
         let mut changed = false;
-        for panel in self.panels.values_mut() {
-            changed |= panel.tick(now);
+        for group in self.groups.values_mut() {
+            changed |= group.tick(now);
         }
         changed
     }
@@ -96,14 +96,14 @@
         floor: f64,
     ) {
         let random = &mut self.random;
-        let fresh = || Panel::new(floor, ChaCha8Rng::seed_from_u64(random.next_u64()));
-        let panel = self.panels.entry(service.clone()).or_insert_with(fresh);
-        panel.join(upstream, slots);
+        let fresh = || Group::new(floor, ChaCha8Rng::seed_from_u64(random.next_u64()));
+        let group = self.groups.entry(service.clone()).or_insert_with(fresh);
+        group.join(upstream, slots);
     }
 
     /// An upstream takes no more work.
     pub(super) fn leave(&mut self, upstream: &UpstreamId) {
-        self.panels.values_mut().for_each(|panel| panel.leave(upstream));
+        self.groups.values_mut().for_each(|group| group.leave(upstream));
     }
 
     /// An upstream is gone, with all that is known of it.
@@ -114,12 +114,12 @@
 
     /// Sets how many entries share the trials.
     pub(super) fn set_entries(&mut self, entries: usize) {
-        self.panels.values_mut().for_each(|panel| panel.set_entries(entries));
+        self.groups.values_mut().for_each(|group| group.set_entries(entries));
     }
 
     /// Sets the share of each service's slots that stay in use.
     pub(super) fn set_floors(&mut self, floor: impl Fn(&ServiceId) -> f64) {
-        self.panels.iter_mut().for_each(|(service, panel)| panel.set_floor(floor(service)));
+        self.groups.iter_mut().for_each(|(service, group)| group.set_floor(floor(service)));
     }
 
     /// Takes what a caller received here; `None` where the service is not known.
@@ -128,25 +128,25 @@
         now: Moment,
         service: &ServiceId,
         upstream: &UpstreamId,
-        tally: &Tally,
+        counts: &Counts,
     ) -> Option<Noted> {
-        let panel = self.panels.get_mut(service)?;
-        let before = panel.state(upstream);
-        let serves_others = panel.serves_others(now, upstream);
-        let changed = panel.note_own(now, upstream, tally);
-        let cleared = u32::from(changed && panel.was_cleared(upstream));
-        if tally.lost() > 0 && serves_others {
-            self.blame.note(now, upstream);
+        let group = self.groups.get_mut(service)?;
+        let before = group.state(upstream);
+        let serves_others = group.serves_others(now, upstream);
+        let changed = group.record_own(now, upstream, counts);
+        let cleared = u32::from(changed && group.was_cleared(upstream));
+        if counts.lost() > 0 && serves_others {
+            self.local_fault.record(now, upstream);
         }
-        let is_evidence = !self.blame.is_own(now);
+        let is_evidence = !self.local_fault.is_likely(now);
         Some(Noted {
-            alarmed: panel.is_alarmed(),
+            alarmed: group.has_recurring_errors(),
             before,
-            cause: panel.cause(upstream),
+            cause: group.cause(upstream),
             changed,
             cleared,
             is_evidence,
-            state: panel.state(upstream),
+            state: group.state(upstream),
         })
     }
 
@@ -156,10 +156,10 @@
         now: Moment,
         service: &ServiceId,
         upstream: &UpstreamId,
-        tally: &Tally,
+        counts: &Counts,
     ) -> bool {
-        let panel = self.panels.get_mut(service);
-        panel.is_some_and(|panel| panel.note(now, upstream, tally))
+        let group = self.groups.get_mut(service);
+        group.is_some_and(|group| group.record(now, upstream, counts))
     }
 
     /// Requests of these `ages` that wait far longer than usual, each counted once.
@@ -168,8 +168,8 @@
         service: &ServiceId,
         upstream: &UpstreamId,
         ages: &[Duration],
-    ) -> Tally {
-        let usual = self.panels.get(service).and_then(Panel::usual).unwrap_or_default();
+    ) -> Counts {
+        let usual = self.groups.get(service).and_then(Group::median_latency).unwrap_or_default();
         self.overdue.count(upstream, usual, ages)
     }
 }
--- a/src/node/view.rs
+++ b/src/node/view.rs
@@ -132,13 +132,13 @@
     }
 }
 
-impl rule::State for View {
+impl rule::StateSource for View {
     fn state(&self, service: &str) -> ServiceState {
         self.services.get(service).map_or(ServiceState::Down, |service| service.state)
     }
 }
 
-impl balance::Verdicts for Service {
+impl balance::Health for Service {
     fn is_suspect(&self, upstream: &str) -> bool {
         self.suspects.contains(upstream)
     }
