--- a/src/demo/baseline.rs
+++ b/src/demo/baseline.rs
@@ -9,14 +9,14 @@
 use async_std::task;
 use async_std::task::JoinHandle;
 
-use crate::exchange::Inlet;
-use crate::exchange::Leg;
-use crate::exchange::Limits;
+use crate::exchange::Connection;
 use crate::exchange::Outcome;
-use crate::exchange::Outlet;
 use crate::exchange::Payload;
 use crate::exchange::Request;
+use crate::exchange::RequestReader;
 use crate::exchange::Response;
+use crate::exchange::ResponseWriter;
+use crate::exchange::Timeouts;
 use crate::exchange::clean_request;
 use crate::exchange::refuse;
 
@@ -60,25 +60,26 @@
     upstreams: Vec<SocketAddr>,
     turn: Arc<AtomicUsize>,
 ) {
-    let mut inlet = Inlet::new(stream, peer);
-    while let Some((request, mut outlet)) = inlet.next(PATIENCE).await {
+    let mut reader = RequestReader::new(stream, peer);
+    while let Some((request, mut writer)) = reader.next(PATIENCE).await {
         let at = turn.fetch_add(1, Ordering::Relaxed) % upstreams.len();
-        pass_on(request, &mut outlet, upstreams[at]).await;
-        if outlet.is_closing() {
+        pass_on(request, &mut writer, upstreams[at]).await;
+        if writer.is_closing() {
             return;
         }
     }
 }
 
-async fn pass_on(mut request: Request, outlet: &mut Outlet, upstream: SocketAddr) {
+async fn pass_on(mut request: Request, writer: &mut ResponseWriter, upstream: SocketAddr) {
     let Ok(mut payload) = Payload::take(&mut request, BODY_MAX, BODY_MAX, PATIENCE).await else {
-        outlet.close_after();
+        writer.close_after();
         return;
     };
     clean_request(&mut request);
     payload.put(&mut request);
-    let limits = Limits { connect: PATIENCE, first_byte: PATIENCE, idle: PATIENCE };
-    let answered = async { Leg::dial(upstream, PATIENCE).await?.ask(request, limits).await };
+    let timeouts = Timeouts { connect: PATIENCE, first_byte: PATIENCE, idle: PATIENCE };
+    let answered =
+        async { Connection::connect(upstream, PATIENCE).await?.send(request, timeouts).await };
     let response = match answered.await {
         Ok(answer) => {
             let mut answer = answer;
@@ -88,5 +89,5 @@
         }
         Err(failure) => refuse(502, Outcome::Unknown, &failure.to_string(), None),
     };
-    outlet.send(response).await.ok();
+    writer.send(response).await.ok();
 }
--- a/src/load/caller.rs
+++ b/src/load/caller.rs
@@ -12,12 +12,12 @@
 
 use crate::directory;
 use crate::exchange;
+use crate::exchange::Connection;
 use crate::exchange::Failure;
-use crate::exchange::Leg;
-use crate::exchange::Limits;
 use crate::exchange::Pool;
 use crate::exchange::Request;
 use crate::exchange::Response;
+use crate::exchange::Timeouts;
 use crate::upstream;
 
 use super::Kind;
@@ -89,14 +89,14 @@
     async fn send_once(&self, spec: &Spec<'_>) -> Reply {
         let Some(entry) = self.entry().await else { return no_reply() };
         let request = self.request(spec);
-        let limits = Limits {
+        let timeouts = Timeouts {
             connect: CONNECT_TIMEOUT,
             first_byte: spec.budget + ANSWER_GRACE,
             idle: spec.budget + ANSWER_GRACE,
         };
         let connection = match self.pool.take(entry, Duration::MAX).await {
             Some(connection) => connection,
-            None => match Leg::dial(entry, CONNECT_TIMEOUT).await {
+            None => match Connection::connect(entry, CONNECT_TIMEOUT).await {
                 Ok(connection) => connection,
                 Err(_) => {
                     self.client().failed(self.started.elapsed(), entry);
@@ -106,7 +106,7 @@
         };
         match timeout(
             spec.budget + ANSWER_GRACE,
-            self.exchange(connection, entry, request, limits, spec),
+            self.exchange(connection, entry, request, timeouts, spec),
         )
         .await
         {
@@ -120,13 +120,13 @@
 
     async fn exchange(
         &self,
-        connection: Leg,
+        connection: Connection,
         entry: SocketAddr,
         request: Request,
-        limits: Limits,
+        timeouts: Timeouts,
         spec: &Spec<'_>,
     ) -> Reply {
-        let mut answer = match connection.ask(request, limits).await {
+        let mut answer = match connection.send(request, timeouts).await {
             Ok(answer) => answer,
             Err(Failure::Cut(_)) => return Reply { after: Duration::ZERO, outcome: Outcome::Cut },
             Err(_) => {
@@ -161,7 +161,7 @@
         let name = HeaderName::from_static;
         request.set_header(header::HOST, &spec.kind.host);
         request.set_header(name(exchange::CALLER_HEADER), &self.name);
-        request.set_header(name(exchange::BUDGET_HEADER), budget);
+        request.set_header(name(exchange::TIMEOUT_HEADER), budget);
         request.set_header(name(upstream::IDENTITY_HEADER), &spec.identity);
         request.set_header(name(upstream::SIZE_HEADER), size);
         if spec.kind.keyed {
@@ -190,10 +190,13 @@
         let path = crate::node::DIRECTORY_PATH;
         let mut request = Request::new(Method::GET, &format!("{path}?caller={}", self.name));
         request.set_header(header::HOST, entry.to_string());
-        let limits =
-            Limits { connect: CONNECT_TIMEOUT, first_byte: CONNECT_TIMEOUT, idle: CONNECT_TIMEOUT };
-        let connection = Leg::dial(entry, CONNECT_TIMEOUT).await.ok()?;
-        let mut answer = connection.ask(request, limits).await.ok()?;
+        let timeouts = Timeouts {
+            connect: CONNECT_TIMEOUT,
+            first_byte: CONNECT_TIMEOUT,
+            idle: CONNECT_TIMEOUT,
+        };
+        let connection = Connection::connect(entry, CONNECT_TIMEOUT).await.ok()?;
+        let mut answer = connection.send(request, timeouts).await.ok()?;
         serde_json::from_str(&answer.response.body_text().await.ok()?).ok()
     }
 
--- a/src/node/attached/spoke.rs
+++ b/src/node/attached/spoke.rs
@@ -10,8 +10,8 @@
 
 use crate::balance;
 use crate::boundary::Boundary;
+use crate::breaker::Counts;
 use crate::breaker::State;
-use crate::breaker::Tally;
 use crate::clock::Moment;
 use crate::config::Standing;
 use crate::config::Version;
@@ -33,7 +33,7 @@
 use crate::node::view;
 use crate::registry;
 use crate::registry::Announcement;
-use crate::retry::Sharing;
+use crate::retry::Participants;
 use crate::rule::Rules;
 use crate::timeline::Kind;
 use crate::wire::Frame;
@@ -63,7 +63,7 @@
     named: Arc<Vec<directory::Entry>>,
     published: u64,
     rules: Option<Arc<Rules>>,
-    sharing: Sharing,
+    participants: Participants,
     standing: Standing,
     subscriber: Subscriber,
     upstreams: BTreeMap<UpstreamId, Known>,
@@ -104,7 +104,7 @@
             named: Arc::default(),
             published: 0,
             rules: None,
-            sharing: Sharing::new(setup.retry_window),
+            participants: Participants::new(setup.retry_window),
             standing: Standing::Starting,
             subscriber: Subscriber::new(now, me, setup.seeds.clone(), draw()),
             upstreams: BTreeMap::new(),
@@ -136,11 +136,17 @@
                 outputs.extend(to.map(|to| Output::Send(to, None, Frame::Feed(message))));
             }
             Input::Outcome(service, upstream, kind, latency) => {
-                self.note(now, service, upstream, &Tally::of(*kind, *latency), &mut outputs);
+                self.note(
+                    now,
+                    service,
+                    upstream,
+                    &Counts::from_outcome(*kind, *latency),
+                    &mut outputs,
+                );
             }
             Input::Tried { is_repeatable, kind, latency, service, upstream } => {
-                let tally = Tally::of_trial(*kind, *latency, *is_repeatable);
-                self.note(now, service, upstream, &tally, &mut outputs);
+                let counts = Counts::from_trial(*kind, *latency, *is_repeatable);
+                self.note(now, service, upstream, &counts, &mut outputs);
             }
             Input::Overdue(service, upstream, ages) => {
                 self.overdue(now, service, upstream, ages, &mut outputs);
@@ -188,11 +194,11 @@
     pub(super) fn upstreams(&self, _: Moment) -> BTreeMap<ServiceId, Vec<status::Upstream>> {
         let mut services: BTreeMap<ServiceId, Vec<status::Upstream>> = BTreeMap::new();
         for Known { said, .. } in self.upstreams.values() {
-            let panel = self.breakers.get(&said.service);
-            let verdict = match panel.map(|panel| panel.state(&said.upstream)) {
-                None | Some(State::Closed) => health::Verdict::Sound,
-                Some(State::Open { .. }) => health::Verdict::Ejected,
-                Some(State::Trial { .. }) => health::Verdict::Trial,
+            let group = self.breakers.get(&said.service);
+            let verdict = match group.map(|group| group.state(&said.upstream)) {
+                None | Some(State::Closed) => health::Status::Sound,
+                Some(State::Open { .. }) => health::Status::Ejected,
+                Some(State::HalfOpen { .. }) => health::Status::Trial,
             };
             services.entry(said.service.clone()).or_default().push(status::Upstream {
                 usable: said.state == registry::State::Ready,
@@ -239,7 +245,7 @@
     fn take(&mut self, now: Moment, news: News, outputs: &mut Vec<Output>) {
         self.entries = news.entries.max(1);
         if news.fresh {
-            self.sharing.tell(now, news.serving);
+            self.participants.update(now, news.serving);
         }
         self.breakers.set_entries(news.entries);
         if let Some(version) = news.configuration {
@@ -320,14 +326,14 @@
         now: Moment,
         service: &ServiceId,
         upstream: &UpstreamId,
-        tally: &Tally,
+        counts: &Counts,
         outputs: &mut Vec<Output>,
     ) {
-        let Some(noted) = self.breakers.note_own(now, service, upstream, tally) else { return };
+        let Some(noted) = self.breakers.note_own(now, service, upstream, counts) else { return };
         if noted.is_evidence {
-            let alarming = if noted.alarmed { tally.failed } else { 0 };
-            let tally = Tally { alarming, cleared: noted.cleared, ..*tally };
-            self.subscriber.note(now, upstream, &tally);
+            let alarming = if noted.alarmed { counts.failed } else { 0 };
+            let counts = Counts { alarming, cleared: noted.cleared, ..*counts };
+            self.subscriber.note(now, upstream, &counts);
         }
         if noted.changed {
             self.dirty = true;
@@ -338,10 +344,10 @@
 
     /// Takes what callers of other entries received.
     fn note_others(&mut self, now: Moment, tallies: &Tallies) {
-        for (upstream, tally) in &tallies.by_upstream {
+        for (upstream, counts) in &tallies.by_upstream {
             let Some(known) = self.upstreams.get(upstream) else { continue };
             let service = &known.said.service;
-            self.dirty |= self.breakers.note_others(now, service, upstream, tally);
+            self.dirty |= self.breakers.note_others(now, service, upstream, counts);
         }
     }
 
@@ -354,15 +360,15 @@
         ages: &[Duration],
         outputs: &mut Vec<Output>,
     ) {
-        let tally = self.breakers.count_overdue(service, upstream, ages);
-        if !tally.is_empty() {
-            self.note(now, service, upstream, &tally, outputs);
+        let counts = self.breakers.count_overdue(service, upstream, ages);
+        if !counts.is_empty() {
+            self.note(now, service, upstream, &counts, outputs);
         }
     }
 
     fn services(&self, now: Moment) -> BTreeMap<ServiceId, view::Service> {
         let mut services: BTreeMap<ServiceId, view::Service> = BTreeMap::new();
-        let sharing = self.sharing.entries(now);
+        let sharing = self.participants.count(now);
         let ready = |known: &&Known| known.said.state == registry::State::Ready;
         for known in self.upstreams.values().filter(ready) {
             let said = &known.said;
@@ -373,10 +379,10 @@
             service.members.push(self.member(now, known));
         }
         for (name, service) in &mut services {
-            let Some(panel) = self.breakers.get(name) else { continue };
-            service.weights = panel.weights().into_iter().collect();
-            service.trials = panel.trials();
-            service.suspects = panel.suspects();
+            let Some(group) = self.breakers.get(name) else { continue };
+            service.weights = group.weights().into_iter().collect();
+            service.trials = group.trials();
+            service.suspects = group.suspects();
             service.settle(!service.suspects.is_empty());
         }
         services
--- a/src/node/core.rs
+++ b/src/node/core.rs
@@ -100,7 +100,7 @@
     /// An upstream's own report: draining, where it told, and healthy.
     Probed(ServiceId, UpstreamId, Option<bool>, bool),
     /// This entry wants other parts of allowances.
-    Quota(u64, quota::Ask),
+    Quota(u64, quota::Demand),
     /// Somebody asks for the newest configuration.
     Read(u64),
     /// The seeds were exchanged.
@@ -266,7 +266,7 @@
             }
             Input::Quota(ticket, ask) => {
                 let order = Order::Quota(ask);
-                let done = self.clerk.ask(now, ticket, order, quota::Meter::AGAIN);
+                let done = self.clerk.ask(now, ticket, order, quota::Limiter::RESEND_INTERVAL);
                 self.carry_out(now, done, &mut outputs);
             }
             Input::Read(ticket) => outputs.push(Output::Read(ticket, None)),
@@ -332,7 +332,7 @@
     }
 
     /// Verdicts on the upstreams of each service.
-    pub fn judges(&self) -> impl Iterator<Item = (&ServiceId, &health::Judge)> {
+    pub fn judges(&self) -> impl Iterator<Item = (&ServiceId, &health::Monitor)> {
         self.judges.iter()
     }
 
--- a/src/node/doors.rs
+++ b/src/node/doors.rs
@@ -19,12 +19,12 @@
 use crate::boundary::Order;
 use crate::catalog::Action;
 use crate::directory;
-use crate::exchange::Inlet;
 use crate::exchange::Outcome;
-use crate::exchange::Outlet;
 use crate::exchange::Payload;
 use crate::exchange::Refusal;
 use crate::exchange::Request;
+use crate::exchange::RequestReader;
+use crate::exchange::ResponseWriter;
 use crate::feed;
 use crate::runtime;
 use crate::wire::Verdict;
@@ -54,39 +54,39 @@
 }
 
 async fn connection(stream: TcpStream, peer: SocketAddr, inbox: Inbox, proxy: Arc<Proxy>) {
-    let mut inlet = Inlet::new(stream, peer);
-    while let Some((request, mut outlet)) = inlet.next(IDLE).await {
-        order(request, &mut outlet, &inbox, &proxy).await;
-        if outlet.is_closing() {
-            inlet.linger().await;
+    let mut reader = RequestReader::new(stream, peer);
+    while let Some((request, mut writer)) = reader.next(IDLE).await {
+        order(request, &mut writer, &inbox, &proxy).await;
+        if writer.is_closing() {
+            reader.linger().await;
             return;
         }
     }
 }
 
-async fn order(mut request: Request, outlet: &mut Outlet, inbox: &Inbox, proxy: &Proxy) {
+async fn order(mut request: Request, writer: &mut ResponseWriter, inbox: &Inbox, proxy: &Proxy) {
     let body = match Payload::take(&mut request, ORDER_MAX, ORDER_MAX, IDLE).await {
-        Ok(Payload::Held(body)) => body,
-        Ok(Payload::Stream(Some(mut exact), _)) => match exact.read_all().await {
+        Ok(Payload::Buffered(body)) => body,
+        Ok(Payload::Stream(Some(mut body_reader), _)) => match body_reader.read_all().await {
             Ok(body) => body,
-            Err(error) => return refuse(400, &error.to_string(), outlet, proxy).await,
+            Err(error) => return refuse(400, &error.to_string(), writer, proxy).await,
         },
         Ok(_) => bytes::Bytes::new(),
-        Err(failure) => return refuse(400, &failure.to_string(), outlet, proxy).await,
+        Err(failure) => return refuse(400, &failure.to_string(), writer, proxy).await,
     };
     let response = match proxy.boundary.order(&request, &body) {
         Ok(order) => proxy.boundary.done(carry_out(order, inbox, proxy).await),
         Err(refusal) => proxy.boundary.refuse(&refusal),
     };
-    if let Err(error) = outlet.send(response).await {
+    if let Err(error) = writer.send(response).await {
         tracing::debug!(target: "hemlockfield::node", "who asked is gone: {error}");
     }
 }
 
-async fn refuse(status: u16, reason: &str, outlet: &mut Outlet, proxy: &Proxy) {
-    outlet.close_after();
+async fn refuse(status: u16, reason: &str, writer: &mut ResponseWriter, proxy: &Proxy) {
+    writer.close_after();
     let refusal = Refusal::new(status, Outcome::NotRun, reason);
-    if let Err(error) = outlet.send(proxy.boundary.refuse(&refusal)).await {
+    if let Err(error) = writer.send(proxy.boundary.refuse(&refusal)).await {
         tracing::debug!(target: "hemlockfield::node", "who asked is gone: {error}");
     }
 }
--- a/src/node/judges.rs
+++ b/src/node/judges.rs
@@ -10,7 +10,7 @@
 
 use crate::clock::Moment;
 use crate::health;
-use crate::health::Judge;
+use crate::health::Monitor;
 use crate::id::NodeId;
 use crate::id::ServiceId;
 use crate::id::UpstreamId;
@@ -27,7 +27,7 @@
 pub(super) struct Judges {
     at_floor: BTreeSet<ServiceId>,
     judged_at: Moment,
-    judges: BTreeMap<ServiceId, Judge>,
+    judges: BTreeMap<ServiceId, Monitor>,
     me: NodeId,
     random: ChaCha8Rng,
     recorder: Recorder,
@@ -50,11 +50,11 @@
         Self { at_floor: BTreeSet::new(), judged_at: now, judges, me, random, recorder }
     }
 
-    pub(super) fn get(&self, service: &ServiceId) -> Option<&Judge> {
+    pub(super) fn get(&self, service: &ServiceId) -> Option<&Monitor> {
         self.judges.get(service)
     }
 
-    pub(super) fn iter(&self) -> impl Iterator<Item = (&ServiceId, &Judge)> {
+    pub(super) fn iter(&self) -> impl Iterator<Item = (&ServiceId, &Monitor)> {
         self.judges.iter()
     }
 
@@ -65,7 +65,7 @@
 
     /// When the judges want to be told the time.
     pub(super) fn wake(&self) -> Moment {
-        self.judged_at + health::Setup::TICK
+        self.judged_at + health::Config::TICK
     }
 
     pub(super) fn tell(
@@ -109,7 +109,7 @@
         let mut fresh = Vec::new();
         let mut told = Vec::new();
         for (name, service) in rules.services() {
-            let setup = health::Setup {
+            let setup = health::Config {
                 floor_count: 1,
                 floor_share: service.floor,
                 sensitivity: service.sensitivity,
@@ -118,7 +118,7 @@
                 Some(judge) => {
                     let input = || replay::Input::Setup(setup.clone());
                     tape(&self.recorder, name).input(now, input);
-                    let done = judge.set_setup(now, setup);
+                    let done = judge.set_config(now, setup);
                     told.extend(self.told(name, done));
                 }
                 None => {
@@ -130,11 +130,11 @@
         (fresh, told)
     }
 
-    fn add(&mut self, now: Moment, name: &ServiceId, setup: health::Setup) {
+    fn add(&mut self, now: Moment, name: &ServiceId, setup: health::Config) {
         let seed = self.random.next_u64();
         let me = self.me.clone();
         let random = ChaCha8Rng::seed_from_u64(seed);
-        let judge = Judge::new(me.clone(), setup.clone(), random);
+        let judge = Monitor::new(me.clone(), setup.clone(), random);
         let made = || replay::Machine::Judge { name: me, seed, setup };
         tape(&self.recorder, name).machine(now, made);
         self.judges.insert(name.clone(), judge);
--- a/src/node/traffic/attempt.rs
+++ b/src/node/traffic/attempt.rs
@@ -115,7 +115,7 @@
     pub(super) fn fail(self, outcome: retry::Outcome, long: bool) {
         let latency = self.round_trip.latency;
         let kind = match (outcome, &self.round_trip.result) {
-            (_, Err(failure)) if !failure.is_upstreams() => return,
+            (_, Err(failure)) if !failure.is_upstream_fault() => return,
             // The process at this address is not the selected upstream, which is therefore gone.
             _ if self.is_misdirected => health::Kind::ConnectFailed,
             (retry::Outcome::ConnectFailed, _) => health::Kind::ConnectFailed,
--- a/src/node/traffic/attempts.rs
+++ b/src/node/traffic/attempts.rs
@@ -6,7 +6,7 @@
 use futures::select;
 
 use crate::exchange::Answer;
-use crate::exchange::Outlet;
+use crate::exchange::ResponseWriter;
 use crate::node::View;
 use crate::node::view;
 use crate::retry;
@@ -36,18 +36,18 @@
     upstreams: &view::Service,
     view: &View,
     job: &mut Job,
-    outlet: &Outlet,
+    writer: &ResponseWriter,
 ) -> Completion<'a> {
     let mut avoid = Vec::new();
     let mut last_failure = None;
     let mut may_have_run = false;
     let mut tries = 0;
     let mut sends = 0;
-    service.policy(proxy.now()).first();
+    service.policy(proxy.now()).record_first();
     loop {
         // If every other upstream is busy or already failed, retry one that failed before.
         let is_long = job.terms.long;
-        let can_risk = job.is_resendable() && service.policy(proxy.now()).can_risk();
+        let can_risk = job.is_resendable() && service.policy(proxy.now()).has_spare_retries();
         let take_trial = || Reservation::take_trial(proxy, service, upstreams, can_risk);
         let trial = (tries == 0).then(take_trial).flatten();
         let reservation = trial
@@ -64,7 +64,7 @@
         let mut attempt = {
             let hedged =
                 hedged_attempt(proxy, service, upstreams, job, reservation, &mut sends).fuse();
-            let gone = caller_gone(is_stream, outlet).fuse();
+            let gone = caller_gone(is_stream, writer).fuse();
             pin_mut!(hedged, gone);
             select! {
                 attempt = hedged => attempt,
@@ -77,12 +77,12 @@
         sends += u32::from(attempt.is_sent());
         let Some(outcome) = outcome else {
             return attempt.into_answer().map_or_else(missing_answer, |(attempt, answer)| {
-                service.policy(proxy.now()).note(attempt.latency());
+                service.policy(proxy.now()).record_latency(attempt.latency());
                 Completion::Answer(Box::new((attempt, answer)))
             });
         };
         let failed = retry::Attempt {
-            body_kept: job.payload.is_repeatable(),
+            body_kept: job.payload.is_available(),
             head_sent: false,
             idempotent: job.is_idempotent() && job.terms.retry,
             limit: job.terms.attempts,
@@ -131,11 +131,11 @@
 
 /// Completes when the caller disconnects. Never completes for a streamed request body: there, a
 /// broken upload shows that the caller is gone.
-pub(super) async fn caller_gone(is_stream: bool, outlet: &Outlet) {
+pub(super) async fn caller_gone(is_stream: bool, writer: &ResponseWriter) {
     if is_stream {
         futures::future::pending::<()>().await;
     }
-    outlet.caller_gone().await;
+    writer.caller_gone().await;
 }
 
 /// Corrects the answer for earlier attempts. The last attempt proves nothing about them: told
--- a/src/node/traffic/dispatch.rs
+++ b/src/node/traffic/dispatch.rs
@@ -9,8 +9,8 @@
 use crate::admission;
 use crate::admission::Arrival;
 use crate::exchange::Outcome;
-use crate::exchange::Outlet;
 use crate::exchange::Refusal;
+use crate::exchange::ResponseWriter;
 use crate::node::View;
 use crate::retry;
 
@@ -29,7 +29,12 @@
 const NO_UPSTREAM_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// Runs a job and answers its caller.
-pub(super) async fn dispatch(proxy: &Proxy, view: &View, mut job: Job, outlet: &mut Outlet) {
+pub(super) async fn dispatch(
+    proxy: &Proxy,
+    view: &View,
+    mut job: Job,
+    writer: &mut ResponseWriter,
+) {
     let service = proxy.service(&job.service);
     let upstreams = view.services.get(&job.service).cloned().unwrap_or_default();
     if upstreams.members.is_empty() {
@@ -38,7 +43,7 @@
         send_local_reply(
             proxy,
             &job,
-            outlet,
+            writer,
             &Refusal::not_run(503, text, NO_UPSTREAM_RETRY_AFTER),
         )
         .await;
@@ -49,8 +54,8 @@
         Ok(claim) => claim,
         Err(response) => {
             job.refund();
-            close_upload(&job, outlet);
-            if let Err(error) = outlet.send(*response).await {
+            close_upload(&job, writer);
+            if let Err(error) = writer.send(*response).await {
                 tracing::debug!(target: "hemlockfield::exchange", "caller disconnected: {error}");
             }
             return;
@@ -59,7 +64,7 @@
     let classes = view.rules.as_ref().map(|rules| rules.classes()).unwrap_or_default();
     let (decision, permit) = {
         let enter = service.queue.enter(proxy, classes, arrival(&job)).fuse();
-        let gone = caller_gone(job.payload.is_stream(), outlet).fuse();
+        let gone = caller_gone(job.payload.is_stream(), writer).fuse();
         pin_mut!(enter, gone);
         select! {
             entered = enter => entered,
@@ -75,17 +80,17 @@
         claim.into_iter().for_each(Claim::abandon);
         proxy.metrics.count("request.refused");
         let text = format!("service `{}` does not admit the request: {reason}", job.service);
-        return send_local_reply(proxy, &job, outlet, &Refusal::not_run(503, text, after)).await;
+        return send_local_reply(proxy, &job, writer, &Refusal::not_run(503, text, after)).await;
     }
     let started = proxy.now();
-    let completion = run_attempts(proxy, &service, &upstreams, view, &mut job, outlet).await;
+    let completion = run_attempts(proxy, &service, &upstreams, view, &mut job, writer).await;
     proxy.metrics.time("request.upstream", proxy.now().saturating_sub(started));
     match completion {
         Completion::Answer(answered) => {
             let (attempt, answer) = *answered;
             permit.finish(admission::Outcome::Served);
             job.log(proxy, view, "answered", answer.response.status);
-            relay_answer(proxy, &job, attempt, answer, claim, outlet).await;
+            relay_answer(proxy, &job, attempt, answer, claim, writer).await;
         }
         Completion::CallerGone { may_have_run } => {
             permit.finish(admission::Outcome::Failed);
@@ -102,7 +107,7 @@
             permit.finish(outcome);
             claim.into_iter().for_each(|claim| settle_claim(claim, !is_not_run));
             let refusal = refusal_for(answer, reason, status);
-            send_local_reply(proxy, &job, outlet, &refusal).await;
+            send_local_reply(proxy, &job, writer, &refusal).await;
         }
     }
 }
@@ -116,18 +121,23 @@
 }
 
 /// Answers the caller with a refusal by this entry.
-async fn send_local_reply(proxy: &Proxy, job: &Job, outlet: &mut Outlet, refusal: &Refusal) {
-    close_upload(job, outlet);
+async fn send_local_reply(
+    proxy: &Proxy,
+    job: &Job,
+    writer: &mut ResponseWriter,
+    refusal: &Refusal,
+) {
+    close_upload(job, writer);
     job.log(proxy, &proxy.view.load(), &refusal.reason, refusal.status);
-    if let Err(error) = outlet.send(proxy.boundary.refuse(refusal)).await {
+    if let Err(error) = writer.send(proxy.boundary.refuse(refusal)).await {
         tracing::debug!(target: "hemlockfield::exchange", "caller disconnected: {error}");
     }
 }
 
 /// Closes the connection after the answer, since the rest of a streamed upload is never read.
-fn close_upload(job: &Job, outlet: &mut Outlet) {
+fn close_upload(job: &Job, writer: &mut ResponseWriter) {
     if job.payload.is_stream() {
-        outlet.close_after();
+        writer.close_after();
     }
 }
 
--- a/src/node/traffic/hedge.rs
+++ b/src/node/traffic/hedge.rs
@@ -49,13 +49,13 @@
     }
     let now = proxy.now();
     let left = job.left(now);
-    if !service.policy(proxy.now()).hedge(left) {
+    if !service.policy(proxy.now()).try_hedge(left) {
         return first.await;
     }
     let Some(reservation) =
         Reservation::take(proxy, service, upstreams, std::slice::from_ref(&primary), false)
     else {
-        service.policy(proxy.now()).hedged(false);
+        service.policy(proxy.now()).record_hedge(false);
         return first.await;
     };
     let request = job.request(now, proxy.boundary.as_ref(), &reservation.upstream);
@@ -67,7 +67,9 @@
         attempt = first => (attempt, false),
         attempt = second => (attempt, true),
     };
-    service.policy(proxy.now()).hedged(hedge_won && attempt.is_success(proxy.boundary.as_ref()));
+    service
+        .policy(proxy.now())
+        .record_hedge(hedge_won && attempt.is_success(proxy.boundary.as_ref()));
     if hedge_won && attempt.is_success(proxy.boundary.as_ref()) {
         report_late_primary(proxy, job, primary, proxy.now().saturating_sub(started));
     }
--- a/src/node/traffic/job.rs
+++ b/src/node/traffic/job.rs
@@ -85,7 +85,7 @@
     /// Whether the request can be sent to another upstream after a failure. Only such a request
     /// may test an upstream that was at fault.
     pub(super) fn is_resendable(&self) -> bool {
-        self.is_idempotent() && self.terms.attempts > 1 && self.payload.is_repeatable()
+        self.is_idempotent() && self.terms.attempts > 1 && self.payload.is_available()
     }
 
     /// Logs the request: the rule and configuration that decided it, the attempts, and the answer.
@@ -128,7 +128,7 @@
         hash.update(self.method.as_str().as_bytes());
         hash.update(self.headers.get(http::header::HOST).map_or(&[], |host| host.as_bytes()));
         hash.update(self.target.as_bytes());
-        if let Payload::Held(bytes) = &self.payload {
+        if let Payload::Buffered(bytes) = &self.payload {
             hash.update(bytes);
         }
         hash.update(&self.payload.len().unwrap_or_default().to_le_bytes());
--- a/src/node/traffic/listener.rs
+++ b/src/node/traffic/listener.rs
@@ -13,7 +13,7 @@
 use futures::select;
 
 use crate::exchange::Error;
-use crate::exchange::Inlet;
+use crate::exchange::RequestReader;
 use crate::runtime;
 
 use super::Proxy;
@@ -51,11 +51,11 @@
 /// Serves one connection. A panic in it must not affect other connections.
 async fn serve_isolated(stream: TcpStream, peer: SocketAddr, proxy: Arc<Proxy>) {
     let open = proxy.connections.fetch_add(1, Ordering::AcqRel);
-    let inlet = Inlet::new(stream, peer);
+    let reader = RequestReader::new(stream, peer);
     let served = if open < proxy.settings.limits.connections {
-        AssertUnwindSafe(serve_connection(inlet, &proxy)).catch_unwind().await
+        AssertUnwindSafe(serve_connection(reader, &proxy)).catch_unwind().await
     } else {
-        AssertUnwindSafe(reject_connection(inlet)).catch_unwind().await
+        AssertUnwindSafe(reject_connection(reader)).catch_unwind().await
     };
     if served.is_err() {
         proxy.metrics.count("exchange.panicked");
@@ -64,19 +64,19 @@
     proxy.connections.fetch_sub(1, Ordering::AcqRel);
 }
 
-async fn reject_connection(mut inlet: Inlet) {
-    inlet.reject(&Error::Connections).await;
+async fn reject_connection(mut reader: RequestReader) {
+    reader.reject(&Error::Connections).await;
 }
 
-async fn serve_connection(mut inlet: Inlet, proxy: &Arc<Proxy>) {
+async fn serve_connection(mut reader: RequestReader, proxy: &Arc<Proxy>) {
     let limits = &proxy.settings.limits;
     loop {
         let rule_limits = proxy.view.load().rules.as_ref().map(|rules| rules.limits());
         let rule_limits = rule_limits.unwrap_or_default();
-        inlet.set_head_max(rule_limits.head.unwrap_or(limits.head as usize));
+        reader.set_max_head_bytes(rule_limits.head.unwrap_or(limits.head as usize));
         let readable = {
             let readable =
-                timeout(rule_limits.idle.unwrap_or(limits.idle), inlet.readable()).fuse();
+                timeout(rule_limits.idle.unwrap_or(limits.idle), reader.readable()).fuse();
             let closing = proxy.closed().fuse();
             pin_mut!(readable, closing);
             select! {
@@ -88,17 +88,17 @@
             return;
         }
         let _in_flight = InFlight::new(proxy);
-        let Some((request, mut outlet)) =
-            inlet.next(rule_limits.head_time.unwrap_or(limits.head_time)).await
+        let Some((request, mut writer)) =
+            reader.next(rule_limits.head_time.unwrap_or(limits.head_time)).await
         else {
             return;
         };
         if proxy.closing.load(Ordering::Acquire) {
-            outlet.close_after();
+            writer.close_after();
         }
-        serve::serve(proxy, request, &mut outlet, inlet.peer()).await;
-        if outlet.is_closing() {
-            inlet.linger().await;
+        serve::serve(proxy, request, &mut writer, reader.peer()).await;
+        if writer.is_closing() {
+            reader.linger().await;
             return;
         }
     }
--- a/src/node/traffic/queue.rs
+++ b/src/node/traffic/queue.rs
@@ -31,9 +31,9 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Interval between reports of gauges.
 const GAUGE_INTERVAL: Duration = Duration::from_secs(1);
-/// Longest interval of polling while no request waits: the health judge's tick. It costs an idle
+/// Longest interval of polling while no request waits: the health monitor's tick. It costs an idle
 /// process a fiftieth of polling every 5 ms.
-const IDLE_POLL_INTERVAL: Duration = health::Setup::TICK;
+const IDLE_POLL_INTERVAL: Duration = health::Config::TICK;
 
 /// Admission queue of one service: its gate and the waiting requests.
 pub(in crate::node) struct Queue {
@@ -201,7 +201,7 @@
         let now = proxy.now();
         services.iter().for_each(|service| service.queue.tick(now));
         if now >= overdue_at {
-            overdue_at = now + health::Setup::TICK;
+            overdue_at = now + health::Config::TICK;
             services.iter().for_each(|service| report_overdue(&proxy, service));
         }
         if now >= gauges_at {
--- a/src/node/traffic/relay.rs
+++ b/src/node/traffic/relay.rs
@@ -3,8 +3,8 @@
 use crate::claim;
 use crate::exchange::Answer;
 use crate::exchange::Body;
-use crate::exchange::Outlet;
 use crate::exchange::Response;
+use crate::exchange::ResponseWriter;
 use crate::health;
 use crate::node::Input;
 use crate::node::probe::is_draining;
@@ -23,7 +23,7 @@
     attempt: Attempt<'_>,
     mut answer: Answer,
     claim: Option<Claim<'_>>,
-    outlet: &mut Outlet,
+    writer: &mut ResponseWriter,
 ) {
     let mut response = std::mem::replace(&mut answer.response, Response::new(200));
     proxy.count_bytes(response.body.len().unwrap_or_default());
@@ -31,14 +31,14 @@
         claim.end(claim_outcome(&mut response).await);
     }
     if job.payload.is_stream() && answer.is_early() {
-        outlet.close_after();
+        writer.close_after();
     }
     if is_draining(&response) {
         let (service, upstream) = (job.service.clone(), attempt.upstream());
         proxy.try_notify(Input::Probed { draining: Some(true), healthy: true, service, upstream });
     }
     let failed = response.status >= 500;
-    outlet.send(response).await.ok();
+    writer.send(response).await.ok();
     let kind = match failed {
         _ if answer.is_broken() => health::Kind::Cut,
         true => health::Kind::ServerError,
@@ -61,7 +61,7 @@
     }
     match std::mem::take(&mut response.body).read_all().await {
         Ok(bytes) => {
-            response.body = Body::Held(bytes.clone());
+            response.body = Body::Buffered(bytes.clone());
             claims::outcome(response, Some(&bytes))
         }
         Err(error) => {
--- a/src/node/traffic/round_trip.rs
+++ b/src/node/traffic/round_trip.rs
@@ -5,10 +5,10 @@
 use async_std::future::timeout;
 
 use crate::exchange::Answer;
+use crate::exchange::Connection;
 use crate::exchange::Failure;
-use crate::exchange::Leg;
-use crate::exchange::Limits;
 use crate::exchange::Request;
+use crate::exchange::Timeouts;
 
 use super::Proxy;
 
@@ -49,7 +49,7 @@
     let connection = acquire_connection(proxy, address, idempotent, left).await?;
     let first_byte = proxy.settings.limits.first_byte.min(left);
     let connect = proxy.settings.limits.connect;
-    connection.ask(request, Limits { connect, first_byte, idle: BODY_IDLE_TIMEOUT }).await
+    connection.send(request, Timeouts { connect, first_byte, idle: BODY_IDLE_TIMEOUT }).await
 }
 
 /// Takes a pooled connection or opens a new one. Requests that are not idempotent use only
@@ -61,10 +61,10 @@
     address: SocketAddr,
     idempotent: bool,
     left: Duration,
-) -> Result<Leg, Failure> {
+) -> Result<Connection, Failure> {
     let max_idle = if idempotent { Duration::MAX } else { proxy.settings.limits.proven };
     if let Some(connection) = proxy.pool.take(address, max_idle).await {
         return Ok(connection);
     }
-    Leg::dial(address, proxy.settings.limits.connect.min(left)).await
+    Connection::connect(address, proxy.settings.limits.connect.min(left)).await
 }
--- a/src/node/traffic/serve.rs
+++ b/src/node/traffic/serve.rs
@@ -9,16 +9,16 @@
 use http::Method;
 use rand::Rng;
 
-use crate::admission::Start;
+use crate::admission::Startup;
 use crate::boundary::Call;
 use crate::clock::Moment;
 use crate::exchange;
 use crate::exchange::Outcome;
-use crate::exchange::Outlet;
 use crate::exchange::Payload;
 use crate::exchange::Refusal;
 use crate::exchange::Request;
 use crate::exchange::Response;
+use crate::exchange::ResponseWriter;
 use crate::exchange::clean_request;
 use crate::id::RuleId;
 use crate::id::ServiceId;
@@ -53,28 +53,33 @@
 }
 
 /// Serves one request.
-pub(super) async fn serve(proxy: &Proxy, request: Request, outlet: &mut Outlet, peer: SocketAddr) {
+pub(super) async fn serve(
+    proxy: &Proxy,
+    request: Request,
+    writer: &mut ResponseWriter,
+    peer: SocketAddr,
+) {
     proxy.metrics.count("request");
     if request.path() == DIRECTORY_PATH {
         let response = list_entries(proxy, &request, peer);
-        return respond_unread(&request, response, outlet).await;
+        return respond_unread(&request, response, writer).await;
     }
     proxy.count_arrival();
     proxy.count_bytes(request.body.len().unwrap_or_default());
     let received_at = proxy.now();
-    if !wait_for_configuration(proxy, &request, outlet, peer).await {
+    if !wait_for_configuration(proxy, &request, writer, peer).await {
         return;
     }
     let view = proxy.view.load_full();
     let has_body = !request.body.is_empty();
     match accept(proxy, &view, request, peer, received_at).await {
-        Ok(job) => dispatch::dispatch(proxy, &view, job, outlet).await,
+        Ok(job) => dispatch::dispatch(proxy, &view, job, writer).await,
         Err(refusal) => {
             proxy.metrics.count("request.refused");
             if has_body {
-                outlet.close_after();
+                writer.close_after();
             }
-            send(proxy.boundary.refuse(&refusal), outlet).await;
+            send(proxy.boundary.refuse(&refusal), writer).await;
         }
     }
 }
@@ -84,16 +89,16 @@
 async fn wait_for_configuration(
     proxy: &Proxy,
     request: &Request,
-    outlet: &Outlet,
+    writer: &ResponseWriter,
     peer: SocketAddr,
 ) -> bool {
     if proxy.view.load().serves() {
         return true;
     }
     let budget = proxy.boundary.call(request, peer.ip()).budget.unwrap_or(DEFAULT_BUDGET);
-    let longest = Start::patience(proxy.now(), budget);
+    let longest = Startup::max_wait(proxy.now(), budget);
     let ready = proxy.wait_until_ready(longest).fuse();
-    let gone = caller_gone(!request.body.is_empty(), outlet).fuse();
+    let gone = caller_gone(!request.body.is_empty(), writer).fuse();
     pin_mut!(gone, ready);
     select! {
         () = gone => false,
@@ -102,15 +107,15 @@
 }
 
 /// Answers without reading the body; a connection with an unread body is closed.
-async fn respond_unread(request: &Request, response: Response, outlet: &mut Outlet) {
+async fn respond_unread(request: &Request, response: Response, writer: &mut ResponseWriter) {
     if !request.body.is_empty() {
-        outlet.close_after();
+        writer.close_after();
     }
-    send(response, outlet).await;
+    send(response, writer).await;
 }
 
-async fn send(response: Response, outlet: &mut Outlet) {
-    if let Err(error) = outlet.send(response).await {
+async fn send(response: Response, writer: &mut ResponseWriter) {
+    if let Err(error) = writer.send(response).await {
         tracing::debug!(target: "hemlockfield::exchange", "caller disconnected: {error}");
     }
 }
