--- a/src/node/traffic/attempts.rs
+++ b/src/node/traffic/attempts.rs
@@ -20,7 +20,7 @@
 use super::service::Service;
 
 /// How a job ended. Decides how its admission permit and its claim are settled.
-pub(super) enum Completion<'a> {
+pub(super) enum Resolution<'a> {
     /// An upstream's answer, to be relayed to the caller.
     Answer(Box<(Attempt<'a>, Answer)>),
     /// The caller disconnected.
@@ -37,7 +37,7 @@
     view: &View,
     job: &mut Job,
     writer: &ResponseWriter,
-) -> Completion<'a> {
+) -> Resolution<'a> {
     let mut avoid = Vec::new();
     let mut last_failure = None;
     let mut may_have_run = false;
@@ -57,7 +57,7 @@
             let answer = failure_answer(may_have_run, job);
             let unavailable = || (format!("no upstream of `{}` is available", job.service), 503);
             let (reason, status) = last_failure.take().unwrap_or_else(unavailable);
-            return Completion::LocalReply { answer, reason, status };
+            return Resolution::LocalReply { answer, reason, status };
         };
         tries += 1;
         let is_stream = job.payload.is_stream();
@@ -68,7 +68,7 @@
             pin_mut!(hedged, gone);
             select! {
                 attempt = hedged => attempt,
-                () = gone => return Completion::CallerGone { may_have_run: true },
+                () = gone => return Resolution::CallerGone { may_have_run: true },
             }
         };
         let rule_service = view.rules.as_ref().and_then(|rules| rules.service(&job.service));
@@ -78,7 +78,7 @@
         let Some(outcome) = outcome else {
             return attempt.into_answer().map_or_else(missing_answer, |(attempt, answer)| {
                 service.policy(proxy.now()).record_latency(attempt.latency());
-                Completion::Answer(Box::new((attempt, answer)))
+                Resolution::Answer(Box::new((attempt, answer)))
             });
         };
         let failed = retry::Attempt {
@@ -95,7 +95,7 @@
         may_have_run |= !failed.is_not_run();
         if attempt.is_upload_failure() {
             let reason = attempt.reason();
-            return Completion::LocalReply {
+            return Resolution::LocalReply {
                 answer: failure_answer(may_have_run, job),
                 reason,
                 status: 400,
@@ -116,14 +116,14 @@
                     return attempt
                         .into_answer()
                         .map_or_else(missing_answer, |(attempt, answer)| {
-                            Completion::Answer(Box::new((attempt, answer)))
+                            Resolution::Answer(Box::new((attempt, answer)))
                         });
                 }
                 let reason = attempt.reason();
                 let status = status_of(outcome);
                 attempt.fail(outcome, job.terms.long);
                 let answer = correct_for_earlier_attempts(answer, may_have_run, job);
-                return Completion::LocalReply { answer, reason, status };
+                return Resolution::LocalReply { answer, reason, status };
             }
         }
     }
@@ -159,9 +159,9 @@
     }
 }
 
-fn missing_answer<'a>() -> Completion<'a> {
+fn missing_answer<'a>() -> Resolution<'a> {
     let reason = "the upstream's answer is missing".to_owned();
-    Completion::LocalReply { answer: retry::Answer::Unknown, reason, status: 502 }
+    Resolution::LocalReply { answer: retry::Answer::Unknown, reason, status: 502 }
 }
 
 fn status_of(outcome: retry::Outcome) -> u16 {
--- a/src/node/traffic/dispatch.rs
+++ b/src/node/traffic/dispatch.rs
@@ -15,12 +15,12 @@
 use crate::retry;
 
 use super::Proxy;
-use super::attempts::Completion;
+use super::attempts::Resolution;
 use super::attempts::caller_gone;
 use super::attempts::run_attempts;
 use super::claims::Claim;
 use super::job::Job;
-use super::queue::Decision;
+use super::queue::Admission;
 use super::relay::relay_answer;
 
 /// Retry-after when every upstream is busy.
@@ -62,7 +62,7 @@
         }
     };
     let classes = view.rules.as_ref().map(|rules| rules.classes()).unwrap_or_default();
-    let (decision, permit) = {
+    let (admission, permit) = {
         let enter = service.queue.enter(proxy, classes, arrival(&job)).fuse();
         let gone = caller_gone(job.payload.is_stream(), writer).fuse();
         pin_mut!(enter, gone);
@@ -75,7 +75,7 @@
             }
         }
     };
-    if let Decision::Refuse(reason, after) = decision {
+    if let Admission::Refuse(reason, after) = admission {
         job.refund();
         claim.into_iter().for_each(Claim::abandon);
         proxy.metrics.count("request.refused");
@@ -83,21 +83,21 @@
         return send_local_reply(proxy, &job, writer, &Refusal::not_run(503, text, after)).await;
     }
     let started = proxy.now();
-    let completion = run_attempts(proxy, &service, &upstreams, view, &mut job, writer).await;
+    let resolution = run_attempts(proxy, &service, &upstreams, view, &mut job, writer).await;
     proxy.metrics.time("request.upstream", proxy.now().saturating_sub(started));
-    match completion {
-        Completion::Answer(answered) => {
+    match resolution {
+        Resolution::Answer(answered) => {
             let (attempt, answer) = *answered;
             permit.finish(admission::Outcome::Served);
             job.log(proxy, view, "answered", answer.response.status);
             relay_answer(proxy, &job, attempt, answer, claim, writer).await;
         }
-        Completion::CallerGone { may_have_run } => {
+        Resolution::CallerGone { may_have_run } => {
             permit.finish(admission::Outcome::Failed);
             job.log(proxy, view, "caller disconnected", 0);
             claim.into_iter().for_each(|claim| settle_claim(claim, may_have_run));
         }
-        Completion::LocalReply { answer, reason, status } => {
+        Resolution::LocalReply { answer, reason, status } => {
             let is_not_run = answer == retry::Answer::NotRun;
             if is_not_run {
                 job.refund();
--- a/src/node/traffic/queue.rs
+++ b/src/node/traffic/queue.rs
@@ -47,12 +47,12 @@
     gate: Option<Gate>,
     slots: Option<usize>,
     tape: Tape,
-    waiting: BTreeMap<u64, (Arrival, Sender<Decision>)>,
+    waiting: BTreeMap<u64, (Arrival, Sender<Admission>)>,
 }
 
 /// Admission decision for one request.
 #[derive(Clone, Debug)]
-pub(super) enum Decision {
+pub(super) enum Admission {
     /// Refuse the request as not run, with the reason and the time after which to retry.
     Refuse(Reason, Duration),
     /// Send the request to an upstream now.
@@ -83,7 +83,7 @@
         proxy: &'a Proxy,
         classes: &[Class],
         arrival: Arrival,
-    ) -> (Decision, Permit<'a>) {
+    ) -> (Admission, Permit<'a>) {
         let (sender, receiver) = bounded(1);
         let permit = Permit { ended: false, queue: self, proxy, ticket: arrival.ticket };
         {
@@ -96,9 +96,9 @@
                 proxy.request_poll();
             }
         }
-        let decision = receiver.recv().await;
-        let closed = Decision::Refuse(Reason::Overload, Duration::from_secs(1));
-        (decision.unwrap_or(closed), permit)
+        let admission = receiver.recv().await;
+        let closed = Admission::Refuse(Reason::Overload, Duration::from_secs(1));
+        (admission.unwrap_or(closed), permit)
     }
 
     /// Sets how many requests may run at once.
@@ -145,14 +145,14 @@
         let Some(gate) = &mut self.gate else { return };
         self.tape.input(now, || replay::Input::Gate(input.clone()));
         for output in gate.handle(now, input) {
-            let (ticket, decision) = match output {
+            let (ticket, admission) = match output {
                 Output::Refuse { reason, retry_after, ticket } => {
-                    (ticket, Decision::Refuse(reason, retry_after))
+                    (ticket, Admission::Refuse(reason, retry_after))
                 }
-                Output::Run { ticket } => (ticket, Decision::Admit),
+                Output::Run { ticket } => (ticket, Admission::Admit),
             };
             if let Some((_, sender)) = self.waiting.remove(&ticket) {
-                sender.try_send(decision).ok();
+                sender.try_send(admission).ok();
             }
         }
     }
