--- a/src/bench/health/acting.rs
+++ b/src/bench/health/acting.rs
@@ -8,13 +8,13 @@
 use super::detector::Way;
 use super::judged;
 use super::threshold::Threshold;
-use crate::balance::Verdicts;
+use crate::balance::Health;
 use crate::clock::Moment;
+use crate::health::Config;
 use crate::health::Digest;
 use crate::health::Input;
-use crate::health::Judge;
+use crate::health::Monitor;
 use crate::health::Output;
-use crate::health::Setup;
 use crate::model::Agent;
 use crate::model::Answer;
 use crate::model::Choice;
@@ -29,7 +29,7 @@
 
 /// The way of detecting; none for comparison.
 enum Means {
-    Judge(Box<Judge>),
+    Judge(Box<Monitor>),
     None,
     Simple { detector: Box<dyn Detector>, out: Out },
 }
@@ -40,7 +40,7 @@
     until: BTreeMap<usize, Moment>,
 }
 
-impl Verdicts for Out {
+impl Health for Out {
     fn weight(&self, upstream: &str) -> f64 {
         let until = self.until.get(&judged::position(upstream));
         if until.is_some_and(|until| self.now < *until) { 0.0 } else { 1.0 }
@@ -52,7 +52,7 @@
         plan: &Plan,
         entry: usize,
         way: Option<Way>,
-        setup: Setup,
+        setup: Config,
         seed: u64,
     ) -> Self {
         let simple = |detector: Box<dyn Detector>| Means::Simple {
--- a/src/bench/retry.rs
+++ b/src/bench/retry.rs
@@ -8,12 +8,12 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::retry::Count;
 use crate::retry::Decide;
-use crate::retry::Loss;
+use crate::retry::MaxAttempts;
+use crate::retry::Outage;
 use crate::retry::Policy;
 use crate::retry::Report;
-use crate::retry::Storm;
+use crate::retry::Simulation;
 
 /// Lookups for one row about hedges.
 const LOOKUPS: usize = 200_000;
@@ -49,35 +49,36 @@
     let mut table = String::from(
         "loss        avoids  decider  tries a request  worst second  answered  not run  failed\n",
     );
-    for loss in [Loss::Domain, Loss::Silence, Loss::Everything] {
+    for outage in [Outage::Domain, Outage::Silence, Outage::Everything] {
         for avoid in [false, true] {
             for ours in [true, false] {
-                let _ = writeln!(table, "{}", storm(loss, avoid, ours, seeds));
+                let _ = writeln!(table, "{}", storm(outage, avoid, ours, seeds));
             }
         }
     }
     table
 }
 
-fn storm(loss: Loss, avoid: bool, ours: bool, seeds: u64) -> String {
+fn storm(outage: Outage, avoid: bool, ours: bool, seeds: u64) -> String {
     let make = |seed| -> Box<dyn Decide> {
         match ours {
             true => Box::new(Policy::new(ChaCha8Rng::seed_from_u64(seed))),
-            false => Box::new(Count(3)),
+            false => Box::new(MaxAttempts(3)),
         }
     };
     let mut sum = Report::default();
     for seed in 0..seeds {
-        let report = Storm { avoid, idempotent: true, loss, seed }.run(&make);
+        let report = Simulation { avoids_failed: avoid, idempotent: true, outage, seed }.run(&make);
         sum.add(&report);
     }
-    let percent = |count: u32| format!("{:.1}%", f64::from(count) * 100.0 / f64::from(sum.first));
+    let percent =
+        |count: u32| format!("{:.1}%", f64::from(count) * 100.0 / f64::from(sum.requests));
     format!(
         "{:<11} {avoid:<7} {:<8} {:<16.3} {:<13.3} {:<9} {:<8} {}",
-        format!("{loss:?}"),
+        format!("{outage:?}"),
         if ours { "policy" } else { "3 tries" },
         sum.amplification(),
-        sum.worst,
+        sum.worst_amplification,
         percent(sum.answered),
         percent(sum.not_run),
         percent(sum.failed),
@@ -91,20 +92,20 @@
     let mut copies = 0;
     let mut wins = 0;
     for _ in 0..LOOKUPS {
-        policy.first();
+        policy.record_first();
         copies += 1;
         let first = rng.random_range(0..UPSTREAMS);
         let mut time = lookup(slow, first, &mut rng);
         let after = policy.hedge_after().filter(|after| hedged && *after < time);
-        if let Some(after) = after.filter(|_| policy.hedge(Duration::from_secs(5))) {
+        if let Some(after) = after.filter(|_| policy.try_hedge(Duration::from_secs(5))) {
             copies += 1;
             let second = (first + rng.random_range(1..UPSTREAMS)) % UPSTREAMS;
             let late = after + lookup(slow, second, &mut rng);
-            policy.hedged(late < time);
+            policy.record_hedge(late < time);
             wins += usize::from(late < time);
             time = time.min(late);
         }
-        policy.note(time);
+        policy.record_latency(time);
         times.push(time);
     }
     times.sort_unstable();
--- a/src/node/traffic/queue.rs
+++ b/src/node/traffic/queue.rs
@@ -31,9 +31,9 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Interval between reports of gauges.
 const GAUGE_INTERVAL: Duration = Duration::from_secs(1);
-/// Longest interval of polling while no request waits: the health judge's tick. It costs an idle
+/// Longest interval of polling while no request waits: the health monitor's tick. It costs an idle
 /// process a fiftieth of polling every 5 ms.
-const IDLE_POLL_INTERVAL: Duration = health::Setup::TICK;
+const IDLE_POLL_INTERVAL: Duration = health::Config::TICK;
 
 /// Admission queue of one service: its gate and the waiting requests.
 pub(in crate::node) struct Queue {
@@ -47,12 +47,12 @@
     gate: Option<Gate>,
     slots: Option<usize>,
     tape: Tape,
-    waiting: BTreeMap<u64, (Arrival, Sender<Decision>)>,
+    waiting: BTreeMap<u64, (Arrival, Sender<Admission>)>,
 }
 
 /// Admission decision for one request.
 #[derive(Clone, Debug)]
-pub(super) enum Decision {
+pub(super) enum Admission {
     /// Refuse the request as not run, with the reason and the time after which to retry.
     Refuse(Reason, Duration),
     /// Send the request to an upstream now.
@@ -83,7 +83,7 @@
         proxy: &'a Proxy,
         classes: &[Class],
         arrival: Arrival,
-    ) -> (Decision, Permit<'a>) {
+    ) -> (Admission, Permit<'a>) {
         let (sender, receiver) = bounded(1);
         let permit = Permit { ended: false, queue: self, proxy, ticket: arrival.ticket };
         {
@@ -96,9 +96,9 @@
                 proxy.request_poll();
             }
         }
-        let decision = receiver.recv().await;
-        let closed = Decision::Refuse(Reason::Overload, Duration::from_secs(1));
-        (decision.unwrap_or(closed), permit)
+        let admission = receiver.recv().await;
+        let closed = Admission::Refuse(Reason::Overload, Duration::from_secs(1));
+        (admission.unwrap_or(closed), permit)
     }
 
     /// Sets how many requests may run at once.
@@ -145,14 +145,14 @@
         let Some(gate) = &mut self.gate else { return };
         self.tape.input(now, || replay::Input::Gate(input.clone()));
         for output in gate.handle(now, input) {
-            let (ticket, decision) = match output {
+            let (ticket, admission) = match output {
                 Output::Refuse { reason, retry_after, ticket } => {
-                    (ticket, Decision::Refuse(reason, retry_after))
+                    (ticket, Admission::Refuse(reason, retry_after))
                 }
-                Output::Run { ticket } => (ticket, Decision::Admit),
+                Output::Run { ticket } => (ticket, Admission::Admit),
             };
             if let Some((_, sender)) = self.waiting.remove(&ticket) {
-                sender.try_send(decision).ok();
+                sender.try_send(admission).ok();
             }
         }
     }
@@ -201,7 +201,7 @@
         let now = proxy.now();
         services.iter().for_each(|service| service.queue.tick(now));
         if now >= overdue_at {
-            overdue_at = now + health::Setup::TICK;
+            overdue_at = now + health::Config::TICK;
             services.iter().for_each(|service| report_overdue(&proxy, service));
         }
         if now >= gauges_at {
--- a/src/node/traffic/rate_limiter.rs
+++ b/src/node/traffic/rate_limiter.rs
@@ -16,10 +16,10 @@
 use crate::id::ConfigNumber;
 use crate::id::NodeId;
 use crate::node::Input;
-use crate::quota::Meter;
+use crate::quota::Config;
+use crate::quota::Decision;
+use crate::quota::Limiter;
 use crate::quota::Subject;
-use crate::quota::Take;
-use crate::quota::Terms;
 use crate::team::Team;
 
 use super::Proxy;
@@ -29,9 +29,9 @@
 
 /// This entry's quota of each team's rate limit.
 pub(in crate::node) struct RateLimiter {
-    meter: Mutex<Meter>,
+    limiter: Mutex<Limiter>,
     wakeup: (Sender<()>, Receiver<()>),
-    terms: Terms,
+    config: Config,
     waiters: Mutex<Vec<Sender<()>>>,
 }
 
@@ -43,12 +43,12 @@
 }
 
 impl RateLimiter {
-    pub(super) fn new(id: NodeId, terms: Terms) -> Self {
+    pub(super) fn new(id: NodeId, config: Config) -> Self {
         let incarnation = crate::node::incarnation();
         Self {
-            meter: Mutex::new(Meter::new(id, incarnation, terms.window)),
+            limiter: Mutex::new(Limiter::new(id, incarnation, config.window)),
             wakeup: bounded(1),
-            terms,
+            config,
             waiters: Mutex::default(),
         }
     }
@@ -63,46 +63,46 @@
         budget: Duration,
     ) -> Result<Option<Charge>, Refusal> {
         let Some(limit) = team.limit else { return Ok(None) };
-        let most = self.terms.most(limit);
+        let most = self.config.allowance(limit);
         let subject = Subject::Team(team.name.clone());
-        let wait_until = proxy.now() + Meter::patience(budget);
+        let wait_until = proxy.now() + Limiter::max_wait(budget);
         loop {
             let now = proxy.now();
             let (taken, answered) = self.take(now, &subject, number, most);
             match taken {
-                Take::Passed(at) => {
+                Decision::Passed(at) => {
                     return Ok(Some(Charge { rate_limiter: Arc::clone(self), at, subject }));
                 }
-                Take::Refused(after) => {
+                Decision::Refused(after) => {
                     let text = format!(
                         "team `{}` exceeds its limit of {most} requests in a window",
                         team.name
                     );
                     return Err(Refusal::not_run(429, text, after));
                 }
-                Take::Wait if now < wait_until => {
+                Decision::Wait if now < wait_until => {
                     self.wake_renewal();
                     timeout(wait_until - now, answered.recv()).await.ok();
                 }
-                Take::Wait => return Err(unconfirmed(team, Meter::BACK_UNCONFIRMED)),
-                Take::Unconfirmed(after) => return Err(unconfirmed(team, after)),
+                Decision::Wait => return Err(unconfirmed(team, Limiter::UNCONFIRMED_RETRY_AFTER)),
+                Decision::Unconfirmed(after) => return Err(unconfirmed(team, after)),
             }
         }
     }
 
     /// Takes quota for a request. A request that has to wait is registered under the lock on the
-    /// meter, so that it cannot miss the next grant.
+    /// limiter, so that it cannot miss the next grant.
     fn take(
         &self,
         now: Moment,
         subject: &Subject,
         number: ConfigNumber,
         most: u32,
-    ) -> (Take, Receiver<()>) {
+    ) -> (Decision, Receiver<()>) {
         let (sender, receiver) = bounded(1);
-        let mut meter = self.meter();
-        let taken = meter.take(now, subject, number, most);
-        if taken == Take::Wait {
+        let mut limiter = self.limiter();
+        let taken = limiter.acquire(now, subject, number, most);
+        if taken == Decision::Wait {
             let mut waiters = self.waiters();
             waiters.retain(|waiter| !waiter.is_closed());
             waiters.push(sender);
@@ -112,7 +112,7 @@
 
     /// Returns unneeded quota when the process leaves.
     pub(super) fn leave(&self, now: Moment) {
-        self.meter().leave(now);
+        self.limiter().leave(now);
         self.wake_renewal();
     }
 
@@ -120,8 +120,8 @@
         self.wakeup.0.try_send(()).ok();
     }
 
-    fn meter(&self) -> MutexGuard<'_, Meter> {
-        self.meter.lock().unwrap_or_else(PoisonError::into_inner)
+    fn limiter(&self) -> MutexGuard<'_, Limiter> {
+        self.limiter.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn waiters(&self) -> MutexGuard<'_, Vec<Sender<()>>> {
@@ -132,7 +132,7 @@
 impl Charge {
     /// Returns the quota of a request that did not run and never will.
     pub(super) fn refund(self) {
-        self.rate_limiter.meter().give_back(&self.subject, self.at);
+        self.rate_limiter.limiter().refund(&self.subject, self.at);
     }
 }
 
@@ -146,16 +146,18 @@
     let rate_limiter = Arc::clone(&proxy.rate_limiter);
     while !proxy.done.is_closed() {
         let now = proxy.now();
-        let ask = rate_limiter.meter().next(now);
-        let Some(ask) = ask else {
-            let due = rate_limiter.meter().wake().saturating_sub(now);
+        let demand = rate_limiter.limiter().next_demand(now);
+        let Some(demand) = demand else {
+            let due = rate_limiter.limiter().wake().saturating_sub(now);
             timeout(due.min(MAX_WAIT), rate_limiter.wakeup.1.recv()).await.ok();
             continue;
         };
         let (sender, receiver) = bounded(1);
-        proxy.try_notify(Input::Quota(ask, sender));
-        let Ok(Ok(grant)) = timeout(Meter::AGAIN, receiver.recv()).await else { continue };
-        rate_limiter.meter().grant(proxy.now(), &grant);
+        proxy.try_notify(Input::Quota(demand, sender));
+        let Ok(Ok(grant)) = timeout(Limiter::RESEND_INTERVAL, receiver.recv()).await else {
+            continue;
+        };
+        rate_limiter.limiter().apply(proxy.now(), &grant);
         for waiter in std::mem::take(&mut *rate_limiter.waiters()) {
             waiter.try_send(()).ok();
         }
--- a/src/node/traffic/reservation.rs
+++ b/src/node/traffic/reservation.rs
@@ -1,7 +1,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::balance::Finish;
+use crate::balance::Completion;
 use crate::balance::Pick;
 use crate::balance::Ticket;
 use crate::health;
@@ -84,8 +84,8 @@
     fn give_back(&mut self, kind: health::Kind, latency: Duration) {
         if !self.ended {
             self.ended = true;
-            let finish = Finish { kind, latency, report: None };
-            self.service.finish(self.proxy.now(), self.ticket, finish);
+            let completion = Completion { kind, latency, report: None };
+            self.service.finish(self.proxy.now(), self.ticket, completion);
         }
     }
 }
--- a/src/node/traffic/serve.rs
+++ b/src/node/traffic/serve.rs
@@ -9,7 +9,7 @@
 use http::Method;
 use rand::Rng;
 
-use crate::admission::Start;
+use crate::admission::Startup;
 use crate::boundary::Call;
 use crate::clock::Moment;
 use crate::exchange;
@@ -96,7 +96,7 @@
         return true;
     }
     let budget = proxy.boundary.call(request, peer.ip()).budget.unwrap_or(DEFAULT_BUDGET);
-    let longest = Start::patience(proxy.now(), budget);
+    let longest = Startup::max_wait(proxy.now(), budget);
     let ready = proxy.wait_until_ready(longest).fuse();
     let gone = caller_gone(!request.body.is_empty(), writer).fuse();
     pin_mut!(gone, ready);
--- a/src/node/traffic/service.rs
+++ b/src/node/traffic/service.rs
@@ -9,12 +9,12 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::balance;
-use crate::balance::Ask;
-use crate::balance::Finish;
+use crate::balance::Completion;
+use crate::balance::Health;
 use crate::balance::Pick;
 use crate::balance::Picker;
+use crate::balance::Request;
 use crate::balance::Ticket;
-use crate::balance::Verdicts;
 use crate::breaker::Trial;
 use crate::clock::Moment;
 use crate::id::ServiceId;
@@ -81,7 +81,7 @@
         avoid: &[UpstreamId],
         is_long: bool,
     ) -> Option<Pick> {
-        self.selector(now, view).picker.pick(now, &Ask { avoid, is_long })
+        self.selector(now, view).picker.pick(now, &Request { avoid, is_long })
     }
 
     /// Picks an upstream that is due for a trial request, once per trial. `is_repeatable` tells
@@ -97,14 +97,14 @@
         }
         let mut selector = self.selector(now, view);
         let is_unsent = |trial: &&Trial| !selector.sent_trials.contains(&trial.number);
-        let accepts = |trial: &&Trial| is_repeatable || trial.by_any;
+        let accepts = |trial: &&Trial| is_repeatable || trial.allows_any;
         let trial = view.trials.iter().filter(accepts).find(is_unsent)?;
         selector.sent_trials.insert(trial.number);
         selector.picker.pick_only(now, &trial.upstream, false)
     }
 
-    pub(super) fn finish(&self, now: Moment, ticket: Ticket, finish: Finish) {
-        self.lock().picker.finish(now, ticket, finish);
+    pub(super) fn finish(&self, now: Moment, ticket: Ticket, completion: Completion) {
+        self.lock().picker.finish(now, ticket, completion);
     }
 
     /// The retry policy and its budget, advanced to `now`.
@@ -157,7 +157,7 @@
     fn limit_retries(&self, now: Moment, sharing: Option<usize>) {
         if self.retry.pooled {
             let settings::Retry { burst, share, window, .. } = self.retry;
-            let limits = retry::Limits::part(share, burst, window, sharing);
+            let limits = retry::Limits::per_entry(share, burst, window, sharing);
             let limits = retry::Limits { is_first: self.is_first, ..limits };
             self.policy(now).set_limits(limits);
         }
--- a/src/replay/player.rs
+++ b/src/replay/player.rs
@@ -7,13 +7,13 @@
 use super::Retry;
 use crate::admission::Gate;
 use crate::clock::Moment;
-use crate::health::Judge;
+use crate::health::Monitor;
 use crate::retry;
 
 /// A machine at work.
 pub(super) enum Player {
     Gate(Box<Gate>),
-    Judge(Box<Judge>),
+    Judge(Box<Monitor>),
     Policy(Box<retry::Policy>),
 }
 
@@ -24,7 +24,7 @@
                 Self::Gate(Box::new(Gate::new(classes, random(*seed), now)))
             }
             Machine::Judge { name, seed, setup } => {
-                let judge = Judge::new(name.clone(), setup.clone(), random(*seed));
+                let judge = Monitor::new(name.clone(), setup.clone(), random(*seed));
                 Self::Judge(Box::new(judge))
             }
             Machine::Policy { seed } => Self::Policy(Box::new(retry::Policy::new(random(*seed)))),
@@ -41,7 +41,7 @@
                 judge.handle(now, input).into_iter().map(Output::Judge).collect()
             }
             (Self::Judge(judge), Input::Setup(setup)) => {
-                judge.set_setup(now, setup).into_iter().map(Output::Judge).collect()
+                judge.set_config(now, setup).into_iter().map(Output::Judge).collect()
             }
             (Self::Policy(policy), Input::Policy(input)) => {
                 policy.advance(now);
@@ -55,11 +55,11 @@
 fn advise(policy: &mut retry::Policy, input: Retry) -> Option<Output> {
     match input {
         Retry::Decide(attempt) => return Some(Output::Policy(policy.decide(&attempt))),
-        Retry::First => policy.first(),
-        Retry::Hedge { remaining } => return Some(Output::Hedge(policy.hedge(remaining))),
-        Retry::Hedged { won } => policy.hedged(won),
+        Retry::First => policy.record_first(),
+        Retry::Hedge { remaining } => return Some(Output::Hedge(policy.try_hedge(remaining))),
+        Retry::Hedged { won } => policy.record_hedge(won),
         Retry::Limit(limits) => policy.set_limits(limits),
-        Retry::Note { time } => policy.note(time),
+        Retry::Note { time } => policy.record_latency(time),
     }
     None
 }
--- a/tests/suite/breaker.rs
+++ b/tests/suite/breaker.rs
@@ -1,8 +1,8 @@
-//! Breakers of a service's upstreams, on what callers received.
+//! Tests of `hemlockfield::breaker`.
 
-mod blame;
 mod circuit;
-mod errors;
-mod once;
-mod outages;
-mod panel;
+mod error_history;
+mod group;
+mod local_fault;
+mod non_idempotent;
+mod outage_history;
--- a/tests/suite/replay/record.rs
+++ b/tests/suite/replay/record.rs
@@ -6,7 +6,7 @@
 use hemlockfield::admission::Pattern;
 use hemlockfield::clock::Moment;
 use hemlockfield::health;
-use hemlockfield::health::Judge;
+use hemlockfield::health::Monitor;
 use hemlockfield::replay::Input;
 use hemlockfield::replay::Line;
 use hemlockfield::replay::Machine;
@@ -45,9 +45,9 @@
     let path = folder.path().join("entry.jsonl");
     let recorder = recorder(&path, LIMIT);
     let mut taped = Taped::new();
-    let mut trial = Pattern::Burst.trial(3);
-    trial.jobs.truncate(120);
-    trial.run(&mut taped);
+    let mut simulation = Pattern::Burst.simulation(3);
+    simulation.jobs.truncate(120);
+    simulation.run(&mut taped);
     let gate = Tape::new(&recorder, "gate/shop".into());
     for line in &taped.lines {
         line.machine.iter().for_each(|machine| gate.machine(line.at_us.0, || machine.clone()));
@@ -65,8 +65,8 @@
 }
 
 fn run_judge(tape: &Tape) -> Vec<(Moment, Output)> {
-    let (seed, setup) = (9, health::Setup::default());
-    let mut judge = Judge::new("e00".into(), setup.clone(), ChaCha8Rng::seed_from_u64(seed));
+    let (seed, setup) = (9, health::Config::default());
+    let mut judge = Monitor::new("e00".into(), setup.clone(), ChaCha8Rng::seed_from_u64(seed));
     tape.machine(Moment::ZERO, || Machine::Judge { name: "e00".into(), seed, setup });
     let mut outputs = Vec::new();
     for (at, input) in judge::some() {
@@ -84,14 +84,14 @@
     let mut policy = Policy::new(4, tape);
     let mut outputs = Vec::new();
     for tries in (1..=3).cycle().take(90) {
-        policy.first();
-        policy.note(Duration::from_nanos(25_000_001));
+        policy.record_first();
+        policy.record_latency(Duration::from_nanos(25_000_001));
         let decision = policy.decide(&hemlockfield::retry::Attempt { tries, ..attempt() });
         outputs.push((Moment::ZERO, Output::Policy(decision)));
-        let hedge = policy.hedge(Duration::from_secs(1));
+        let hedge = policy.try_hedge(Duration::from_secs(1));
         outputs.push((Moment::ZERO, Output::Hedge(hedge)));
         if hedge {
-            policy.hedged(tries == 1);
+            policy.record_hedge(tries == 1);
         }
     }
     outputs
@@ -126,7 +126,7 @@
     for _ in 0..2 {
         let recorder = recorder(&path, 1024);
         let mut policy = Policy::new(4, Tape::new(&recorder, "policy/shop".into()));
-        (0..100).for_each(|_| policy.first());
+        (0..100).for_each(|_| policy.record_first());
         drop((policy, recorder));
         let length = std::fs::metadata(&path).expect("file").len();
         assert!(length <= 1024 && length > 900, "{length}");
