--- a/src/node/error.rs
+++ b/src/node/error.rs
@@ -36,7 +36,7 @@
     },
     /// The process has no log to open.
     #[error("this process is no control and has no log")]
-    Office,
+    NoLog,
     /// Recording that can't be written.
     #[error(transparent)]
     Replay(#[from] crate::replay::Error),
--- a/src/node/make.rs
+++ b/src/node/make.rs
@@ -85,7 +85,7 @@
     let settings = settings.clone();
     let opener: Opener = Box::new(move || {
         let opened = self::office(&settings, None, false)?;
-        opened.ok_or_else(|| Error::Office)
+        opened.ok_or_else(|| Error::NoLog)
     });
     let machine = Box::new(Attached::new(now, setup));
     Ok(Parts { held: None, log, machine, opener: Some(opener) })
