--- a/src/node/attached.rs
+++ b/src/node/attached.rs
@@ -25,7 +25,7 @@
 use crate::id::RegionId;
 use crate::wire::Frame;
 
-use super::Office;
+use super::Controller;
 use super::View;
 use super::core::Input;
 use super::core::Output;
@@ -139,15 +139,15 @@
         0
     }
 
-    fn close_office(&mut self, reason: String) {
+    fn close_controller(&mut self, reason: String) {
         if let Some(hub) = &mut self.hub {
-            hub.close_office(reason);
+            hub.close_controller(reason);
         }
     }
 
-    fn open_office(&mut self, office: Office) {
+    fn open_controller(&mut self, controller: Controller) {
         if let Some(hub) = &mut self.hub {
-            hub.open_office(office);
+            hub.open_controller(controller);
         }
     }
 }
--- a/src/node/attached/hub.rs
+++ b/src/node/attached/hub.rs
@@ -17,13 +17,13 @@
 use crate::feed::Ready;
 use crate::id::Index;
 use crate::id::NodeId;
-use crate::node::Office;
+use crate::node::Controller;
 use crate::node::View;
 use crate::node::clerk;
 use crate::node::clerk::Clerk;
+use crate::node::controller;
 use crate::node::core::Input;
 use crate::node::core::Output;
-use crate::node::office;
 use crate::node::status;
 use crate::quorum::mend;
 use crate::quota;
@@ -59,7 +59,7 @@
     hello_at: Moment,
     mend_at: Moment,
     next_ask: u64,
-    office: Option<Office>,
+    controller: Option<Controller>,
     peers: Peers,
     publisher: Publisher,
     reads: Vec<Reading>,
@@ -93,7 +93,7 @@
             hello_at: now,
             mend_at: now,
             next_ask: ASKS,
-            office: setup.office,
+            controller: setup.controller,
             peers: Peers::new(me, setup.seeds),
             publisher: Publisher::default(),
             reads: Vec::new(),
@@ -108,7 +108,12 @@
         match input {
             Input::Catalog(ticket, action) => self.catalog(now, ticket, action, &mut outputs),
             Input::Change(ticket, change) => {
-                self.tell_office(now, wall, office::Input::Change(ticket, change), &mut outputs);
+                self.tell_controller(
+                    now,
+                    wall,
+                    controller::Input::Change(ticket, change),
+                    &mut outputs,
+                );
             }
             Input::Frame(from, frame) => self.receive(now, wall, from, frame, &mut outputs),
             Input::Read(ticket) => {
@@ -120,7 +125,7 @@
             }
             Input::Submit(ticket, version) => self.submit(now, ticket, version, &mut outputs),
             Input::Synced(number) => {
-                self.tell_office(now, wall, office::Input::Synced(number), &mut outputs);
+                self.tell_controller(now, wall, controller::Input::Synced(number), &mut outputs);
             }
             Input::Tick => self.tick(now, wall, &mut outputs),
             _ => (),
@@ -130,21 +135,22 @@
     }
 
     pub(super) fn wake(&self, now: Moment) -> Moment {
-        let office = self.office.as_ref().and_then(Office::wake);
+        let controller = self.controller.as_ref().and_then(Controller::wake);
         let reads = self.reads.iter().map(|read| read.until).min();
-        let mend = self.office.as_ref().filter(|office| office.leads()).map(|_| self.mend_at);
-        let due = office.into_iter().chain(reads).chain(mend).chain(self.clerk.wake());
+        let mend =
+            self.controller.as_ref().filter(|controller| controller.leads()).map(|_| self.mend_at);
+        let due = controller.into_iter().chain(reads).chain(mend).chain(self.clerk.wake());
         due.fold(self.publisher.wake().min(self.hello_at), Moment::min).max(now)
     }
 
     pub(super) fn version(&self) -> Option<&Version> {
-        self.office.as_ref()?.in_force()
+        self.controller.as_ref()?.in_force()
     }
 
     pub(super) fn control(&self, now: Moment) -> status::Control {
         status::Control {
-            claims: self.office.as_ref().map_or(0, Office::claims_kept),
-            log: self.office.as_ref().map(|office| office.status(now)),
+            claims: self.controller.as_ref().map_or(0, Controller::claims_kept),
+            log: self.controller.as_ref().map(|controller| controller.status(now)),
             stopped: self.stopped.clone(),
         }
     }
@@ -157,13 +163,13 @@
         (entries != *last.entries).then(|| Arc::new(entries))
     }
 
-    pub(super) fn close_office(&mut self, reason: String) {
-        self.office = None;
+    pub(super) fn close_controller(&mut self, reason: String) {
+        self.controller = None;
         self.stopped = Some(reason);
     }
 
-    pub(super) fn open_office(&mut self, office: Office) {
-        self.office = Some(office);
+    pub(super) fn open_controller(&mut self, controller: Controller) {
+        self.controller = Some(controller);
         self.stopped = None;
         self.meet_members();
     }
@@ -180,19 +186,19 @@
             Frame::Feed(message) => self.feed(now, from, message, outputs),
             Frame::Order { ticket, order } => {
                 let input = match order {
-                    Order::Catalog(action) => office::Input::Catalog(from, ticket, action),
-                    Order::Quota(ask) => office::Input::Quota(from, ticket, ask),
-                    Order::Read => office::Input::Read(from, ticket),
-                    Order::Submit(version) => office::Input::Submit(from, ticket, version),
+                    Order::Catalog(action) => controller::Input::Catalog(from, ticket, action),
+                    Order::Quota(ask) => controller::Input::Quota(from, ticket, ask),
+                    Order::Read => controller::Input::Read(from, ticket),
+                    Order::Submit(version) => controller::Input::Submit(from, ticket, version),
                 };
-                self.tell_office(now, wall, input, outputs);
+                self.tell_controller(now, wall, input, outputs);
             }
             Frame::Quorum(message) => {
-                self.tell_office(now, wall, office::Input::Receive(from, message), outputs);
+                self.tell_controller(now, wall, controller::Input::Receive(from, message), outputs);
             }
             Frame::Submit { ticket, version } => {
-                let input = office::Input::Submit(from, ticket, version);
-                self.tell_office(now, wall, input, outputs);
+                let input = controller::Input::Submit(from, ticket, version);
+                self.tell_controller(now, wall, input, outputs);
             }
             Frame::Verdict { ticket, verdict } => {
                 let done = self.clerk.verdict(now, ticket, verdict);
@@ -225,7 +231,7 @@
                 self.publisher.hear(now, &from, ready);
                 if !known {
                     let controls = self.peers.present(now);
-                    let leader = self.office.as_ref().and_then(Office::leader);
+                    let leader = self.controller.as_ref().and_then(Controller::leader);
                     outputs.push(send(from, Message::Controls { controls, leader }));
                 }
             }
@@ -235,7 +241,7 @@
             Message::Poll(poll) => {
                 let controls = self.peers.present(now);
                 let blank = Catalog::default();
-                let ledger = ledger(now, self.office.as_ref(), &blank, controls);
+                let ledger = ledger(now, self.controller.as_ref(), &blank, controls);
                 let sends = self.publisher.poll(now, poll, &ledger);
                 outputs.extend(sends.into_iter().map(|(to, message)| send(to, message)));
             }
@@ -243,7 +249,7 @@
     }
 
     fn tick(&mut self, now: Moment, wall: Epoch, outputs: &mut Vec<Output>) {
-        self.tell_office(now, wall, office::Input::Tick, outputs);
+        self.tell_controller(now, wall, controller::Input::Tick, outputs);
         let done = self.clerk.tick(now);
         self.carry_out(now, done, outputs);
         self.publish(now, outputs);
@@ -257,7 +263,7 @@
         }
         let controls = self.peers.present(now);
         let blank = Catalog::default();
-        let ledger = ledger(now, self.office.as_ref(), &blank, controls);
+        let ledger = ledger(now, self.controller.as_ref(), &blank, controls);
         let sends = self.publisher.tick(now, &ledger);
         outputs.extend(sends.into_iter().map(|(to, message)| send(to, message)));
     }
@@ -269,7 +275,8 @@
         }
         self.hello_at = now + HELLO;
         self.peers.forget(now, self.members());
-        let disk = self.office.as_ref().and_then(|office| office.replica().named_disk());
+        let disk =
+            self.controller.as_ref().and_then(|controller| controller.replica().named_disk());
         let ready = Ready { entries: self.publisher.own(now) };
         for id in self.peers.others() {
             let (control, ready) = (self.peers.me().clone(), ready.clone());
@@ -279,25 +286,29 @@
 
     /// Changes the members, where this control leads and the others that are there ask for it.
     fn mend(&mut self, now: Moment, wall: Epoch, outputs: &mut Vec<Output>) {
-        let Some(office) = self.office.as_ref().filter(|office| office.leads()) else { return };
+        let Some(controller) = self.controller.as_ref().filter(|controller| controller.leads())
+        else {
+            return;
+        };
         if now < self.mend_at {
             return;
         }
         self.mend_at = now + MEND;
-        let next = mend::next(&office.status(now), office.tenure(now), &self.peers.disks(now));
+        let next =
+            mend::next(&controller.status(now), controller.tenure(now), &self.peers.disks(now));
         if let Some(change) = next {
             let event = events::event(&self.peers.me().id, Kind::MemberChanged);
             outputs.push(Output::Event(event.detail("change", format!("{change:?}"))));
-            self.tell_office(now, wall, office::Input::Change(0, change), outputs);
+            self.tell_controller(now, wall, controller::Input::Change(0, change), outputs);
         }
     }
 
     fn catalog(&mut self, now: Moment, ticket: u64, action: Action, outputs: &mut Vec<Output>) {
-        let Some(office) = &self.office else {
+        let Some(controller) = &self.controller else {
             outputs.push(Output::Announced(ticket, Err("no disk to write to".to_owned())));
             return;
         };
-        if !office.catalog().is_news(&action) {
+        if !controller.catalog().is_news(&action) {
             outputs.push(Output::Announced(ticket, Ok(())));
             return;
         }
@@ -343,7 +354,7 @@
         patience: Duration,
         outputs: &mut Vec<Output>,
     ) {
-        if let Some(leader) = self.office.as_ref().and_then(Office::leader) {
+        if let Some(leader) = self.controller.as_ref().and_then(Controller::leader) {
             self.clerk.set_leader(&leader);
         }
         self.asked.insert(ticket, asked);
@@ -390,7 +401,7 @@
         if self.reads.is_empty() {
             return;
         }
-        let applied = self.office.as_ref().map(Office::applied);
+        let applied = self.controller.as_ref().map(Controller::applied);
         for read in std::mem::take(&mut self.reads) {
             if applied.is_some_and(|applied| applied >= read.index) {
                 outputs.push(Output::Read(read.ticket, Some(self.version().cloned())));
@@ -402,43 +413,44 @@
         }
     }
 
-    fn tell_office(
+    fn tell_controller(
         &mut self,
         now: Moment,
         wall: Epoch,
-        input: office::Input,
+        input: controller::Input,
         outputs: &mut Vec<Output>,
     ) {
-        let Some(office) = &mut self.office else { return };
+        let Some(controller) = &mut self.controller else { return };
         let mut changed = false;
-        for output in office.handle(now, wall, input) {
+        for output in controller.handle(now, wall, input) {
             match output {
-                office::Output::Changed(ticket, result) => {
+                controller::Output::Changed(ticket, result) => {
                     outputs.push(Output::Changed(ticket, result));
                 }
-                office::Output::Committed(version) => {
+                controller::Output::Committed(version) => {
                     changed = true;
                     let event = events::event(&self.peers.me().id, Kind::ConfigurationAccepted);
                     outputs.push(Output::Event(event.configuration(version.number)));
                 }
-                office::Output::Installed => changed = true,
-                office::Output::Leads(_) => (),
-                office::Output::Persist(number, records) => {
+                controller::Output::Installed => changed = true,
+                controller::Output::Leads(_) => (),
+                controller::Output::Persist(number, records) => {
                     outputs.push(Output::Persist(number, records));
                 }
-                office::Output::Send(to, frame) => outputs.push(Output::Send(to, None, *frame)),
-                office::Output::Term(role, term) => {
+                controller::Output::Send(to, frame) => outputs.push(Output::Send(to, None, *frame)),
+                controller::Output::Term(role, term) => {
                     let event = events::event(&self.peers.me().id, Kind::Election).term(term);
                     outputs.push(Output::Event(event.detail("role", format!("{role:?}"))));
                 }
-                office::Output::Upstream(action) => {
+                controller::Output::Upstream(action) => {
                     changed = true;
                     outputs.push(Output::Event(events::about(&self.peers.me().id, &action)));
                 }
             }
         }
         if changed {
-            let upstreams = self.office.iter().flat_map(|office| office.catalog().upstreams());
+            let upstreams =
+                self.controller.iter().flat_map(|controller| controller.catalog().upstreams());
             self.publisher.set_slots(upstreams.map(|said| said.slots).sum());
             self.publisher.changed(now);
             self.meet_members();
@@ -447,7 +459,7 @@
     }
 
     fn members(&self) -> Vec<NodeId> {
-        let members = self.office.as_ref().map(|office| office.replica().membership());
+        let members = self.controller.as_ref().map(|controller| controller.replica().membership());
         members.map(|them| them.members().map(|(id, _)| id.clone()).collect()).unwrap_or_default()
     }
 
@@ -463,19 +475,19 @@
 
 fn ledger<'a>(
     now: Moment,
-    office: Option<&'a Office>,
+    controller: Option<&'a Controller>,
     blank: &'a Catalog,
     controls: Vec<Control>,
 ) -> Ledger<'a> {
-    let Some(office) = office else {
+    let Some(controller) = controller else {
         return Ledger { applied: 0, catalog: blank, configuration: None, controls, fresh: false };
     };
     Ledger {
-        applied: office.applied(),
-        catalog: office.catalog(),
-        configuration: office.configuration(),
+        applied: controller.applied(),
+        catalog: controller.catalog(),
+        configuration: controller.configuration(),
         controls,
-        fresh: office.replica().is_current(now, FRESH),
+        fresh: controller.replica().is_current(now, FRESH),
     }
 }
 
--- a/src/node/attached/setup.rs
+++ b/src/node/attached/setup.rs
@@ -8,7 +8,7 @@
 use crate::feed::Room;
 use crate::id::DomainId;
 use crate::id::NodeId;
-use crate::node::Office;
+use crate::node::Controller;
 
 /// What a process knows when it starts.
 #[derive(Debug)]
@@ -26,7 +26,7 @@
     /// Whether it is an entry.
     pub(in crate::node) is_entry: bool,
     /// The log, at a control.
-    pub(in crate::node) office: Option<Office>,
+    pub(in crate::node) controller: Option<Controller>,
     /// How much it is meant to carry, at an entry.
     pub(in crate::node) room: Room,
     /// Span over which further tries count, at an entry.
--- a/src/node/office.rs
+++ b/src/node/controller.rs
@@ -40,7 +40,7 @@
 
 /// A control's part: the quorum log and what it has brought about.
 #[derive(Debug)]
-pub struct Office {
+pub struct Controller {
     applied: Index,
     book: Book,
     catalog: Catalog,
@@ -63,7 +63,7 @@
     snapshot_at: Index,
 }
 
-/// What an office is told.
+/// What an controller is told.
 #[derive(Debug)]
 pub enum Input {
     /// What an upstream said, from a control with its ticket.
@@ -86,7 +86,7 @@
     Tick,
 }
 
-/// What an office wants done, in this order.
+/// What an controller wants done, in this order.
 #[derive(Debug)]
 pub enum Output {
     /// Answer to a change of the membership.
@@ -129,8 +129,8 @@
     },
 }
 
-impl Office {
-    /// Office over what its data folder still knows.
+impl Controller {
+    /// Controller over what its data folder still knows.
     pub fn new(setup: quorum::Setup, recovered: Recovered, seed: u64) -> Self {
         Self {
             applied: 0,
--- a/src/node/core.rs
+++ b/src/node/core.rs
@@ -49,11 +49,11 @@
 use crate::wire::Order;
 use crate::wire::Verdict;
 
-use super::Office;
+use super::Controller;
 use super::clerk::Clerk;
+use super::controller;
 use super::input::Claimed;
 use super::judges::Judges;
-use super::office;
 
 /// What a process is, and what it still knows, at its start.
 #[derive(Debug)]
@@ -65,7 +65,7 @@
     /// Itself, as it tells the others.
     pub me: fleet::Record,
     /// Control's part, where the process has one.
-    pub office: Option<Office>,
+    pub controller: Option<Controller>,
     /// Recording of the judges' inputs.
     pub recorder: Recorder,
     /// Processes to ask for membership.
@@ -182,7 +182,7 @@
     leaving: bool,
     me: fleet::Record,
     member: Member,
-    office: Option<Office>,
+    controller: Option<Controller>,
     /// When this process last asked an upstream for its own report.
     probed_at: BTreeMap<UpstreamId, Moment>,
     registry: Registry,
@@ -218,7 +218,7 @@
             leaving: false,
             me,
             member,
-            office: setup.office,
+            controller: setup.controller,
             probed_at: BTreeMap::new(),
             registry,
             rules: None,
@@ -277,7 +277,7 @@
                 self.carry_out(now, done, &mut outputs);
             }
             Input::Synced(number) => {
-                self.tell_office(now, office::Input::Synced(number), &mut outputs);
+                self.tell_controller(now, controller::Input::Synced(number), &mut outputs);
             }
             Input::Tick => self.tick(now, &mut outputs),
         }
@@ -290,7 +290,7 @@
         if let Some(at) = self.agent.next_at() {
             wake = wake.min(at);
         }
-        if let Some(at) = self.office.as_ref().and_then(Office::wake) {
+        if let Some(at) = self.controller.as_ref().and_then(Controller::wake) {
             wake = wake.min(at);
         }
         wake
@@ -327,8 +327,8 @@
     }
 
     /// Control's part.
-    pub fn office(&self) -> Option<&Office> {
-        self.office.as_ref()
+    pub fn controller(&self) -> Option<&Controller> {
+        self.controller.as_ref()
     }
 
     /// Verdicts on the upstreams of each service.
@@ -343,7 +343,7 @@
             self.members_moved(now, outputs);
         }
         self.tell_member(now, fleet::Input::Tick, outputs);
-        self.tell_office(now, office::Input::Tick, outputs);
+        self.tell_controller(now, controller::Input::Tick, outputs);
         self.tell_holder(now, config::Input::Tick, outputs);
         self.tell_agent(now, claim::Input::Tick, outputs);
         self.tick_registry(now, outputs);
@@ -360,7 +360,7 @@
                 self.tell_holder(now, config::Input::Receive { from, message }, outputs);
             }
             Frame::Order { ticket, order: Order::Quota(ask) } => {
-                self.tell_office(now, office::Input::Quota(from, ticket, ask), outputs);
+                self.tell_controller(now, controller::Input::Quota(from, ticket, ask), outputs);
             }
             Frame::Feed(_) | Frame::Order { .. } => {
                 tracing::warn!(target: "hemlockfield::link", peer = %from, "frame of another kind of fleet");
@@ -372,13 +372,17 @@
                 self.tell_judge(now, &service, health::Input::Digest(digest), outputs);
             }
             Frame::Quorum(message) => {
-                self.tell_office(now, office::Input::Receive(from, message), outputs);
+                self.tell_controller(now, controller::Input::Receive(from, message), outputs);
             }
             Frame::Registry(message) => {
                 self.tell_registry(now, registry::Input::Receive { from, message }, outputs);
             }
             Frame::Submit { ticket, version } => {
-                self.tell_office(now, office::Input::Submit(from, ticket, version), outputs);
+                self.tell_controller(
+                    now,
+                    controller::Input::Submit(from, ticket, version),
+                    outputs,
+                );
             }
             Frame::Verdict { ticket, verdict } => {
                 let done = self.clerk.verdict(now, ticket, verdict);
--- a/src/node/core/claims.rs
+++ b/src/node/core/claims.rs
@@ -1,10 +1,10 @@
 use crate::claim;
 use crate::clock::Moment;
 use crate::id::NodeId;
+use crate::node::controller;
 use crate::node::core::Core;
 use crate::node::core::Output;
 use crate::node::input::Claimed;
-use crate::node::office;
 use crate::wire::Frame;
 
 impl Core {
@@ -55,7 +55,7 @@
     ) {
         match message {
             claim::Message::Submit(actions) => {
-                self.tell_office(now, office::Input::Claims(from, actions), outputs);
+                self.tell_controller(now, controller::Input::Claims(from, actions), outputs);
             }
             message => self.tell_agent(now, claim::Input::Receive { from, message }, outputs),
         }
--- a/src/node/core/configuration.rs
+++ b/src/node/core/configuration.rs
@@ -5,9 +5,9 @@
 use crate::config::Version;
 use crate::fleet;
 use crate::node::clerk;
+use crate::node::controller;
 use crate::node::core::Core;
 use crate::node::core::Output;
-use crate::node::office;
 use crate::quorum;
 use crate::rule::Rules;
 use crate::timeline::Kind;
@@ -15,38 +15,38 @@
 use crate::wire::Verdict;
 
 impl Core {
-    pub(super) fn tell_office(
+    pub(super) fn tell_controller(
         &mut self,
         now: Moment,
-        input: office::Input,
+        input: controller::Input,
         outputs: &mut Vec<Output>,
     ) {
-        let Some(office) = &mut self.office else { return };
-        for output in office.handle(now, self.wall, input) {
+        let Some(controller) = &mut self.controller else { return };
+        for output in controller.handle(now, self.wall, input) {
             match output {
-                office::Output::Changed(ticket, result) => {
+                controller::Output::Changed(ticket, result) => {
                     outputs.push(Output::Changed(ticket, result));
                 }
-                office::Output::Committed(version) => {
+                controller::Output::Committed(version) => {
                     let number = version.number;
                     let event = self.event(Kind::ConfigurationAccepted).configuration(number);
                     outputs.push(Output::Event(event));
                     self.tell_holder(now, config::Input::Committed(version), outputs);
                 }
-                office::Output::Installed | office::Output::Upstream(_) => {
+                controller::Output::Installed | controller::Output::Upstream(_) => {
                     tracing::warn!(
                         target: "hemlockfield::registry",
                         "the log speaks of upstreams, which announce themselves to entries here"
                     );
                 }
-                office::Output::Leads(leads) => {
+                controller::Output::Leads(leads) => {
                     self.tell_holder(now, config::Input::Leads(leads), outputs);
                 }
-                office::Output::Persist(number, records) => {
+                controller::Output::Persist(number, records) => {
                     outputs.push(Output::Persist(number, records));
                 }
-                office::Output::Send(to, frame) => self.send(now, to, *frame, outputs),
-                office::Output::Term(role, term) => {
+                controller::Output::Send(to, frame) => self.send(now, to, *frame, outputs),
+                controller::Output::Term(role, term) => {
                     let event = self.event(Kind::Election).term(term);
                     outputs.push(Output::Event(event.detail("role", format!("{role:?}"))));
                 }
@@ -61,12 +61,12 @@
         change: quorum::Change,
         outputs: &mut Vec<Output>,
     ) {
-        if self.office.is_none() {
+        if self.controller.is_none() {
             let text = "this process is no control; ask one".to_owned();
             outputs.push(Output::Changed(ticket, Err(text)));
             return;
         }
-        self.tell_office(now, office::Input::Change(ticket, change), outputs);
+        self.tell_controller(now, controller::Input::Change(ticket, change), outputs);
     }
 
     pub(super) fn tell_holder(
--- a/src/node/core/machine.rs
+++ b/src/node/core/machine.rs
@@ -4,7 +4,7 @@
 use crate::clock::Moment;
 use crate::fleet;
 use crate::id::NodeId;
-use crate::node::Office;
+use crate::node::Controller;
 use crate::node::View;
 use crate::node::core::Core;
 use crate::node::core::Input;
@@ -46,11 +46,11 @@
         self.open_claims()
     }
 
-    fn close_office(&mut self, reason: String) {
-        self.close_office(reason);
+    fn close_controller(&mut self, reason: String) {
+        self.close_controller(reason);
     }
 
-    fn open_office(&mut self, office: Office) {
-        self.open_office(office);
+    fn open_controller(&mut self, controller: Controller) {
+        self.open_controller(controller);
     }
 }
--- a/src/node/core/view.rs
+++ b/src/node/core/view.rs
@@ -5,7 +5,7 @@
 use crate::clock::Moment;
 use crate::health;
 use crate::id::ServiceId;
-use crate::node::Office;
+use crate::node::Controller;
 use crate::node::View;
 use crate::node::core::Core;
 use crate::node::status;
@@ -47,25 +47,28 @@
 
     /// What operators see of control.
     pub fn control(&self, now: Moment) -> Option<status::Control> {
-        if self.office.is_none() && self.stopped.is_none() {
+        if self.controller.is_none() && self.stopped.is_none() {
             return None;
         }
         Some(status::Control {
-            claims: self.office.as_ref().map_or(0, super::super::office::Office::claims_kept),
-            log: self.office.as_ref().map(|office| office.status(now)),
+            claims: self
+                .controller
+                .as_ref()
+                .map_or(0, super::super::controller::Controller::claims_kept),
+            log: self.controller.as_ref().map(|controller| controller.status(now)),
             stopped: self.stopped.clone(),
         })
     }
 
     /// Ends control's part here, for `reason`.
-    pub fn close_office(&mut self, reason: String) {
-        self.office = None;
+    pub fn close_controller(&mut self, reason: String) {
+        self.controller = None;
         self.stopped = Some(reason);
     }
 
     /// Takes control's part up again, from what the disk has kept.
-    pub fn open_office(&mut self, office: Office) {
-        self.office = Some(office);
+    pub fn open_controller(&mut self, controller: Controller) {
+        self.controller = Some(controller);
         self.stopped = None;
     }
 
--- a/src/node/machine.rs
+++ b/src/node/machine.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Debug;
 
-use super::Office;
+use super::Controller;
 use super::View;
 use super::core::Input;
 use super::core::Output;
@@ -32,8 +32,8 @@
     fn open_claims(&self) -> usize;
 
     /// Ends control's part here, for `reason`.
-    fn close_office(&mut self, reason: String);
+    fn close_controller(&mut self, reason: String);
 
     /// Takes control's part up again, from what the disk has kept.
-    fn open_office(&mut self, office: Office);
+    fn open_controller(&mut self, controller: Controller);
 }
--- a/src/node/make.rs
+++ b/src/node/make.rs
@@ -23,9 +23,9 @@
 use crate::storage::Folder;
 use crate::storage::Log;
 
+use super::Controller;
 use super::Core;
 use super::Error;
-use super::Office;
 use super::attached;
 use super::attached::Attached;
 use super::core::Setup;
@@ -67,8 +67,9 @@
         return own_parts(now, settings, callers, found, recorder);
     }
     let founders = founders(settings);
-    let opened = office(settings, founders.clone(), false)?;
-    let (office, log) = opened.map_or((None, None), |(office, log)| (Some(office), Some(log)));
+    let opened = controller(settings, founders.clone(), false)?;
+    let (controller, log) =
+        opened.map_or((None, None), |(controller, log)| (Some(controller), Some(log)));
     let setup = attached::Setup {
         boundary,
         callers: callers.unwrap_or_else(nowhere),
@@ -76,7 +77,7 @@
         id: settings.node.id.clone(),
         is_control: settings.has(Role::Control),
         is_entry: settings.has(Role::Entry),
-        office,
+        controller,
         room: Room::new(settings.limits.processor, settings.limits.link),
         retry_window: settings.retry.window,
         seed: rand::random(),
@@ -84,7 +85,7 @@
     };
     let settings = settings.clone();
     let opener: Opener = Box::new(move || {
-        let opened = self::office(&settings, None, false)?;
+        let opened = self::controller(&settings, None, false)?;
         opened.ok_or_else(|| Error::NoLog)
     });
     let machine = Box::new(Attached::new(now, setup));
@@ -100,13 +101,14 @@
 ) -> Result<Parts, Error> {
     let (held, kept) = held(settings)?;
     let founders = found.then(|| Membership::founding(controls(settings)));
-    let opened = office(settings, founders, found)?;
-    let (office, log) = opened.map_or((None, None), |(office, log)| (Some(office), Some(log)));
+    let opened = controller(settings, founders, found)?;
+    let (controller, log) =
+        opened.map_or((None, None), |(controller, log)| (Some(controller), Some(log)));
     let setup = Setup {
         controls: controls(settings),
         kept,
         me: me(settings, callers),
-        office,
+        controller,
         recorder,
         seeds: seeds(settings),
         seed: rand::random(),
@@ -174,11 +176,11 @@
 }
 
 /// Opens a control's log. `found` refuses a folder that has one already.
-fn office(
+fn controller(
     settings: &Settings,
     founders: Option<Membership>,
     found: bool,
-) -> Result<Option<(Office, Log)>, Error> {
+) -> Result<Option<(Controller, Log)>, Error> {
     let Some(data) = settings.data.as_deref().filter(|_| settings.has(Role::Control)) else {
         return Ok(None);
     };
@@ -195,8 +197,8 @@
     } else {
         setup.founders = founders;
     }
-    let office = Office::new(setup, recovered, rand::random());
-    Ok(Some((office.with_window(settings.quota.window), log)))
+    let controller = Controller::new(setup, recovered, rand::random());
+    Ok(Some((controller.with_window(settings.quota.window), log)))
 }
 
 fn open(folder: &Path) -> Result<(Log, quorum::Recovered), Error> {
--- a/src/node/thread.rs
+++ b/src/node/thread.rs
@@ -23,10 +23,10 @@
 use crate::wire::Envelope;
 use crate::wire::Verdict;
 
+use super::Controller;
 use super::Error;
 use super::Inbox;
 use super::Input;
-use super::Office;
 use super::Status;
 use super::carrier::Carrier;
 use super::core;
@@ -57,7 +57,7 @@
 const VIEW_MIN: Duration = Duration::from_millis(20);
 
 /// Opens the log again.
-pub(super) type Opener = Box<dyn Fn() -> Result<(Office, Log), Error> + Send>;
+pub(super) type Opener = Box<dyn Fn() -> Result<(Controller, Log), Error> + Send>;
 
 /// State of the control thread.
 pub(super) struct Thread {
@@ -162,11 +162,11 @@
         let due = self.closed_at.is_some_and(|at| now >= at + REOPEN);
         let Some(opener) = self.opener.as_ref().filter(|_| due) else { return };
         match opener() {
-            Ok((office, log)) => {
+            Ok((controller, log)) => {
                 tracing::info!(target: "hemlockfield::storage", "the disk is back");
                 self.closed_at = None;
                 self.log = Some(log);
-                self.machine.open_office(office);
+                self.machine.open_controller(controller);
             }
             Err(error) => {
                 tracing::warn!(target: "hemlockfield::storage", "the disk is not back: {error}");
@@ -312,7 +312,7 @@
         tracing::error!(target: "hemlockfield::storage", "control stops here: {error}");
         self.log = None;
         self.closed_at = Some(self.now());
-        self.machine.close_office(error.to_string());
+        self.machine.close_controller(error.to_string());
     }
 
     fn record(&self, event: Event) {
--- a/tests/suite/core_fleet/site.rs
+++ b/tests/suite/core_fleet/site.rs
@@ -21,8 +21,8 @@
 use hemlockfield::id::NodeId;
 use hemlockfield::id::UpstreamId;
 use hemlockfield::node::Claimed;
+use hemlockfield::node::Controller;
 use hemlockfield::node::Core;
-use hemlockfield::node::Office;
 use hemlockfield::node::Output;
 use hemlockfield::node::Setup;
 use hemlockfield::node::View;
@@ -149,14 +149,14 @@
     pub(super) fn start(&mut self, id: &NodeId, found: bool) {
         self.seed += 1;
         let folder = self.folders.entry(id.clone()).or_default();
-        let (office, log) = if id.starts_with('c') {
+        let (controller, log) = if id.starts_with('c') {
             let disk = folder.log.get_or_insert_with(|| Disk::new(self.seed)).clone();
             let (log, recovered) = Log::open(Box::new(disk)).unwrap();
             let mut setup = quorum::Setup::new(id.clone());
             if found {
                 setup.founders = Some(Membership::founding(self.controls.clone()));
             }
-            (Some(Office::new(setup, recovered, self.seed)), Some(log))
+            (Some(Controller::new(setup, recovered, self.seed)), Some(log))
         } else {
             (None, None)
         };
@@ -165,7 +165,7 @@
             controls: self.controls.clone(),
             kept,
             me: self.record(id),
-            office,
+            controller,
             recorder: Recorder::open(None).unwrap(),
             seeds: self.seeds(id),
             seed: self.seed,
--- a/tests/suite/core_fleet/site/look.rs
+++ b/tests/suite/core_fleet/site/look.rs
@@ -31,7 +31,7 @@
     }
 
     pub(in crate::core_fleet) fn quorum(&self, id: &NodeId) -> quorum::Status {
-        self.core(id).office().unwrap().status(self.now)
+        self.core(id).controller().unwrap().status(self.now)
     }
 
     /// Controls that run and count as leaders.
