--- a/src/node.rs
+++ b/src/node.rs
@@ -6,11 +6,11 @@
 
 mod attached;
 mod carrier;
-mod clerk;
 mod controller;
 pub mod core;
 mod doors;
 mod error;
+mod forwarder;
 mod held;
 mod inbox;
 mod input;
--- a/src/node/attached/hub.rs
+++ b/src/node/attached/hub.rs
@@ -19,11 +19,11 @@
 use crate::id::NodeId;
 use crate::node::Controller;
 use crate::node::View;
-use crate::node::clerk;
-use crate::node::clerk::Clerk;
 use crate::node::controller;
 use crate::node::core::Input;
 use crate::node::core::Output;
+use crate::node::forwarder;
+use crate::node::forwarder::Forwarder;
 use crate::node::status;
 use crate::quorum::mend;
 use crate::quota;
@@ -55,7 +55,7 @@
 #[derive(Debug)]
 pub(super) struct Hub {
     asked: BTreeMap<u64, Asked>,
-    clerk: Clerk,
+    forwarder: Forwarder,
     hello_at: Moment,
     mend_at: Moment,
     next_ask: u64,
@@ -89,7 +89,7 @@
         let me = Control { domain: setup.domain, id: setup.id };
         let mut hub = Self {
             asked: BTreeMap::new(),
-            clerk: Clerk::default(),
+            forwarder: Forwarder::default(),
             hello_at: now,
             mend_at: now,
             next_ask: ASKS,
@@ -139,7 +139,7 @@
         let reads = self.reads.iter().map(|read| read.until).min();
         let mend =
             self.controller.as_ref().filter(|controller| controller.leads()).map(|_| self.mend_at);
-        let due = controller.into_iter().chain(reads).chain(mend).chain(self.clerk.wake());
+        let due = controller.into_iter().chain(reads).chain(mend).chain(self.forwarder.wake());
         due.fold(self.publisher.wake().min(self.hello_at), Moment::min).max(now)
     }
 
@@ -201,7 +201,7 @@
                 self.tell_controller(now, wall, input, outputs);
             }
             Frame::Verdict { ticket, verdict } => {
-                let done = self.clerk.verdict(now, ticket, verdict);
+                let done = self.forwarder.verdict(now, ticket, verdict);
                 self.carry_out(now, done, outputs);
             }
             _ => tracing::warn!(
@@ -217,16 +217,16 @@
             Message::Controls { controls, leader } => {
                 let new = controls.into_iter().filter(|it| self.peers.hear_of(it.clone())).count();
                 if new > 0 {
-                    self.set_clerk();
+                    self.set_forwarder();
                 }
                 if let Some(leader) = leader {
-                    self.clerk.set_leader(&leader);
+                    self.forwarder.set_leader(&leader);
                 }
             }
             Message::Hello { control, disk, ready } => {
                 let known = self.peers.has_greeted(&from);
                 if self.peers.greeted(now, control, disk) {
-                    self.set_clerk();
+                    self.set_forwarder();
                 }
                 self.publisher.hear(now, &from, ready);
                 if !known {
@@ -250,7 +250,7 @@
 
     fn tick(&mut self, now: Moment, wall: Epoch, outputs: &mut Vec<Output>) {
         self.tell_controller(now, wall, controller::Input::Tick, outputs);
-        let done = self.clerk.tick(now);
+        let done = self.forwarder.tick(now);
         self.carry_out(now, done, outputs);
         self.publish(now, outputs);
         self.greet(now, outputs);
@@ -355,20 +355,20 @@
         outputs: &mut Vec<Output>,
     ) {
         if let Some(leader) = self.controller.as_ref().and_then(Controller::leader) {
-            self.clerk.set_leader(&leader);
+            self.forwarder.set_leader(&leader);
         }
         self.asked.insert(ticket, asked);
-        let done = self.clerk.ask(now, ticket, order, patience);
+        let done = self.forwarder.ask(now, ticket, order, patience);
         self.carry_out(now, done, outputs);
     }
 
-    fn carry_out(&mut self, now: Moment, done: Vec<clerk::Output>, outputs: &mut Vec<Output>) {
+    fn carry_out(&mut self, now: Moment, done: Vec<forwarder::Output>, outputs: &mut Vec<Output>) {
         for output in done {
             match output {
-                clerk::Output::Answer(ticket, verdict) => {
+                forwarder::Output::Answer(ticket, verdict) => {
                     self.answer(now, ticket, verdict, outputs);
                 }
-                clerk::Output::Send(to, frame) => outputs.push(Output::Send(to, None, *frame)),
+                forwarder::Output::Send(to, frame) => outputs.push(Output::Send(to, None, *frame)),
             }
         }
     }
@@ -465,11 +465,11 @@
 
     fn meet_members(&mut self) {
         self.peers.meet_all(self.members());
-        self.set_clerk();
+        self.set_forwarder();
     }
 
-    fn set_clerk(&mut self) {
-        self.clerk.set_controls(self.peers.ids());
+    fn set_forwarder(&mut self) {
+        self.forwarder.set_controls(self.peers.ids());
     }
 }
 
--- a/src/node/core.rs
+++ b/src/node/core.rs
@@ -50,8 +50,8 @@
 use crate::wire::Verdict;
 
 use super::Controller;
-use super::clerk::Clerk;
 use super::controller;
+use super::forwarder::Forwarder;
 use super::input::Claimed;
 use super::judges::Judges;
 
@@ -172,7 +172,7 @@
     /// Ticket of the announcement being taken.
     announcing: Option<u64>,
     /// Services where an upstream stays in use only because of the floor.
-    clerk: Clerk,
+    forwarder: Forwarder,
     controls: Vec<NodeId>,
     dirty: bool,
     holder: Holder,
@@ -209,7 +209,7 @@
         let mut core = Self {
             agent: Agent::new(now, me.id.clone(), me.incarnation),
             announcing: None,
-            clerk: Clerk::default(),
+            forwarder: Forwarder::default(),
             controls: setup.controls,
             dirty: true,
             holder,
@@ -266,14 +266,14 @@
             }
             Input::Quota(ticket, ask) => {
                 let order = Order::Quota(ask);
-                let done = self.clerk.ask(now, ticket, order, quota::Limiter::RESEND_INTERVAL);
+                let done = self.forwarder.ask(now, ticket, order, quota::Limiter::RESEND_INTERVAL);
                 self.carry_out(now, done, &mut outputs);
             }
             Input::Read(ticket) => outputs.push(Output::Read(ticket, None)),
             Input::Carried(..) | Input::Seeds(_) => (),
             Input::Stop => self.tell_member(now, fleet::Input::Leave, &mut outputs),
             Input::Submit(ticket, version) => {
-                let done = self.clerk.submit(now, ticket, version);
+                let done = self.forwarder.submit(now, ticket, version);
                 self.carry_out(now, done, &mut outputs);
             }
             Input::Synced(number) => {
@@ -349,7 +349,7 @@
         self.tick_registry(now, outputs);
         self.probe_own(now, outputs);
         self.tick_judges(now, outputs);
-        let done = self.clerk.tick(now);
+        let done = self.forwarder.tick(now);
         self.carry_out(now, done, outputs);
     }
 
@@ -385,7 +385,7 @@
                 );
             }
             Frame::Verdict { ticket, verdict } => {
-                let done = self.clerk.verdict(now, ticket, verdict);
+                let done = self.forwarder.verdict(now, ticket, verdict);
                 self.carry_out(now, done, outputs);
             }
         }
--- a/src/node/core/configuration.rs
+++ b/src/node/core/configuration.rs
@@ -4,10 +4,10 @@
 use crate::config;
 use crate::config::Version;
 use crate::fleet;
-use crate::node::clerk;
 use crate::node::controller;
 use crate::node::core::Core;
 use crate::node::core::Output;
+use crate::node::forwarder;
 use crate::quorum;
 use crate::rule::Rules;
 use crate::timeline::Kind;
@@ -132,18 +132,18 @@
     pub(super) fn carry_out(
         &mut self,
         now: Moment,
-        done: Vec<clerk::Output>,
+        done: Vec<forwarder::Output>,
         outputs: &mut Vec<Output>,
     ) {
         for output in done {
             match output {
-                clerk::Output::Answer(ticket, Verdict::Granted(grant)) => {
+                forwarder::Output::Answer(ticket, Verdict::Granted(grant)) => {
                     outputs.push(Output::Granted(ticket, grant));
                 }
-                clerk::Output::Answer(ticket, verdict) => {
+                forwarder::Output::Answer(ticket, verdict) => {
                     outputs.push(Output::Verdict(ticket, verdict));
                 }
-                clerk::Output::Send(to, frame) => self.send(now, to, *frame, outputs),
+                forwarder::Output::Send(to, frame) => self.send(now, to, *frame, outputs),
             }
         }
     }
--- a/src/node/core/membership.rs
+++ b/src/node/core/membership.rs
@@ -43,7 +43,7 @@
     pub(super) fn members_moved(&mut self, now: Moment, outputs: &mut Vec<Output>) {
         self.dirty = true;
         let controls = self.all_controls();
-        self.clerk.set_controls(controls.clone());
+        self.forwarder.set_controls(controls.clone());
         self.tell_agent(now, claim::Input::Controls(controls.clone()), outputs);
         let peers = self.config_peers(&controls);
         self.tell_holder(now, config::Input::Peers(peers), outputs);
--- a/src/node/clerk.rs
+++ b/src/node/forwarder.rs
@@ -26,7 +26,7 @@
 /// The same order may reach the leader several times: a submission's id, an announcement's
 /// number, or that it only asks, makes that safe.
 #[derive(Debug, Default)]
-pub(super) struct Clerk {
+pub(super) struct Forwarder {
     controls: Vec<NodeId>,
     leader: usize,
     pending: BTreeMap<u64, Pending>,
@@ -40,14 +40,14 @@
     until: Moment,
 }
 
-/// What the clerk wants done.
+/// What the forwarder wants done.
 #[derive(Debug)]
 pub(super) enum Output {
     Answer(u64, Verdict),
     Send(NodeId, Box<Frame>),
 }
 
-impl Clerk {
+impl Forwarder {
     pub(super) fn set_controls(&mut self, controls: Vec<NodeId>) {
         if self.controls != controls {
             self.controls = controls;
