--- a/src/node/attached/hub.rs
+++ b/src/node/attached/hub.rs
@@ -358,7 +358,7 @@
             self.forwarder.set_leader(&leader);
         }
         self.asked.insert(ticket, asked);
-        let done = self.forwarder.ask(now, ticket, order, patience);
+        let done = self.forwarder.forward(now, ticket, order, patience);
         self.carry_out(now, done, outputs);
     }
 
--- a/src/node/core.rs
+++ b/src/node/core.rs
@@ -266,7 +266,8 @@
             }
             Input::Quota(ticket, ask) => {
                 let order = Order::Quota(ask);
-                let done = self.forwarder.ask(now, ticket, order, quota::Limiter::RESEND_INTERVAL);
+                let done =
+                    self.forwarder.forward(now, ticket, order, quota::Limiter::RESEND_INTERVAL);
                 self.carry_out(now, done, &mut outputs);
             }
             Input::Read(ticket) => outputs.push(Output::Read(ticket, None)),
--- a/src/node/forwarder.rs
+++ b/src/node/forwarder.rs
@@ -63,11 +63,11 @@
     }
 
     pub(super) fn submit(&mut self, now: Moment, ticket: u64, version: Version) -> Vec<Output> {
-        self.ask(now, ticket, Order::Submit(version), PATIENCE)
+        self.forward(now, ticket, Order::Submit(version), PATIENCE)
     }
 
     /// Carries an order around for at most `patience`.
-    pub(super) fn ask(
+    pub(super) fn forward(
         &mut self,
         now: Moment,
         ticket: u64,
