--- a/src/node.rs
+++ b/src/node.rs
@@ -5,7 +5,6 @@
 //! [`View`]s of it and send outcomes back, and never wait for it.
 
 mod attached;
-mod carrier;
 mod controller;
 pub mod core;
 mod doors;
@@ -28,6 +27,7 @@
 mod status;
 mod thread;
 mod traffic;
+mod transport;
 mod view;
 
 #[allow(clippy::module_inception)]
@@ -36,7 +36,6 @@
 pub use self::core::Core;
 pub use self::core::Output;
 pub use self::core::Setup;
-pub use carrier::Carrier;
 pub use controller::Controller;
 pub use error::Error;
 pub use inbox::Inbox;
@@ -49,6 +48,7 @@
 pub use node::Node;
 pub use status::Status;
 pub use traffic::DIRECTORY_PATH;
+pub use transport::Transport;
 pub use view::View;
 
 use crate::id::Incarnation;
--- a/src/node/links.rs
+++ b/src/node/links.rs
@@ -6,12 +6,12 @@
 
 use crate::settings::Settings;
 
-use super::Carrier;
 use super::Error;
 use super::Inbox;
+use super::Transport;
 
 /// Starts the links of a process; what arrives goes to `control`.
-pub(super) fn start(settings: &Settings, control: Inbox) -> Result<Box<dyn Carrier>, Error> {
+pub(super) fn start(settings: &Settings, control: Inbox) -> Result<Box<dyn Transport>, Error> {
     match &settings.keys {
         Some(keys) => quic::start(settings, keys, control),
         None if settings.trusted_network => stream::start(settings, control),
--- a/src/node/links/plain.rs
+++ b/src/node/links/plain.rs
@@ -4,10 +4,10 @@
 
 use crate::id::NodeId;
 use crate::link;
-use crate::node::Carrier;
 use crate::node::Error;
 use crate::node::Inbox;
 use crate::node::Input;
+use crate::node::Transport;
 use crate::node::inbox::Refused;
 use crate::settings::Settings;
 
@@ -22,7 +22,7 @@
     socket: UdpSocket,
 }
 
-pub(super) fn start(settings: &Settings, control: Inbox) -> Result<Box<dyn Carrier>, Error> {
+pub(super) fn start(settings: &Settings, control: Inbox) -> Result<Box<dyn Transport>, Error> {
     tracing::warn!(target: "hemlockfield::link", "no keys: links are for trials on loopback");
     let address = settings.listen.links;
     let listen = |source| Error::Listen { address, source };
@@ -36,8 +36,8 @@
     Ok(Box::new(Plain { me: settings.node.id.clone(), peers, socket }))
 }
 
-impl Carrier for Plain {
-    fn keep(&mut self, _: &[NodeId]) {}
+impl Transport for Plain {
+    fn set_neighbours(&mut self, _: &[NodeId]) {}
 
     fn send(&mut self, to: &NodeId, address: Option<SocketAddr>, bytes: Vec<u8>) {
         let Some(address) = address.or_else(|| self.peers.get(to).copied()) else { return };
--- a/src/node/links/quic.rs
+++ b/src/node/links/quic.rs
@@ -8,10 +8,10 @@
 use crate::keys::Paths;
 use crate::link;
 use crate::link::Endpoint;
-use crate::node::Carrier;
 use crate::node::Error;
 use crate::node::Inbox;
 use crate::node::Input;
+use crate::node::Transport;
 use crate::settings::Keys;
 use crate::settings::Settings;
 
@@ -27,7 +27,7 @@
     settings: &Settings,
     keys: &Keys,
     control: Inbox,
-) -> Result<Box<dyn Carrier>, Error> {
+) -> Result<Box<dyn Transport>, Error> {
     let paths = Paths { authority: keys.authority.clone(), identity: keys.identity.clone() };
     let links = link::Settings::new(settings.node.id.clone(), settings.listen.links, paths);
     let stop = StopSource::new();
@@ -44,8 +44,8 @@
     Ok(Box::new(Quic { addresses, endpoint, _stop: stop, wanted: BTreeSet::new() }))
 }
 
-impl Carrier for Quic {
-    fn keep(&mut self, neighbours: &[NodeId]) {
+impl Transport for Quic {
+    fn set_neighbours(&mut self, neighbours: &[NodeId]) {
         let wanted: BTreeSet<NodeId> = neighbours.iter().cloned().collect();
         if wanted != self.wanted {
             self.endpoint.set_wanted(&wanted);
--- a/src/node/links/stream.rs
+++ b/src/node/links/stream.rs
@@ -29,10 +29,10 @@
 
 use crate::id::NodeId;
 use crate::link;
-use crate::node::Carrier;
 use crate::node::Error;
 use crate::node::Inbox;
 use crate::node::Input;
+use crate::node::Transport;
 use crate::runtime;
 use crate::settings::Settings;
 
@@ -78,7 +78,7 @@
     unanswered: Option<Instant>,
 }
 
-pub(super) fn start(settings: &Settings, control: Inbox) -> Result<Box<dyn Carrier>, Error> {
+pub(super) fn start(settings: &Settings, control: Inbox) -> Result<Box<dyn Transport>, Error> {
     let address = settings.listen.links;
     let listen = |source| Error::Listen { address, source };
     let listener = std::net::TcpListener::bind(address).map_err(listen)?;
@@ -90,8 +90,8 @@
     Ok(Box::new(Trusted { shared }))
 }
 
-impl Carrier for Trusted {
-    fn keep(&mut self, _: &[NodeId]) {}
+impl Transport for Trusted {
+    fn set_neighbours(&mut self, _: &[NodeId]) {}
 
     fn send(&mut self, to: &NodeId, _: Option<SocketAddr>, bytes: Vec<u8>) {
         let line = self.shared.line(to);
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -94,9 +94,9 @@
         let now = started.elapsed();
         let parts = make::parts(now, &settings, callers_at, found, recorder, boundary)?;
         let Parts { held, log, machine, opener } = parts;
-        let carrier = links::start(&settings, control.clone())?;
+        let transport = links::start(&settings, control.clone())?;
         let thread = Thread {
-            carrier,
+            transport,
             closed_at: None,
             control: control.clone(),
             held,
--- a/src/node/status.rs
+++ b/src/node/status.rs
@@ -15,7 +15,7 @@
 use crate::link;
 use crate::quorum;
 
-use super::Carrier;
+use super::Transport;
 use super::traffic::Proxy;
 
 /// What a process knows, for operators.
@@ -90,7 +90,7 @@
 }
 
 impl Status {
-    pub(super) fn of(report: Report, proxy: &Proxy, carrier: &dyn Carrier) -> Self {
+    pub(super) fn of(report: Report, proxy: &Proxy, transport: &dyn Transport) -> Self {
         let queues = proxy.services().into_iter();
         Self {
             id: report.id,
@@ -99,7 +99,7 @@
             in_flight: proxy.in_flight.load(std::sync::atomic::Ordering::Relaxed),
             open_claims: report.open_claims,
             lost_outcomes: proxy.lost(),
-            links: carrier.status(),
+            links: transport.status(),
             members: report.members,
             services: report.services,
             queues: queues.map(|service| (service.name.clone(), service.queue.len())).collect(),
--- a/src/node/thread.rs
+++ b/src/node/thread.rs
@@ -28,7 +28,6 @@
 use super::Inbox;
 use super::Input;
 use super::Status;
-use super::carrier::Carrier;
 use super::core;
 use super::held::Held;
 use super::inbox::Outbox;
@@ -38,6 +37,7 @@
 use super::traffic::Observation;
 use super::traffic::Proxy;
 use super::traffic::Trial;
+use super::transport::Transport;
 
 /// Inputs that are taken before the disk is synced once for all of them.
 const BATCH: usize = 512;
@@ -61,7 +61,7 @@
 
 /// State of the control thread.
 pub(super) struct Thread {
-    pub(super) carrier: Box<dyn Carrier>,
+    pub(super) transport: Box<dyn Transport>,
     /// For what asks an upstream on this thread's behalf.
     pub(super) closed_at: Option<Moment>,
     pub(super) control: Inbox,
@@ -282,7 +282,7 @@
             core::Output::Send(to, address, frame) => {
                 let stamp = self.journal.stamp(wall());
                 match (Envelope { frame, stamp }).encode() {
-                    Ok(bytes) => self.carrier.send(&to, address, bytes),
+                    Ok(bytes) => self.transport.send(&to, address, bytes),
                     Err(error) => tracing::error!(target: "hemlockfield::link", "{error}"),
                 }
             }
@@ -332,12 +332,12 @@
         }
         let cost = self.now().saturating_sub(now);
         self.proxy.open_claims.store(self.machine.open_claims(), Ordering::Release);
-        self.carrier.keep(&self.machine.neighbours());
+        self.transport.set_neighbours(&self.machine.neighbours());
         cost
     }
 
     fn status(&self) -> Status {
-        Status::of(self.machine.report(self.now()), &self.proxy, self.carrier.as_ref())
+        Status::of(self.machine.report(self.now()), &self.proxy, self.transport.as_ref())
     }
 
     fn now(&self) -> Moment {
--- a/src/node/carrier.rs
+++ b/src/node/transport.rs
@@ -7,9 +7,9 @@
 
 /// Carries frames to other processes; never waits. What can't be sent is dropped, as a
 /// network would: the slices repeat what matters.
-pub trait Carrier: Send {
+pub trait Transport: Send {
     /// Keeps links to these processes open, and lets others close when idle.
-    fn keep(&mut self, neighbours: &[NodeId]);
+    fn set_neighbours(&mut self, neighbours: &[NodeId]);
 
     /// Sends a frame to a process, which listens at `address` if that is known.
     fn send(&mut self, to: &NodeId, address: Option<SocketAddr>, bytes: Vec<u8>);
