--- a/src/node.rs
+++ b/src/node.rs
@@ -5,12 +5,12 @@
 //! [`View`]s of it and send outcomes back, and never wait for it.
 
 mod attached;
+mod config_store;
 mod controller;
 pub mod core;
 mod doors;
 mod error;
 mod forwarder;
-mod held;
 mod inbox;
 mod input;
 mod judges;
--- a/src/node/held.rs
+++ b/src/node/config_store.rs
@@ -12,11 +12,11 @@
 
 /// The configuration in force, on this process's own disk: a restarted entry starts
 /// from it, and so never from an older one.
-pub(super) struct Held {
+pub(super) struct ConfigStore {
     disk: Box<dyn Disk>,
 }
 
-impl Held {
+impl ConfigStore {
     /// Opens `folder`, and gives what it holds; a damaged file counts as none, since
     /// control and the peers hold the same.
     pub(super) fn open(folder: &Path) -> Result<(Self, Option<Version>), storage::Error> {
@@ -26,7 +26,7 @@
     }
 
     /// Keeps a version in place of the last; on failure the last stays.
-    pub(super) fn keep(&mut self, version: &Version) {
+    pub(super) fn save(&mut self, version: &Version) {
         let Some(bytes) = encode(version) else { return };
         let disk = &mut self.disk;
         let kept = disk
--- a/src/node/make.rs
+++ b/src/node/make.rs
@@ -28,8 +28,8 @@
 use super::Error;
 use super::attached;
 use super::attached::Attached;
+use super::config_store::ConfigStore;
 use super::core::Setup;
-use super::held::Held;
 use super::machine::Machine;
 use super::thread::Opener;
 
@@ -40,7 +40,7 @@
 
 /// All that control works on.
 pub(super) struct Parts {
-    pub(super) held: Option<Held>,
+    pub(super) config_store: Option<ConfigStore>,
     pub(super) log: Option<Log>,
     pub(super) machine: Box<dyn Machine>,
     pub(super) opener: Option<Opener>,
@@ -89,7 +89,7 @@
         opened.ok_or_else(|| Error::NoLog)
     });
     let machine = Box::new(Attached::new(now, setup));
-    Ok(Parts { held: None, log, machine, opener: Some(opener) })
+    Ok(Parts { config_store: None, log, machine, opener: Some(opener) })
 }
 
 fn own_parts(
@@ -99,7 +99,7 @@
     found: bool,
     recorder: Recorder,
 ) -> Result<Parts, Error> {
-    let (held, kept) = held(settings)?;
+    let (config_store, kept) = config_store(settings)?;
     let founders = found.then(|| Membership::founding(controls(settings)));
     let opened = controller(settings, founders, found)?;
     let (controller, log) =
@@ -113,7 +113,7 @@
         seeds: seeds(settings),
         seed: rand::random(),
     };
-    Ok(Parts { held, log, machine: Box::new(Core::new(now, setup)), opener: None })
+    Ok(Parts { config_store, log, machine: Box::new(Core::new(now, setup)), opener: None })
 }
 
 /// Ids of the controls that are known from the start: their addresses.
@@ -169,10 +169,12 @@
     settings.peers.iter().map(seed).collect()
 }
 
-fn held(settings: &Settings) -> Result<(Option<Held>, Option<config::Version>), Error> {
+fn config_store(
+    settings: &Settings,
+) -> Result<(Option<ConfigStore>, Option<config::Version>), Error> {
     let Some(data) = &settings.data else { return Ok((None, None)) };
-    let (held, kept) = Held::open(&data.join("held"))?;
-    Ok((Some(held), kept))
+    let (config_store, kept) = ConfigStore::open(&data.join("held"))?;
+    Ok((Some(config_store), kept))
 }
 
 /// Opens a control's log. `found` refuses a folder that has one already.
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -93,13 +93,13 @@
         journal.record(wall(), Kind::ProcessStarted, event);
         let now = started.elapsed();
         let parts = make::parts(now, &settings, callers_at, found, recorder, boundary)?;
-        let Parts { held, log, machine, opener } = parts;
+        let Parts { config_store, log, machine, opener } = parts;
         let transport = links::start(&settings, control.clone())?;
         let thread = Thread {
             transport,
             closed_at: None,
             control: control.clone(),
-            held,
+            config_store,
             inbox,
             journal,
             log,
--- a/src/node/thread.rs
+++ b/src/node/thread.rs
@@ -28,8 +28,8 @@
 use super::Inbox;
 use super::Input;
 use super::Status;
+use super::config_store::ConfigStore;
 use super::core;
-use super::held::Held;
 use super::inbox::Outbox;
 use super::input::Claimed;
 use super::machine::Machine;
@@ -65,7 +65,7 @@
     /// For what asks an upstream on this thread's behalf.
     pub(super) closed_at: Option<Moment>,
     pub(super) control: Inbox,
-    pub(super) held: Option<Held>,
+    pub(super) config_store: Option<ConfigStore>,
     pub(super) inbox: Outbox,
     pub(super) journal: Arc<Journal>,
     pub(super) log: Option<Log>,
@@ -257,8 +257,8 @@
                 answer(self.tickets.announced.remove(&ticket), result);
             }
             core::Output::Apply(version) => {
-                if let Some(held) = &mut self.held {
-                    held.keep(&version);
+                if let Some(config_store) = &mut self.config_store {
+                    config_store.save(&version);
                 }
             }
             core::Output::Changed(ticket, result) => {
