--- a/src/node.rs
+++ b/src/node.rs
@@ -20,7 +20,7 @@
 mod make;
 mod metrics;
 mod metrics_door;
-mod nowhere;
+mod null_recorder;
 mod operators;
 mod probe;
 mod snapshot;
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -29,7 +29,7 @@
 use super::make::Parts;
 use super::metrics::Metrics;
 use super::metrics_door;
-use super::nowhere::Nowhere;
+use super::null_recorder::NullRecorder;
 use super::operators;
 use super::operators::Operators;
 use super::thread::Thread;
@@ -255,7 +255,9 @@
 
 fn journal(settings: &Settings) -> Result<Journal, Error> {
     let id = settings.node.id.clone();
-    let Some(path) = &settings.timeline else { return Ok(Journal::new(id, Arc::new(Nowhere))) };
+    let Some(path) = &settings.timeline else {
+        return Ok(Journal::new(id, Arc::new(NullRecorder)));
+    };
     // Opening the file says what is wrong where the folder can't be made.
     path.parent().and_then(|folder| std::fs::create_dir_all(folder).ok());
     let recorder = FileRecorder::open(path)?;
--- a/src/node/nowhere.rs
+++ b/src/node/null_recorder.rs
@@ -3,8 +3,8 @@
 
 /// Drops events, where the settings name no file for them.
 #[derive(Debug)]
-pub(super) struct Nowhere;
+pub(super) struct NullRecorder;
 
-impl Recorder for Nowhere {
+impl Recorder for NullRecorder {
     fn record(&self, _: Event) {}
 }
