--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -23,7 +23,6 @@
 use super::Error;
 use super::Inbox;
 use super::Input;
-use super::doors;
 use super::links;
 use super::make;
 use super::make::Parts;
@@ -32,6 +31,7 @@
 use super::null_recorder::NullRecorder;
 use super::operators;
 use super::operators::Operators;
+use super::orders;
 use super::thread::Thread;
 use super::thread::Tickets;
 use super::thread::wall;
@@ -70,9 +70,9 @@
         let callers = bind(settings.listen.callers).await?;
         let operators = bind(settings.listen.operators).await?;
         let operators_at = operators.as_ref().map(address_of).transpose()?;
-        let mut doors = Vec::new();
+        let mut order_listeners = Vec::new();
         for address in &settings.listen.orders {
-            doors.extend(bind(Some(*address)).await?);
+            order_listeners.extend(bind(Some(*address)).await?);
         }
         let callers_at = callers.as_ref().map(address_of).transpose()?;
         let metrics = Metrics::new(settings.metrics.as_ref())?;
@@ -128,8 +128,8 @@
         if let Some(listener) = measured {
             runtime::spawn(metrics_door::serve(listener, Arc::clone(&proxy)));
         }
-        for listener in doors {
-            runtime::spawn(doors::serve(listener, control.clone(), Arc::clone(&proxy)));
+        for listener in order_listeners {
+            runtime::spawn(orders::serve(listener, control.clone(), Arc::clone(&proxy)));
         }
         if let Some(listener) = callers {
             runtime::spawn(traffic::listen(listener, Arc::clone(&proxy)));
