--- a/src/node.rs
+++ b/src/node.rs
@@ -4,11 +4,11 @@
 //! control thread carries its inputs and outputs. Traffic threads read immutable
 //! [`View`]s of it and send outcomes back, and never wait for it.
 
-mod attached;
 mod config_store;
 mod controller;
 pub mod core;
 mod error;
+mod feed_core;
 mod forwarder;
 mod inbox;
 mod input;
--- a/src/node/attached.rs
+++ b/src/node/feed_core.rs
@@ -36,13 +36,13 @@
 
 /// Control state of a process in a fleet whose entries follow the controls.
 #[derive(Debug)]
-pub(super) struct Attached {
+pub(super) struct FeedCore {
     hub: Option<Hub>,
     id: NodeId,
     spoke: Option<Spoke>,
 }
 
-impl Attached {
+impl FeedCore {
     pub(super) fn new(now: Moment, setup: Setup) -> Self {
         let id = setup.id.clone();
         let spoke = setup.is_entry.then(|| Spoke::new(now, &setup));
@@ -77,7 +77,7 @@
     }
 }
 
-impl Machine for Attached {
+impl Machine for FeedCore {
     fn handle(&mut self, now: Moment, wall: Epoch, input: Input) -> Vec<Output> {
         let mut outputs = Vec::new();
         let mut inputs = VecDeque::from([input]);
--- a/src/node/make.rs
+++ b/src/node/make.rs
@@ -26,10 +26,10 @@
 use super::Controller;
 use super::Core;
 use super::Error;
-use super::attached;
-use super::attached::Attached;
 use super::config_store::ConfigStore;
 use super::core::Setup;
+use super::feed_core;
+use super::feed_core::FeedCore;
 use super::machine::Machine;
 use super::thread::Opener;
 
@@ -70,7 +70,7 @@
     let opened = controller(settings, founders.clone(), false)?;
     let (controller, log) =
         opened.map_or((None, None), |(controller, log)| (Some(controller), Some(log)));
-    let setup = attached::Setup {
+    let setup = feed_core::Setup {
         boundary,
         callers: callers.unwrap_or_else(nowhere),
         domain: settings.node.failure_domain.clone(),
@@ -88,7 +88,7 @@
         let opened = self::controller(&settings, None, false)?;
         opened.ok_or_else(|| Error::NoLog)
     });
-    let machine = Box::new(Attached::new(now, setup));
+    let machine = Box::new(FeedCore::new(now, setup));
     Ok(Parts { config_store: None, log, machine, opener: Some(opener) })
 }
 
