--- a/src/node/controller.rs
+++ b/src/node/controller.rs
@@ -94,17 +94,17 @@
     /// A configuration is committed.
     Committed(Version),
     /// This replica has proved that it leads, or leads no more.
-    Leads(bool),
+    Leadership(bool),
     /// The table of upstreams was replaced by a snapshot's.
-    Installed,
+    SnapshotInstalled,
     /// Records to write and sync.
     Persist(u64, Vec<Record>),
     /// Frame to send.
     Send(NodeId, Box<Frame>),
     /// This replica leads from this term on, or no more.
-    Term(quorum::Role, u64),
+    RoleChanged(quorum::Role, u64),
     /// The log said something new about an upstream.
-    Upstream(catalog::Action),
+    UpstreamChanged(catalog::Action),
 }
 
 #[derive(Clone, Debug)]
@@ -155,7 +155,7 @@
     }
 
     /// The same, counting allowances over windows of this length.
-    pub fn with_window(self, window: Duration) -> Self {
+    pub fn with_quota_window(self, window: Duration) -> Self {
         Self { keeper: Coordinator::new(window), ..self }
     }
 
@@ -192,7 +192,7 @@
     }
 
     /// When the next [`Input::Tick`] is due.
-    pub fn wake(&self) -> Option<Moment> {
+    pub fn next_at(&self) -> Option<Moment> {
         let keeper = self.leads.then(|| self.keeper.wake(&self.quotas)).flatten();
         self.replica.wake().into_iter().chain(keeper).min()
     }
@@ -208,7 +208,7 @@
     }
 
     /// Keys remembered.
-    pub fn claims_kept(&self) -> usize {
+    pub fn remembered_claims(&self) -> usize {
         self.ledger.len()
     }
 
@@ -373,7 +373,7 @@
             quorum::Output::BecameLeader { term } => {
                 self.leads = true;
                 self.led_since = now;
-                outputs.push(Output::Term(quorum::Role::Leader, term));
+                outputs.push(Output::RoleChanged(quorum::Role::Leader, term));
             }
             quorum::Output::Changed { .. } => (),
             quorum::Output::Commit { index, command, .. } => self.apply(index, &command, outputs),
@@ -385,7 +385,7 @@
                 Some(Proposal::Read { from, ticket }) => {
                     outputs.push(verdict_to(&from, ticket, Verdict::Readable(self.applied)));
                 }
-                _ => outputs.push(Output::Leads(self.leads)),
+                _ => outputs.push(Output::Leadership(self.leads)),
             },
             quorum::Output::Refused { ticket, reason, leader } => {
                 self.refused(ticket, reason, leader, outputs);
@@ -399,8 +399,8 @@
                 self.desk.clear();
                 self.keeper.clear();
                 self.granted.clear();
-                outputs.push(Output::Leads(false));
-                outputs.push(Output::Term(quorum::Role::Follower, term));
+                outputs.push(Output::Leadership(false));
+                outputs.push(Output::RoleChanged(quorum::Role::Follower, term));
             }
             quorum::Output::Uncertain { ticket } => self.uncertain(ticket, outputs),
         }
@@ -413,7 +413,7 @@
         match command.body {
             Body::Catalog(action) => {
                 if self.catalog.apply(index, &action) {
-                    outputs.push(Output::Upstream(action));
+                    outputs.push(Output::UpstreamChanged(action));
                 }
             }
             Body::Claims(claims) => {
@@ -483,7 +483,7 @@
                 outputs.push(Output::Changed(ticket, Err(text)));
             }
             Some(Proposal::Claims) => self.groups = self.groups.saturating_sub(1),
-            Some(Proposal::Proof) => outputs.push(Output::Leads(false)),
+            Some(Proposal::Proof) => outputs.push(Output::Leadership(false)),
             Some(Proposal::Quota(who)) => {
                 let verdict = |(to, ticket): &(NodeId, u64)| {
                     verdict_to(to, *ticket, Verdict::NotLeader(leader.clone()))
@@ -533,7 +533,7 @@
         self.applied = snapshot.index;
         self.snapshot_at = snapshot.index;
         outputs.extend(self.book.in_force().cloned().map(Output::Committed));
-        outputs.push(Output::Installed);
+        outputs.push(Output::SnapshotInstalled);
     }
 
     fn shorten(&mut self, now: Moment, outputs: &mut Vec<Output>) {
--- a/src/node/core.rs
+++ b/src/node/core.rs
@@ -291,7 +291,7 @@
         if let Some(at) = self.agent.next_at() {
             wake = wake.min(at);
         }
-        if let Some(at) = self.controller.as_ref().and_then(Controller::wake) {
+        if let Some(at) = self.controller.as_ref().and_then(Controller::next_at) {
             wake = wake.min(at);
         }
         wake
--- a/src/node/core/configuration.rs
+++ b/src/node/core/configuration.rs
@@ -33,20 +33,20 @@
                     outputs.push(Output::Event(event));
                     self.tell_holder(now, config::Input::Committed(version), outputs);
                 }
-                controller::Output::Installed | controller::Output::Upstream(_) => {
+                controller::Output::SnapshotInstalled | controller::Output::UpstreamChanged(_) => {
                     tracing::warn!(
                         target: "hemlockfield::registry",
                         "the log speaks of upstreams, which announce themselves to entries here"
                     );
                 }
-                controller::Output::Leads(leads) => {
+                controller::Output::Leadership(leads) => {
                     self.tell_holder(now, config::Input::Leads(leads), outputs);
                 }
                 controller::Output::Persist(number, records) => {
                     outputs.push(Output::Persist(number, records));
                 }
                 controller::Output::Send(to, frame) => self.send(now, to, *frame, outputs),
-                controller::Output::Term(role, term) => {
+                controller::Output::RoleChanged(role, term) => {
                     let event = self.event(Kind::Election).term(term);
                     outputs.push(Output::Event(event.detail("role", format!("{role:?}"))));
                 }
--- a/src/node/core/view.rs
+++ b/src/node/core/view.rs
@@ -54,7 +54,7 @@
             claims: self
                 .controller
                 .as_ref()
-                .map_or(0, super::super::controller::Controller::claims_kept),
+                .map_or(0, super::super::controller::Controller::remembered_claims),
             log: self.controller.as_ref().map(|controller| controller.status(now)),
             stopped: self.stopped.clone(),
         })
--- a/src/node/feed_core/hub.rs
+++ b/src/node/feed_core/hub.rs
@@ -135,7 +135,7 @@
     }
 
     pub(super) fn wake(&self, now: Moment) -> Moment {
-        let controller = self.controller.as_ref().and_then(Controller::wake);
+        let controller = self.controller.as_ref().and_then(Controller::next_at);
         let reads = self.reads.iter().map(|read| read.until).min();
         let mend =
             self.controller.as_ref().filter(|controller| controller.leads()).map(|_| self.mend_at);
@@ -149,7 +149,7 @@
 
     pub(super) fn control(&self, now: Moment) -> status::Control {
         status::Control {
-            claims: self.controller.as_ref().map_or(0, Controller::claims_kept),
+            claims: self.controller.as_ref().map_or(0, Controller::remembered_claims),
             log: self.controller.as_ref().map(|controller| controller.status(now)),
             stopped: self.stopped.clone(),
         }
@@ -432,17 +432,17 @@
                     let event = events::event(&self.peers.me().id, Kind::ConfigurationAccepted);
                     outputs.push(Output::Event(event.configuration(version.number)));
                 }
-                controller::Output::Installed => changed = true,
-                controller::Output::Leads(_) => (),
+                controller::Output::SnapshotInstalled => changed = true,
+                controller::Output::Leadership(_) => (),
                 controller::Output::Persist(number, records) => {
                     outputs.push(Output::Persist(number, records));
                 }
                 controller::Output::Send(to, frame) => outputs.push(Output::Send(to, None, *frame)),
-                controller::Output::Term(role, term) => {
+                controller::Output::RoleChanged(role, term) => {
                     let event = events::event(&self.peers.me().id, Kind::Election).term(term);
                     outputs.push(Output::Event(event.detail("role", format!("{role:?}"))));
                 }
-                controller::Output::Upstream(action) => {
+                controller::Output::UpstreamChanged(action) => {
                     changed = true;
                     outputs.push(Output::Event(events::about(&self.peers.me().id, &action)));
                 }
--- a/src/node/make.rs
+++ b/src/node/make.rs
@@ -200,7 +200,7 @@
         setup.founders = founders;
     }
     let controller = Controller::new(setup, recovered, rand::random());
-    Ok(Some((controller.with_window(settings.quota.window), log)))
+    Ok(Some((controller.with_quota_window(settings.quota.window), log)))
 }
 
 fn open(folder: &Path) -> Result<(Log, quorum::Recovered), Error> {
