--- a/src/node/controller.rs
+++ b/src/node/controller.rs
@@ -27,86 +27,95 @@
 use super::snapshot::Command;
 use super::snapshot::Image;
 
-/// Applied entries after which the log is shortened: a restart replays at most these.
-const SNAPSHOT_AFTER: Index = 5_000;
-/// Groups of claims that may be on their way to the disks at a time: while one is
-/// synced, the next is sent.
-const GROUPS_MAX: usize = 2;
-/// Positions for which a reply waits to be asked for: those that an earlier leader
-/// proposed have nobody who asks.
+/// Log entries applied between two snapshots; a restart replays at most these.
+const SNAPSHOT_INTERVAL: Index = 5_000;
+/// Batches of claims proposed but not committed yet. With two, one is sent to the replicas
+/// while the other is synced to their disks.
+const CLAIM_BATCHES_MAX: usize = 2;
+/// Log positions for which a reply is kept until its proposal is accepted. Replies to what an
+/// earlier leader proposed are never collected and have to be dropped.
 const REPLIES_MAX: Index = 1_000;
-/// How often a leader proves that it still leads, for those who ask what is in force.
-const PROOF_PERIOD: Duration = Duration::from_secs(1);
+/// Interval at which a leader confirms with a majority that it still leads, so that it can
+/// answer which configuration is in force.
+const LEADERSHIP_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A control's part: the quorum log and what it has brought about.
+/// Replicated state machine of a control: a replica of the quorum log, and the state that the
+/// committed entries produce.
 #[derive(Debug)]
 pub struct Controller {
     applied: Index,
     book: Book,
     catalog: Catalog,
-    configured: Index,
-    desk: Desk,
-    groups: usize,
-    led_since: Moment,
-    leads: bool,
-    ledger: Ledger,
+    /// Log index of the configuration in force.
+    configuration_index: Index,
+    claim_queue: Desk,
+    /// Batches of claims proposed but not committed yet.
+    claim_batches: usize,
+    leader_since: Moment,
+    is_leader: bool,
+    claim_ledger: Ledger,
     next_ticket: u64,
-    /// Gathers what entries ask of allowances.
-    keeper: Coordinator,
-    proof_at: Moment,
+    /// Batches demands for quota allocations.
+    quota_coordinator: Coordinator,
+    leadership_check_at: Moment,
+    /// Proposals and reads that the replica has not answered, by ticket.
     proposals: BTreeMap<u64, Proposal>,
-    /// Answers to what entries asked, by the position of the record.
-    granted: BTreeMap<Index, Vec<Option<quota::Grant>>>,
-    quotas: quota::Ledger,
+    /// Replies to demands for quota allocations, by log index.
+    quota_replies: BTreeMap<Index, Vec<Option<quota::Grant>>>,
+    quota_ledger: quota::Ledger,
     replica: Replica,
-    replies: BTreeMap<Index, Verdict>,
-    snapshot_at: Index,
+    /// Replies to submitted configurations, by log index.
+    config_replies: BTreeMap<Index, Verdict>,
+    /// Log index of the last snapshot.
+    snapshot_index: Index,
 }
 
-/// What an controller is told.
+/// Input of a [`Controller`].
 #[derive(Debug)]
 pub enum Input {
-    /// What an upstream said, from a control with its ticket.
+    /// Announcement or departure of an upstream, with the forwarding control and its ticket.
     Catalog(NodeId, u64, catalog::Action),
-    /// Change of the controls' membership, with the operator's ticket.
+    /// Change of the controls' membership, with its ticket.
     Change(u64, quorum::Change),
-    /// Claims of an entry.
+    /// Claim actions of an entry.
     Claims(NodeId, Vec<claim::Action>),
-    /// Message of another replica.
+    /// Message of another replica of the log.
     Receive(NodeId, quorum::Message),
-    /// An entry wants other parts of allowances, by way of a process and its ticket.
+    /// Demand of an entry for quota allocations, with the forwarding process and its ticket.
     Quota(NodeId, u64, quota::Demand),
-    /// A control asks up to which index it has to know the log, with its ticket.
+    /// Request of a control, with its ticket, for the index up to which it must apply the log
+    /// before a linearizable read.
     Read(NodeId, u64),
-    /// Submission of an operator, by way of a process and its ticket.
+    /// Configuration that an operator submitted, with the forwarding process and its ticket.
     Submit(NodeId, u64, Version),
-    /// Records up to this number are on disk.
+    /// All records up to this number are synced to disk.
     Synced(u64),
-    /// Time has passed.
+    /// [`Controller::next_at`] has passed.
     Tick,
 }
 
-/// What an controller wants done, in this order.
+/// Effect that the caller of a [`Controller`] carries out, in the order given.
 #[derive(Debug)]
 pub enum Output {
-    /// Answer to a change of the membership.
+    /// Result of a membership change: its log index, or why it failed.
     Changed(u64, Result<Index, String>),
-    /// A configuration is committed.
+    /// A configuration is committed and now in force.
     Committed(Version),
-    /// This replica has proved that it leads, or leads no more.
+    /// Whether a majority has just confirmed that this replica leads.
     Leadership(bool),
-    /// The table of upstreams was replaced by a snapshot's.
+    /// A snapshot has replaced the whole state.
     SnapshotInstalled,
-    /// Records to write and sync.
+    /// Records to write and sync; report their number as [`Input::Synced`] afterwards.
     Persist(u64, Vec<Record>),
     /// Frame to send.
     Send(NodeId, Box<Frame>),
-    /// This replica leads from this term on, or no more.
+    /// This replica's role and term after it won or lost leadership.
     RoleChanged(quorum::Role, u64),
-    /// The log said something new about an upstream.
+    /// A committed entry changed the table of upstreams.
     UpstreamChanged(catalog::Action),
 }
 
+/// What a ticket given to the replica stands for.
 #[derive(Clone, Debug)]
 enum Proposal {
     Catalog {
@@ -115,8 +124,8 @@
     },
     Change(u64),
     Claims,
-    Proof,
-    /// Processes that asked, with their tickets.
+    LeadershipCheck,
+    /// Processes that forwarded the demands, with their tickets.
     Quota(Vec<(NodeId, u64)>),
     Read {
         from: NodeId,
@@ -130,117 +139,126 @@
 }
 
 impl Controller {
-    /// Controller over what its data folder still knows.
+    /// Creates a controller from the state recovered from its data folder. `seed` has to be random
+    /// in a process: election timeouts and the identity of a new data folder are drawn from it.
     pub fn new(setup: quorum::Setup, recovered: Recovered, seed: u64) -> Self {
         Self {
             applied: 0,
             book: Book::default(),
             catalog: Catalog::default(),
-            configured: 0,
-            desk: Desk::default(),
-            groups: 0,
-            led_since: Moment::ZERO,
-            leads: false,
-            ledger: Ledger::new(claim::Limits::default()),
-            granted: BTreeMap::new(),
-            keeper: Coordinator::new(quota::Config::default().window),
+            configuration_index: 0,
+            claim_queue: Desk::default(),
+            claim_batches: 0,
+            leader_since: Moment::ZERO,
+            is_leader: false,
+            claim_ledger: Ledger::new(claim::Limits::default()),
+            quota_replies: BTreeMap::new(),
+            quota_coordinator: Coordinator::new(quota::Config::default().window),
             next_ticket: 0,
-            proof_at: Moment::ZERO,
+            leadership_check_at: Moment::ZERO,
             proposals: BTreeMap::new(),
-            quotas: quota::Ledger::default(),
+            quota_ledger: quota::Ledger::default(),
             replica: Replica::new(setup, recovered, seed),
-            replies: BTreeMap::new(),
-            snapshot_at: 0,
+            config_replies: BTreeMap::new(),
+            snapshot_index: 0,
         }
     }
 
-    /// The same, counting allowances over windows of this length.
+    /// Sets the window over which quota allowances are counted.
     pub fn with_quota_window(self, window: Duration) -> Self {
-        Self { keeper: Coordinator::new(window), ..self }
+        Self { quota_coordinator: Coordinator::new(window), ..self }
     }
 
-    /// Takes one input, and says what to do about it.
+    /// Processes one input and returns the resulting effects.
     pub fn handle(&mut self, now: Moment, wall: Epoch, input: Input) -> Vec<Output> {
         let mut outputs = Vec::new();
         match input {
             Input::Catalog(from, ticket, action) => {
                 let proposal = Proposal::Catalog { from, ticket };
-                self.announce(now, wall, proposal, action, &mut outputs);
+                self.propose_catalog(now, wall, proposal, action, &mut outputs);
             }
             Input::Change(ticket, change) => {
-                let ticket = self.note(Proposal::Change(ticket));
-                self.tell(now, quorum::Input::Change { ticket, change }, &mut outputs);
+                let ticket = self.track(Proposal::Change(ticket));
+                self.step_replica(now, quorum::Input::Change { ticket, change }, &mut outputs);
             }
-            Input::Claims(from, actions) => self.claims(from, actions, &mut outputs),
+            Input::Claims(from, actions) => self.queue_claims(from, actions, &mut outputs),
             Input::Receive(from, message) => {
-                self.tell(now, quorum::Input::Receive { from, message }, &mut outputs);
+                self.step_replica(now, quorum::Input::Receive { from, message }, &mut outputs);
+            }
+            Input::Quota(from, ticket, demand) => {
+                self.queue_demand(now, from, ticket, demand, &mut outputs)
             }
-            Input::Quota(from, ticket, ask) => self.quota(now, from, ticket, ask, &mut outputs),
             Input::Read(from, ticket) => self.read(now, from, ticket, &mut outputs),
             Input::Submit(from, ticket, version) => {
                 self.submit(now, wall, Proposal::Submit { from, ticket, version }, &mut outputs);
             }
             Input::Synced(number) => {
-                self.tell(now, quorum::Input::Synced { number }, &mut outputs);
+                self.step_replica(now, quorum::Input::Synced { number }, &mut outputs);
             }
             Input::Tick => self.tick(now, &mut outputs),
         }
         self.propose_claims(now, wall, &mut outputs);
         self.propose_quotas(now, wall, &mut outputs);
-        self.shorten(now, &mut outputs);
+        self.compact_log(now, &mut outputs);
         outputs
     }
 
     /// When the next [`Input::Tick`] is due.
     pub fn next_at(&self) -> Option<Moment> {
-        let keeper = self.leads.then(|| self.keeper.wake(&self.quotas)).flatten();
-        self.replica.wake().into_iter().chain(keeper).min()
+        let quota_at =
+            self.is_leader.then(|| self.quota_coordinator.wake(&self.quota_ledger)).flatten();
+        self.replica.wake().into_iter().chain(quota_at).min()
     }
 
-    /// What operators see of the log.
+    /// Status of the log, for operators.
     pub fn status(&self, now: Moment) -> quorum::Status {
         self.replica.status(now)
     }
 
-    /// What is in force as far as this replica has applied the log.
+    /// The configuration in force, as of the entries applied here.
     pub fn in_force(&self) -> Option<&Version> {
         self.book.in_force()
     }
 
-    /// Keys remembered.
+    /// Number of claims in the ledger.
     pub fn remembered_claims(&self) -> usize {
-        self.ledger.len()
+        self.claim_ledger.len()
     }
 
     fn tick(&mut self, now: Moment, outputs: &mut Vec<Output>) {
-        self.tell(now, quorum::Input::Tick, outputs);
-        if self.leads && self.proof_at <= now {
-            self.proof_at = now + PROOF_PERIOD;
-            let ticket = self.note(Proposal::Proof);
-            self.tell(now, quorum::Input::Read { ticket }, outputs);
+        self.step_replica(now, quorum::Input::Tick, outputs);
+        if self.is_leader && self.leadership_check_at <= now {
+            self.leadership_check_at = now + LEADERSHIP_CHECK_INTERVAL;
+            let ticket = self.track(Proposal::LeadershipCheck);
+            self.step_replica(now, quorum::Input::Read { ticket }, outputs);
         }
     }
 
-    fn claims(&mut self, from: NodeId, actions: Vec<claim::Action>, outputs: &mut Vec<Output>) {
-        if self.leads {
-            self.desk.push(&from, actions);
+    fn queue_claims(
+        &mut self,
+        from: NodeId,
+        actions: Vec<claim::Action>,
+        outputs: &mut Vec<Output>,
+    ) {
+        if self.is_leader {
+            self.claim_queue.push(&from, actions);
             return;
         }
         let message = claim::Message::Redirect(self.leader());
         outputs.push(Output::Send(from, Box::new(Frame::Claim(message))));
     }
 
-    /// The control that leads, as far as this one knows.
+    /// The leader, as far as this replica knows.
     pub fn leader(&self) -> Option<NodeId> {
         self.replica.leader().cloned()
     }
 
-    /// Whether this control leads.
-    pub fn leads(&self) -> bool {
-        self.leads
+    /// Whether this replica leads.
+    pub fn is_leader(&self) -> bool {
+        self.is_leader
     }
 
-    /// Index of the log up to which all is applied.
+    /// Index of the last applied log entry.
     pub fn applied(&self) -> Index {
         self.applied
     }
@@ -250,22 +268,23 @@
         &self.catalog
     }
 
-    /// The configuration in force, and the index since which it is.
+    /// The configuration in force and the log index that put it in force.
     pub fn configuration(&self) -> Option<(&Version, Index)> {
-        self.book.in_force().map(|version| (version, self.configured))
+        self.book.in_force().map(|version| (version, self.configuration_index))
     }
 
-    /// The log's replica.
+    /// The replica of the log.
     pub fn replica(&self) -> &Replica {
         &self.replica
     }
 
-    /// How long this control has led.
+    /// How long this replica has led without interruption; zero if it does not lead.
     pub fn tenure(&self, now: Moment) -> Duration {
-        if self.leads { now.saturating_sub(self.led_since) } else { Duration::ZERO }
+        if self.is_leader { now.saturating_sub(self.leader_since) } else { Duration::ZERO }
     }
 
-    fn announce(
+    /// Proposes a change of the table of upstreams.
+    fn propose_catalog(
         &mut self,
         now: Moment,
         wall: Epoch,
@@ -274,71 +293,71 @@
         outputs: &mut Vec<Output>,
     ) {
         let Proposal::Catalog { from, ticket } = &proposal else { return };
-        if !self.leads {
-            outputs.push(verdict_to(from, *ticket, Verdict::NotLeader(self.leader())));
+        if !self.is_leader {
+            outputs.push(verdict_output(from, *ticket, Verdict::NotLeader(self.leader())));
         } else if self.catalog.is_news(&action) {
             self.propose(now, wall, proposal, Body::Catalog(action), outputs);
         } else {
-            // What the table holds is committed already.
-            outputs.push(verdict_to(from, *ticket, Verdict::Announced));
+            // What the table contains is already committed.
+            outputs.push(verdict_output(from, *ticket, Verdict::Announced));
         }
     }
 
     fn read(&mut self, now: Moment, from: NodeId, ticket: u64, outputs: &mut Vec<Output>) {
-        let ticket = self.note(Proposal::Read { from, ticket });
-        self.tell(now, quorum::Input::Read { ticket }, outputs);
+        let ticket = self.track(Proposal::Read { from, ticket });
+        self.step_replica(now, quorum::Input::Read { ticket }, outputs);
     }
 
-    /// Proposes a configuration as a difference where that is smaller.
+    /// Proposes a configuration, as a patch to the one in force where that is smaller.
     fn submit(&mut self, now: Moment, wall: Epoch, proposal: Proposal, outputs: &mut Vec<Output>) {
         let Proposal::Submit { from, ticket, version } = &proposal else { return };
-        if !self.leads {
+        if !self.is_leader {
             let verdict = Verdict::NotLeader(self.leader());
-            outputs.push(verdict_to(from, *ticket, verdict));
+            outputs.push(verdict_output(from, *ticket, verdict));
             return;
         }
         let command = match self.book.in_force() {
-            Some(base) => smaller(Patch::between(base, version), version),
+            Some(base) => smaller_command(Patch::between(base, version), version),
             None => config::Command::Submit(version.clone()),
         };
         self.propose(now, wall, proposal, Body::Config(command), outputs);
     }
 
     fn propose_claims(&mut self, now: Moment, wall: Epoch, outputs: &mut Vec<Output>) {
-        while self.leads && self.groups < GROUPS_MAX {
-            let Some(command) = self.desk.take() else { return };
-            self.groups += 1;
+        while self.is_leader && self.claim_batches < CLAIM_BATCHES_MAX {
+            let Some(command) = self.claim_queue.take() else { return };
+            self.claim_batches += 1;
             self.propose(now, wall, Proposal::Claims, Body::Claims(command), outputs);
         }
     }
 
-    fn quota(
+    fn queue_demand(
         &mut self,
         now: Moment,
         from: NodeId,
         ticket: u64,
-        ask: quota::Demand,
+        demand: quota::Demand,
         outputs: &mut Vec<Output>,
     ) {
-        if self.leads {
-            self.keeper.push(now, from, ticket, ask);
+        if self.is_leader {
+            self.quota_coordinator.push(now, from, ticket, demand);
         } else {
-            outputs.push(verdict_to(&from, ticket, Verdict::NotLeader(self.leader())));
+            outputs.push(verdict_output(&from, ticket, Verdict::NotLeader(self.leader())));
         }
     }
 
     fn propose_quotas(&mut self, now: Moment, wall: Epoch, outputs: &mut Vec<Output>) {
-        if !self.leads {
+        if !self.is_leader {
             return;
         }
-        let (waiting, mut actions) = self.keeper.take(now, &self.quotas);
-        let mut who = Vec::with_capacity(waiting.len());
-        for (from, ticket, ask) in waiting {
-            who.push((from, ticket));
-            actions.push(quota::Action::Ask(ask));
+        let (pending, mut actions) = self.quota_coordinator.take(now, &self.quota_ledger);
+        let mut requesters = Vec::with_capacity(pending.len());
+        for (from, ticket, demand) in pending {
+            requesters.push((from, ticket));
+            actions.push(quota::Action::Ask(demand));
         }
         if !actions.is_empty() {
-            self.propose(now, wall, Proposal::Quota(who), Body::Quota(actions), outputs);
+            self.propose(now, wall, Proposal::Quota(requesters), Body::Quota(actions), outputs);
         }
     }
 
@@ -351,28 +370,31 @@
         outputs: &mut Vec<Output>,
     ) {
         let Ok(command) = postcard::to_stdvec(&Command { at: wall, body }) else { return };
-        let ticket = self.note(proposal);
-        self.tell(now, quorum::Input::Propose { ticket, command }, outputs);
+        let ticket = self.track(proposal);
+        self.step_replica(now, quorum::Input::Propose { ticket, command }, outputs);
     }
 
-    fn note(&mut self, proposal: Proposal) -> u64 {
+    /// Remembers a proposal under a new ticket.
+    fn track(&mut self, proposal: Proposal) -> u64 {
         self.next_ticket += 1;
         self.proposals.insert(self.next_ticket, proposal);
         self.next_ticket
     }
 
-    fn tell(&mut self, now: Moment, input: quorum::Input, outputs: &mut Vec<Output>) {
+    fn step_replica(&mut self, now: Moment, input: quorum::Input, outputs: &mut Vec<Output>) {
         for output in self.replica.handle(now, input) {
-            self.carry_out(now, output, outputs);
+            self.handle_output(now, output, outputs);
         }
     }
 
-    fn carry_out(&mut self, now: Moment, output: quorum::Output, outputs: &mut Vec<Output>) {
+    fn handle_output(&mut self, now: Moment, output: quorum::Output, outputs: &mut Vec<Output>) {
         match output {
-            quorum::Output::Accepted { ticket, index } => self.accepted(ticket, index, outputs),
+            quorum::Output::Accepted { ticket, index } => {
+                self.handle_accepted(ticket, index, outputs)
+            }
             quorum::Output::BecameLeader { term } => {
-                self.leads = true;
-                self.led_since = now;
+                self.is_leader = true;
+                self.leader_since = now;
                 outputs.push(Output::RoleChanged(quorum::Role::Leader, term));
             }
             quorum::Output::Changed { .. } => (),
@@ -383,30 +405,30 @@
             }
             quorum::Output::Readable { ticket } => match self.proposals.remove(&ticket) {
                 Some(Proposal::Read { from, ticket }) => {
-                    outputs.push(verdict_to(&from, ticket, Verdict::Readable(self.applied)));
+                    outputs.push(verdict_output(&from, ticket, Verdict::Readable(self.applied)));
                 }
-                _ => outputs.push(Output::Leadership(self.leads)),
+                _ => outputs.push(Output::Leadership(self.is_leader)),
             },
             quorum::Output::Refused { ticket, reason, leader } => {
-                self.refused(ticket, reason, leader, outputs);
+                self.handle_refused(ticket, reason, leader, outputs);
             }
             quorum::Output::Send { to, message } => {
                 outputs.push(Output::Send(to, Box::new(Frame::Quorum(message))));
             }
             quorum::Output::SteppedDown { term } => {
-                self.leads = false;
-                self.groups = 0;
-                self.desk.clear();
-                self.keeper.clear();
-                self.granted.clear();
+                self.is_leader = false;
+                self.claim_batches = 0;
+                self.claim_queue.clear();
+                self.quota_coordinator.clear();
+                self.quota_replies.clear();
                 outputs.push(Output::Leadership(false));
                 outputs.push(Output::RoleChanged(quorum::Role::Follower, term));
             }
-            quorum::Output::Uncertain { ticket } => self.uncertain(ticket, outputs),
+            quorum::Output::Uncertain { ticket } => self.handle_uncertain(ticket, outputs),
         }
     }
 
-    /// Applies a committed command; every replica does this alike.
+    /// Applies a committed command. This must be deterministic, since every replica does it.
     fn apply(&mut self, index: Index, command: &[u8], outputs: &mut Vec<Output>) {
         self.applied = index;
         let Ok(command) = postcard::from_bytes::<Command>(command) else { return };
@@ -417,18 +439,18 @@
                 }
             }
             Body::Claims(claims) => {
-                let replies = self.ledger.apply(command.at, claims.clone());
-                if self.leads {
+                let replies = self.claim_ledger.apply(command.at, claims.clone());
+                if self.is_leader {
                     let receipts = Desk::receipts(&claims, replies).into_iter();
                     let frames = receipts.map(|(to, message)| (to, Frame::Claim(message)));
                     outputs.extend(frames.map(|(to, frame)| Output::Send(to, Box::new(frame))));
                 }
             }
             Body::Quota(actions) => {
-                let granted = actions.iter().map(|action| self.quotas.apply(action)).collect();
-                if self.leads {
-                    self.granted.insert(index, granted);
-                    self.granted.retain(|at, _| index - at < REPLIES_MAX);
+                let grants = actions.iter().map(|action| self.quota_ledger.apply(action)).collect();
+                if self.is_leader {
+                    self.quota_replies.insert(index, grants);
+                    self.quota_replies.retain(|at, _| index - at < REPLIES_MAX);
                 }
             }
             Body::Config(change) => {
@@ -436,38 +458,38 @@
                 let reply = self.book.apply(command.at, change);
                 let now = self.book.in_force().filter(|version| Some(version.number) != before);
                 if now.is_some() {
-                    self.configured = index;
+                    self.configuration_index = index;
                 }
                 outputs.extend(now.cloned().map(Output::Committed));
-                if self.leads {
-                    self.replies.insert(index, verdict(reply, before));
-                    self.replies.retain(|at, _| index - at < REPLIES_MAX);
+                if self.is_leader {
+                    self.config_replies.insert(index, verdict_for(reply, before));
+                    self.config_replies.retain(|at, _| index - at < REPLIES_MAX);
                 }
             }
         }
     }
 
-    fn accepted(&mut self, ticket: u64, index: Index, outputs: &mut Vec<Output>) {
-        let verdict = self.replies.remove(&index);
+    fn handle_accepted(&mut self, ticket: u64, index: Index, outputs: &mut Vec<Output>) {
+        let verdict = self.config_replies.remove(&index);
         match self.proposals.remove(&ticket) {
             Some(Proposal::Catalog { from, ticket }) => {
-                outputs.push(verdict_to(&from, ticket, Verdict::Announced));
+                outputs.push(verdict_output(&from, ticket, Verdict::Announced));
             }
             Some(Proposal::Change(ticket)) => outputs.push(Output::Changed(ticket, Ok(index))),
-            Some(Proposal::Claims) => self.groups = self.groups.saturating_sub(1),
+            Some(Proposal::Claims) => self.claim_batches = self.claim_batches.saturating_sub(1),
             Some(Proposal::Submit { from, ticket, .. }) => {
                 let verdict = verdict.unwrap_or(Verdict::Unconfirmed);
-                outputs.push(verdict_to(&from, ticket, verdict));
+                outputs.push(verdict_output(&from, ticket, verdict));
             }
-            Some(Proposal::Quota(who)) => {
-                let granted = self.granted.remove(&index).unwrap_or_default();
-                outputs.extend(grants(who, granted));
+            Some(Proposal::Quota(requesters)) => {
+                let grants = self.quota_replies.remove(&index).unwrap_or_default();
+                outputs.extend(grant_outputs(requesters, grants));
             }
-            Some(Proposal::Proof | Proposal::Read { .. }) | None => (),
+            Some(Proposal::LeadershipCheck | Proposal::Read { .. }) | None => (),
         }
     }
 
-    fn refused(
+    fn handle_refused(
         &mut self,
         ticket: u64,
         reason: quorum::Reason,
@@ -482,25 +504,26 @@
                 };
                 outputs.push(Output::Changed(ticket, Err(text)));
             }
-            Some(Proposal::Claims) => self.groups = self.groups.saturating_sub(1),
-            Some(Proposal::Proof) => outputs.push(Output::Leadership(false)),
-            Some(Proposal::Quota(who)) => {
+            Some(Proposal::Claims) => self.claim_batches = self.claim_batches.saturating_sub(1),
+            Some(Proposal::LeadershipCheck) => outputs.push(Output::Leadership(false)),
+            Some(Proposal::Quota(requesters)) => {
                 let verdict = |(to, ticket): &(NodeId, u64)| {
-                    verdict_to(to, *ticket, Verdict::NotLeader(leader.clone()))
+                    verdict_output(to, *ticket, Verdict::NotLeader(leader.clone()))
                 };
-                outputs.extend(who.iter().map(verdict));
+                outputs.extend(requesters.iter().map(verdict));
             }
             Some(
                 Proposal::Catalog { from, ticket }
                 | Proposal::Read { from, ticket }
                 | Proposal::Submit { from, ticket, .. },
-            ) => outputs.push(verdict_to(&from, ticket, Verdict::NotLeader(leader))),
+            ) => outputs.push(verdict_output(&from, ticket, Verdict::NotLeader(leader))),
             None => (),
         }
     }
 
-    /// The process that asked sends again; its submission id makes that safe.
-    fn uncertain(&mut self, ticket: u64, outputs: &mut Vec<Output>) {
+    /// Handles a proposal that may or may not be committed: the process that forwarded it is told
+    /// to send it again, which is idempotent by its submission id.
+    fn handle_uncertain(&mut self, ticket: u64, outputs: &mut Vec<Output>) {
         match self.proposals.remove(&ticket) {
             Some(
                 Proposal::Catalog { from, ticket }
@@ -508,47 +531,50 @@
                 | Proposal::Submit { from, ticket, .. },
             ) => {
                 let verdict = Verdict::NotLeader(self.leader());
-                outputs.push(verdict_to(&from, ticket, verdict));
+                outputs.push(verdict_output(&from, ticket, verdict));
             }
             Some(Proposal::Change(ticket)) => {
                 let text = "leadership was lost; look at the status and ask again".to_owned();
                 outputs.push(Output::Changed(ticket, Err(text)));
             }
-            Some(Proposal::Claims) => self.groups = self.groups.saturating_sub(1),
-            // Entries ask again; what is in the log by then is told once more.
-            Some(Proposal::Proof | Proposal::Quota(_)) | None => (),
+            Some(Proposal::Claims) => self.claim_batches = self.claim_batches.saturating_sub(1),
+            // Entries repeat their demands, and a demand already in the log is answered again.
+            Some(Proposal::LeadershipCheck | Proposal::Quota(_)) | None => (),
         }
     }
 
     fn install(&mut self, snapshot: &quorum::Snapshot, outputs: &mut Vec<Output>) {
         let Some(image) = Image::decode(&snapshot.bytes) else {
-            tracing::error!(target: "hemlockfield::quorum", "snapshot can't be read");
+            tracing::error!(target: "hemlockfield::quorum", "snapshot can't be decoded");
             return;
         };
         self.book = image.book;
         self.catalog = image.catalog;
-        self.configured = snapshot.index;
-        self.ledger = image.ledger;
-        self.quotas = image.quotas;
+        self.configuration_index = snapshot.index;
+        self.claim_ledger = image.ledger;
+        self.quota_ledger = image.quotas;
         self.applied = snapshot.index;
-        self.snapshot_at = snapshot.index;
+        self.snapshot_index = snapshot.index;
         outputs.extend(self.book.in_force().cloned().map(Output::Committed));
         outputs.push(Output::SnapshotInstalled);
     }
 
-    fn shorten(&mut self, now: Moment, outputs: &mut Vec<Output>) {
-        if self.applied < self.snapshot_at + SNAPSHOT_AFTER {
+    /// Takes a snapshot if enough entries were applied since the last, so that the log can be
+    /// truncated.
+    fn compact_log(&mut self, now: Moment, outputs: &mut Vec<Output>) {
+        if self.applied < self.snapshot_index + SNAPSHOT_INTERVAL {
             return;
         }
-        self.snapshot_at = self.applied;
-        let image = Image::encode(&self.book, &self.ledger, &self.catalog, &self.quotas);
+        self.snapshot_index = self.applied;
+        let image =
+            Image::encode(&self.book, &self.claim_ledger, &self.catalog, &self.quota_ledger);
         let Some(bytes) = image else { return };
         let index = self.applied;
-        self.tell(now, quorum::Input::Snapshot { index, bytes }, outputs);
+        self.step_replica(now, quorum::Input::Snapshot { index, bytes }, outputs);
     }
 }
 
-fn smaller(patch: Patch, version: &Version) -> config::Command {
+fn smaller_command(patch: Patch, version: &Version) -> config::Command {
     let size = postcard::to_stdvec(&patch).map_or(usize::MAX, |bytes| bytes.len());
     if size < version.document.len() {
         return config::Command::Amend(patch);
@@ -556,7 +582,7 @@
     config::Command::Submit(version.clone())
 }
 
-fn verdict(reply: config::Reply, before: Option<u64>) -> Verdict {
+fn verdict_for(reply: config::Reply, before: Option<u64>) -> Verdict {
     match reply {
         config::Reply::Accepted(head) if Some(head.number) <= before => {
             Verdict::AlreadyAccepted(head.number)
@@ -568,16 +594,17 @@
     }
 }
 
-/// Answers to those who asked; theirs are the last of a record's.
-fn grants(who: Vec<(NodeId, u64)>, granted: Vec<Option<quota::Grant>>) -> Vec<Output> {
-    let first = granted.len().saturating_sub(who.len());
-    let answers = who.into_iter().zip(granted.into_iter().skip(first));
+/// Answers the demands of a log entry. The entry may contain other actions; the demands are its
+/// last ones.
+fn grant_outputs(requesters: Vec<(NodeId, u64)>, grants: Vec<Option<quota::Grant>>) -> Vec<Output> {
+    let first = grants.len().saturating_sub(requesters.len());
+    let answers = requesters.into_iter().zip(grants.into_iter().skip(first));
     let answer = |((to, ticket), grant): ((NodeId, u64), Option<quota::Grant>)| {
-        Some(verdict_to(&to, ticket, Verdict::Granted(grant?)))
+        Some(verdict_output(&to, ticket, Verdict::Granted(grant?)))
     };
     answers.filter_map(answer).collect()
 }
 
-fn verdict_to(to: &NodeId, ticket: u64, verdict: Verdict) -> Output {
+fn verdict_output(to: &NodeId, ticket: u64, verdict: Verdict) -> Output {
     Output::Send(to.clone(), Box::new(Frame::Verdict { ticket, verdict }))
 }
--- a/src/node/feed_core.rs
+++ b/src/node/feed_core.rs
@@ -1,16 +1,16 @@
-//! Control state of a process in a fleet whose entries follow the controls.
+//! Control state of a process in a fleet whose entries subscribe to the controls' feed.
 //!
-//! Controls hold everything that was acknowledged, upstreams included, in the quorum's log;
-//! entries ask them for it twice a second. A control's part is the [`Hub`], an entry's the
-//! [`Spoke`]; a process may be both.
+//! Everything acknowledged, upstreams included, is in the quorum log of the controls; entries
+//! poll the controls for it twice a second. [`ControlRole`] is the state of a control and
+//! [`EntryRole`] that of an entry. A process may have both roles.
 
 mod breakers;
+mod control_role;
+mod entry_role;
 mod events;
-mod hub;
-mod overdue;
+mod overdue_counter;
 mod peers;
 mod setup;
-mod spoke;
 
 pub(super) use setup::Setup;
 
@@ -31,27 +31,27 @@
 use super::core::Output;
 use super::machine::Machine;
 use super::status::Report;
-use hub::Hub;
-use spoke::Spoke;
+use control_role::ControlRole;
+use entry_role::EntryRole;
 
-/// Control state of a process in a fleet whose entries follow the controls.
+/// Control state of a process in a fleet whose entries subscribe to the controls' feed.
 #[derive(Debug)]
 pub(super) struct FeedCore {
-    hub: Option<Hub>,
+    control: Option<ControlRole>,
     id: NodeId,
-    spoke: Option<Spoke>,
+    entry: Option<EntryRole>,
 }
 
 impl FeedCore {
     pub(super) fn new(now: Moment, setup: Setup) -> Self {
         let id = setup.id.clone();
-        let spoke = setup.is_entry.then(|| Spoke::new(now, &setup));
-        let hub = setup.is_control.then(|| Hub::new(now, setup));
-        Self { hub, id, spoke }
+        let entry = setup.is_entry.then(|| EntryRole::new(now, &setup));
+        let control = setup.is_control.then(|| ControlRole::new(now, setup));
+        Self { control, id, entry }
     }
 
     fn dispatch(&mut self, now: Moment, wall: Epoch, input: Input) -> Vec<Output> {
-        let to_spoke = match &input {
+        let is_for_entry = match &input {
             Input::Carried(..)
             | Input::Drain
             | Input::Outcome(..)
@@ -61,17 +61,17 @@
             | Input::Seeds(_)
             | Input::Tick
             | Input::Tried { .. } => true,
-            Input::Frame(_, Frame::Feed(message)) => spoke::takes(message),
+            Input::Frame(_, Frame::Feed(message)) => entry_role::is_for_entry(message),
             _ => false,
         };
         let mut outputs = Vec::new();
-        if to_spoke && let Some(spoke) = &mut self.spoke {
-            outputs.extend(spoke.handle(now, &input));
+        if is_for_entry && let Some(entry) = &mut self.entry {
+            outputs.extend(entry.handle(now, &input));
         }
-        if let Some(hub) = &mut self.hub {
-            outputs.extend(hub.handle(now, wall, input));
+        if let Some(control) = &mut self.control {
+            outputs.extend(control.handle(now, wall, input));
         } else {
-            outputs.extend(refuse(input));
+            outputs.extend(reject(input));
         }
         outputs
     }
@@ -95,39 +95,40 @@
     }
 
     fn wake(&self, now: Moment) -> Moment {
-        let hub = self.hub.as_ref().map(|hub| hub.wake(now));
-        let spoke = self.spoke.as_ref().map(Spoke::wake);
-        hub.into_iter().chain(spoke).min().unwrap_or(now)
+        let control = self.control.as_ref().map(|control| control.next_at(now));
+        let entry = self.entry.as_ref().map(EntryRole::next_at);
+        control.into_iter().chain(entry).min().unwrap_or(now)
     }
 
     fn view(&mut self, now: Moment, last: &View) -> Option<View> {
-        let entries = self.hub.as_ref().and_then(|hub| hub.entries(now, last));
-        let fresh = self.spoke.as_mut().and_then(|spoke| spoke.view(now, last));
-        if entries.is_none() && fresh.is_none() {
+        let entries = self.control.as_ref().and_then(|control| control.entries(now, last));
+        let next = self.entry.as_mut().and_then(|entry| entry.view(now, last));
+        if entries.is_none() && next.is_none() {
             return None;
         }
-        let mut view = fresh.unwrap_or_else(|| last.clone());
+        let mut view = next.unwrap_or_else(|| last.clone());
         if let Some(entries) = entries {
             view.entries = entries;
         }
-        if self.spoke.is_none() {
+        if self.entry.is_none() {
             view.standing = Standing::Serving;
         }
         Some(view)
     }
 
     fn report(&self, now: Moment) -> Report {
-        let hub = self.hub.as_ref();
-        let spoke = self.spoke.as_ref();
-        let version = spoke.and_then(Spoke::version).or_else(|| hub.and_then(Hub::version));
+        let control = self.control.as_ref();
+        let entry = self.entry.as_ref();
+        let version =
+            entry.and_then(EntryRole::version).or_else(|| control.and_then(ControlRole::version));
         Report {
             configuration: version.map(super::status::Configuration::of),
-            control: hub.map(|hub| hub.control(now)),
+            control: control.map(|control| control.status(now)),
             id: self.id.clone(),
             members: Vec::new(),
             open_claims: 0,
-            services: spoke.map(|spoke| spoke.upstreams(now)).unwrap_or_default(),
-            standing: spoke.map_or(Standing::Serving, Spoke::standing),
+            services: entry.map(|entry| entry.upstreams(now)).unwrap_or_default(),
+            standing: entry.map_or(Standing::Serving, EntryRole::standing),
         }
     }
 
@@ -140,20 +141,20 @@
     }
 
     fn close_controller(&mut self, reason: String) {
-        if let Some(hub) = &mut self.hub {
-            hub.close_controller(reason);
+        if let Some(control) = &mut self.control {
+            control.close_controller(reason);
         }
     }
 
     fn open_controller(&mut self, controller: Controller) {
-        if let Some(hub) = &mut self.hub {
-            hub.open_controller(controller);
+        if let Some(control) = &mut self.control {
+            control.open_controller(controller);
         }
     }
 }
 
-/// Answers what only a control can do.
-fn refuse(input: Input) -> Option<Output> {
+/// Answers an input that only a control can process; `None` for all others.
+fn reject(input: Input) -> Option<Output> {
     let text = || "this process is no control; ask one".to_owned();
     match input {
         Input::Announce(ticket, _) | Input::Catalog(ticket, _) => {
@@ -172,8 +173,8 @@
     }
 }
 
-/// An entry as callers may be told of it.
-fn listed(entry: &feed::Entry) -> directory::Entry {
+/// Converts an entry of the feed to one of the callers' directory.
+fn directory_entry(entry: &feed::Entry) -> directory::Entry {
     directory::Entry {
         address: entry.callers,
         domain: entry.domain.clone(),
--- a/src/node/feed_core/hub.rs
+++ b/src/node/feed_core/control_role.rs
@@ -1,4 +1,5 @@
-//! A control's part: the log, the feed to entries, and repair of the members.
+//! State of a control: the replicated state machine, the feed to entries, and automatic changes
+//! of the log's members.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -36,79 +37,83 @@
 use super::events;
 use super::peers::Peers;
 
-/// A control vouches for its news while the log was heard to go on within this span: four
-/// heartbeats, so that one lost is no alarm.
-const FRESH: Duration = Duration::from_millis(700);
-/// Pause between two greetings of the other controls.
-const HELLO: Duration = Duration::from_millis(500);
-/// Pause between two looks at the members.
-const MEND: Duration = Duration::from_millis(200);
-/// Longest that an announcement or a reading is carried around: those who ask wait for a
-/// second and then ask another control.
-const PATIENCE: Duration = Duration::from_millis(800);
-/// Longest that a submission is carried around: an election may pass meanwhile.
-const SUBMIT_PATIENCE: Duration = Duration::from_millis(1900);
-/// Tickets of what entries ask begin here, beyond all those of this process's own doors.
-const ASKS: u64 = 1 << 63;
-
-/// A control's part.
+/// A control marks its news as fresh if its log was in touch with the leader, or with a majority
+/// if it leads, within this span: four heartbeats, so that one lost heartbeat does not matter.
+const FRESH_TIMEOUT: Duration = Duration::from_millis(700);
+/// Interval between two greetings to the other controls.
+const HELLO_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval between two checks for a due change of the log's members.
+const MEMBER_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Longest time for which an announcement or a read is retried. The sender waits for a
+/// second and then turns to another control.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(800);
+/// Longest time for which a submission is retried; an election may take place within it.
+const SUBMIT_TIMEOUT: Duration = Duration::from_millis(1900);
+/// Base of the tickets for demands of entries, above all tickets of this process's control thread.
+const DEMAND_TICKET_BASE: u64 = 1 << 63;
+
+/// State of a control.
 #[derive(Debug)]
-pub(super) struct Hub {
-    asked: BTreeMap<u64, Asked>,
+pub(super) struct ControlRole {
+    /// Orders that the forwarder has not answered, by ticket.
+    pending: BTreeMap<u64, Pending>,
     forwarder: Forwarder,
     hello_at: Moment,
-    mend_at: Moment,
-    next_ask: u64,
+    member_check_at: Moment,
+    last_demand_ticket: u64,
     controller: Option<Controller>,
     peers: Peers,
     publisher: Publisher,
-    reads: Vec<Reading>,
+    reads: Vec<PendingRead>,
+    /// Why the controller stopped, if it did.
     stopped: Option<String>,
 }
 
-/// What a ticket asked for.
+/// Kind of a pending order.
 #[derive(Clone, Debug, Eq, PartialEq)]
-enum Asked {
+enum Pending {
     Catalog,
-    /// An entry, with its own ticket.
+    /// Demand of an entry, with its own ticket.
     Quota(NodeId, u64),
     Read,
     Submit,
 }
 
-/// A reading that waits for the own log to come so far.
+/// A read that waits until this replica has applied the log up to `index`.
 #[derive(Clone, Copy, Debug)]
-struct Reading {
+struct PendingRead {
     index: Index,
     ticket: u64,
-    until: Moment,
+    deadline: Moment,
 }
 
-impl Hub {
+impl ControlRole {
     pub(super) fn new(now: Moment, setup: Setup) -> Self {
         let me = Control { domain: setup.domain, id: setup.id };
-        let mut hub = Self {
-            asked: BTreeMap::new(),
+        let mut role = Self {
+            pending: BTreeMap::new(),
             forwarder: Forwarder::default(),
             hello_at: now,
-            mend_at: now,
-            next_ask: ASKS,
+            member_check_at: now,
+            last_demand_ticket: DEMAND_TICKET_BASE,
             controller: setup.controller,
             peers: Peers::new(me, setup.seeds),
             publisher: Publisher::default(),
             reads: Vec::new(),
             stopped: None,
         };
-        hub.meet_members();
-        hub
+        role.add_members();
+        role
     }
 
     pub(super) fn handle(&mut self, now: Moment, wall: Epoch, input: Input) -> Vec<Output> {
         let mut outputs = Vec::new();
         match input {
-            Input::Catalog(ticket, action) => self.catalog(now, ticket, action, &mut outputs),
+            Input::Catalog(ticket, action) => {
+                self.forward_announcement(now, ticket, action, &mut outputs)
+            }
             Input::Change(ticket, change) => {
-                self.tell_controller(
+                self.step_controller(
                     now,
                     wall,
                     controller::Input::Change(ticket, change),
@@ -117,29 +122,33 @@
             }
             Input::Frame(from, frame) => self.receive(now, wall, from, frame, &mut outputs),
             Input::Read(ticket) => {
-                self.ask(now, ticket, Asked::Read, Order::Read, PATIENCE, &mut outputs);
+                self.forward(now, ticket, Pending::Read, Order::Read, ORDER_TIMEOUT, &mut outputs);
             }
             Input::Seeds(seeds) => {
                 self.peers.set_seeds(seeds);
-                self.meet_members();
+                self.add_members();
             }
             Input::Submit(ticket, version) => self.submit(now, ticket, version, &mut outputs),
             Input::Synced(number) => {
-                self.tell_controller(now, wall, controller::Input::Synced(number), &mut outputs);
+                self.step_controller(now, wall, controller::Input::Synced(number), &mut outputs);
             }
             Input::Tick => self.tick(now, wall, &mut outputs),
             _ => (),
         }
-        self.settle_reads(now, &mut outputs);
+        self.answer_reads(now, &mut outputs);
         outputs
     }
 
-    pub(super) fn wake(&self, now: Moment) -> Moment {
+    pub(super) fn next_at(&self, now: Moment) -> Moment {
         let controller = self.controller.as_ref().and_then(Controller::next_at);
-        let reads = self.reads.iter().map(|read| read.until).min();
-        let mend =
-            self.controller.as_ref().filter(|controller| controller.leads()).map(|_| self.mend_at);
-        let due = controller.into_iter().chain(reads).chain(mend).chain(self.forwarder.wake());
+        let reads = self.reads.iter().map(|read| read.deadline).min();
+        let member_check = self
+            .controller
+            .as_ref()
+            .filter(|controller| controller.is_leader())
+            .map(|_| self.member_check_at);
+        let due =
+            controller.into_iter().chain(reads).chain(member_check).chain(self.forwarder.wake());
         due.fold(self.publisher.wake().min(self.hello_at), Moment::min).max(now)
     }
 
@@ -147,7 +156,7 @@
         self.controller.as_ref()?.in_force()
     }
 
-    pub(super) fn control(&self, now: Moment) -> status::Control {
+    pub(super) fn status(&self, now: Moment) -> status::Control {
         status::Control {
             claims: self.controller.as_ref().map_or(0, Controller::remembered_claims),
             log: self.controller.as_ref().map(|controller| controller.status(now)),
@@ -155,10 +164,10 @@
         }
     }
 
-    /// Entries that take callers; `None` where they are those of the last view.
+    /// Entries that accept callers; `None` if they are the same as in the last view.
     pub(super) fn entries(&self, now: Moment, last: &View) -> Option<Arc<Vec<directory::Entry>>> {
         let mut entries: Vec<directory::Entry> =
-            self.publisher.named(now).into_iter().map(super::listed).collect();
+            self.publisher.named(now).into_iter().map(super::directory_entry).collect();
         entries.sort_by(|one, other| one.id.cmp(&other.id));
         (entries != *last.entries).then(|| Arc::new(entries))
     }
@@ -171,7 +180,7 @@
     pub(super) fn open_controller(&mut self, controller: Controller) {
         self.controller = Some(controller);
         self.stopped = None;
-        self.meet_members();
+        self.add_members();
     }
 
     fn receive(
@@ -183,7 +192,7 @@
         outputs: &mut Vec<Output>,
     ) {
         match frame {
-            Frame::Feed(message) => self.feed(now, from, message, outputs),
+            Frame::Feed(message) => self.receive_feed(now, from, message, outputs),
             Frame::Order { ticket, order } => {
                 let input = match order {
                     Order::Catalog(action) => controller::Input::Catalog(from, ticket, action),
@@ -191,18 +200,18 @@
                     Order::Read => controller::Input::Read(from, ticket),
                     Order::Submit(version) => controller::Input::Submit(from, ticket, version),
                 };
-                self.tell_controller(now, wall, input, outputs);
+                self.step_controller(now, wall, input, outputs);
             }
             Frame::Quorum(message) => {
-                self.tell_controller(now, wall, controller::Input::Receive(from, message), outputs);
+                self.step_controller(now, wall, controller::Input::Receive(from, message), outputs);
             }
             Frame::Submit { ticket, version } => {
                 let input = controller::Input::Submit(from, ticket, version);
-                self.tell_controller(now, wall, input, outputs);
+                self.step_controller(now, wall, input, outputs);
             }
             Frame::Verdict { ticket, verdict } => {
-                let done = self.forwarder.verdict(now, ticket, verdict);
-                self.carry_out(now, done, outputs);
+                let effects = self.forwarder.verdict(now, ticket, verdict);
+                self.handle_effects(now, effects, outputs);
             }
             _ => tracing::warn!(
                 target: "hemlockfield::link",
@@ -212,36 +221,42 @@
         }
     }
 
-    fn feed(&mut self, now: Moment, from: NodeId, message: Message, outputs: &mut Vec<Output>) {
+    fn receive_feed(
+        &mut self,
+        now: Moment,
+        from: NodeId,
+        message: Message,
+        outputs: &mut Vec<Output>,
+    ) {
         match message {
             Message::Controls { controls, leader } => {
-                let new = controls.into_iter().filter(|it| self.peers.hear_of(it.clone())).count();
-                if new > 0 {
-                    self.set_forwarder();
+                let added = controls.into_iter().filter(|it| self.peers.add(it.clone())).count();
+                if added > 0 {
+                    self.update_forwarder();
                 }
                 if let Some(leader) = leader {
                     self.forwarder.set_leader(&leader);
                 }
             }
             Message::Hello { control, disk, ready } => {
-                let known = self.peers.has_greeted(&from);
-                if self.peers.greeted(now, control, disk) {
-                    self.set_forwarder();
+                let has_greeted = self.peers.has_greeted(&from);
+                if self.peers.record_greeting(now, control, disk) {
+                    self.update_forwarder();
                 }
                 self.publisher.hear(now, &from, ready);
-                if !known {
-                    let controls = self.peers.present(now);
+                if !has_greeted {
+                    let controls = self.peers.live(now);
                     let leader = self.controller.as_ref().and_then(Controller::leader);
                     outputs.push(send(from, Message::Controls { controls, leader }));
                 }
             }
-            Message::Ask { ticket, ask } => self.quota(now, from, ticket, ask, outputs),
+            Message::Ask { ticket, ask } => self.forward_demand(now, from, ticket, ask, outputs),
             Message::Grant { .. } | Message::News(_) => (),
             Message::Tallies(tallies) => self.publisher.gather(now, &tallies, false),
             Message::Poll(poll) => {
-                let controls = self.peers.present(now);
-                let blank = Catalog::default();
-                let ledger = ledger(now, self.controller.as_ref(), &blank, controls);
+                let controls = self.peers.live(now);
+                let empty = Catalog::default();
+                let ledger = ledger(now, self.controller.as_ref(), &empty, controls);
                 let sends = self.publisher.poll(now, poll, &ledger);
                 outputs.extend(sends.into_iter().map(|(to, message)| send(to, message)));
             }
@@ -249,32 +264,32 @@
     }
 
     fn tick(&mut self, now: Moment, wall: Epoch, outputs: &mut Vec<Output>) {
-        self.tell_controller(now, wall, controller::Input::Tick, outputs);
-        let done = self.forwarder.tick(now);
-        self.carry_out(now, done, outputs);
+        self.step_controller(now, wall, controller::Input::Tick, outputs);
+        let effects = self.forwarder.tick(now);
+        self.handle_effects(now, effects, outputs);
         self.publish(now, outputs);
         self.greet(now, outputs);
-        self.mend(now, wall, outputs);
+        self.change_members(now, wall, outputs);
     }
 
     fn publish(&mut self, now: Moment, outputs: &mut Vec<Output>) {
         if now < self.publisher.wake() {
             return;
         }
-        let controls = self.peers.present(now);
-        let blank = Catalog::default();
-        let ledger = ledger(now, self.controller.as_ref(), &blank, controls);
+        let controls = self.peers.live(now);
+        let empty = Catalog::default();
+        let ledger = ledger(now, self.controller.as_ref(), &empty, controls);
         let sends = self.publisher.tick(now, &ledger);
         outputs.extend(sends.into_iter().map(|(to, message)| send(to, message)));
     }
 
-    /// Tells the other controls that this one is there, and of its entries.
+    /// Greets the other controls and sends them the entries that poll this one.
     fn greet(&mut self, now: Moment, outputs: &mut Vec<Output>) {
         if now < self.hello_at && !self.publisher.has_moved() {
             return;
         }
-        self.hello_at = now + HELLO;
-        self.peers.forget(now, self.members());
+        self.hello_at = now + HELLO_INTERVAL;
+        self.peers.remove_silent(now, self.members());
         let disk =
             self.controller.as_ref().and_then(|controller| controller.replica().named_disk());
         let ready = Ready { entries: self.publisher.own(now) };
@@ -284,26 +299,32 @@
         }
     }
 
-    /// Changes the members, where this control leads and the others that are there ask for it.
-    fn mend(&mut self, now: Moment, wall: Epoch, outputs: &mut Vec<Output>) {
-        let Some(controller) = self.controller.as_ref().filter(|controller| controller.leads())
+    /// Changes the log's members if this control leads and the set of live controls calls for it.
+    fn change_members(&mut self, now: Moment, wall: Epoch, outputs: &mut Vec<Output>) {
+        let Some(controller) = self.controller.as_ref().filter(|controller| controller.is_leader())
         else {
             return;
         };
-        if now < self.mend_at {
+        if now < self.member_check_at {
             return;
         }
-        self.mend_at = now + MEND;
-        let next =
+        self.member_check_at = now + MEMBER_CHECK_INTERVAL;
+        let change =
             mend::next(&controller.status(now), controller.tenure(now), &self.peers.disks(now));
-        if let Some(change) = next {
+        if let Some(change) = change {
             let event = events::event(&self.peers.me().id, Kind::MemberChanged);
             outputs.push(Output::Event(event.detail("change", format!("{change:?}"))));
-            self.tell_controller(now, wall, controller::Input::Change(0, change), outputs);
+            self.step_controller(now, wall, controller::Input::Change(0, change), outputs);
         }
     }
 
-    fn catalog(&mut self, now: Moment, ticket: u64, action: Action, outputs: &mut Vec<Output>) {
+    fn forward_announcement(
+        &mut self,
+        now: Moment,
+        ticket: u64,
+        action: Action,
+        outputs: &mut Vec<Output>,
+    ) {
         let Some(controller) = &self.controller else {
             outputs.push(Output::Announced(ticket, Err("no disk to write to".to_owned())));
             return;
@@ -312,58 +333,70 @@
             outputs.push(Output::Announced(ticket, Ok(())));
             return;
         }
-        self.ask(now, ticket, Asked::Catalog, Order::Catalog(action), PATIENCE, outputs);
+        self.forward(now, ticket, Pending::Catalog, Order::Catalog(action), ORDER_TIMEOUT, outputs);
     }
 
-    /// Carries on what an entry asks; an entry speaks for itself alone.
-    fn quota(
+    /// Forwards a demand of an entry; an entry may demand only for itself.
+    fn forward_demand(
         &mut self,
         now: Moment,
         from: NodeId,
         ticket: u64,
-        ask: quota::Demand,
+        demand: quota::Demand,
         outputs: &mut Vec<Output>,
     ) {
-        if ask.holder != from {
-            tracing::warn!(target: "hemlockfield::link", peer = %from, holder = %ask.holder, "asks for another");
+        if demand.holder != from {
+            tracing::warn!(target: "hemlockfield::link", peer = %from, holder = %demand.holder, "quota demand for another entry");
             return;
         }
-        self.next_ask += 1;
-        let asked = Asked::Quota(from, ticket);
-        let order = Order::Quota(ask);
-        self.ask(now, self.next_ask, asked, order, quota::Limiter::RESEND_INTERVAL, outputs);
+        self.last_demand_ticket += 1;
+        let kind = Pending::Quota(from, ticket);
+        let order = Order::Quota(demand);
+        self.forward(
+            now,
+            self.last_demand_ticket,
+            kind,
+            order,
+            quota::Limiter::RESEND_INTERVAL,
+            outputs,
+        );
     }
 
     fn submit(&mut self, now: Moment, ticket: u64, version: Version, outputs: &mut Vec<Output>) {
-        let held = self.version().map(|held| held.number);
-        if let Some(held) = held.filter(|held| *held >= version.number) {
-            // Committed before, or overtaken by what is committed.
-            outputs.push(Output::Verdict(ticket, Verdict::AlreadyAccepted(held)));
+        let in_force = self.version().map(|version| version.number);
+        if let Some(number) = in_force.filter(|number| *number >= version.number) {
+            // Already committed, or older than the committed one.
+            outputs.push(Output::Verdict(ticket, Verdict::AlreadyAccepted(number)));
             return;
         }
         let order = Order::Submit(version);
-        self.ask(now, ticket, Asked::Submit, order, SUBMIT_PATIENCE, outputs);
+        self.forward(now, ticket, Pending::Submit, order, SUBMIT_TIMEOUT, outputs);
     }
 
-    fn ask(
+    fn forward(
         &mut self,
         now: Moment,
         ticket: u64,
-        asked: Asked,
+        kind: Pending,
         order: Order,
-        patience: Duration,
+        timeout: Duration,
         outputs: &mut Vec<Output>,
     ) {
         if let Some(leader) = self.controller.as_ref().and_then(Controller::leader) {
             self.forwarder.set_leader(&leader);
         }
-        self.asked.insert(ticket, asked);
-        let done = self.forwarder.forward(now, ticket, order, patience);
-        self.carry_out(now, done, outputs);
+        self.pending.insert(ticket, kind);
+        let effects = self.forwarder.forward(now, ticket, order, timeout);
+        self.handle_effects(now, effects, outputs);
     }
 
-    fn carry_out(&mut self, now: Moment, done: Vec<forwarder::Output>, outputs: &mut Vec<Output>) {
-        for output in done {
+    fn handle_effects(
+        &mut self,
+        now: Moment,
+        effects: Vec<forwarder::Output>,
+        outputs: &mut Vec<Output>,
+    ) {
+        for output in effects {
             match output {
                 forwarder::Output::Answer(ticket, verdict) => {
                     self.answer(now, ticket, verdict, outputs);
@@ -374,30 +407,30 @@
     }
 
     fn answer(&mut self, now: Moment, ticket: u64, verdict: Verdict, outputs: &mut Vec<Output>) {
-        match (self.asked.remove(&ticket), verdict) {
-            (Some(Asked::Catalog), Verdict::Announced) => {
+        match (self.pending.remove(&ticket), verdict) {
+            (Some(Pending::Catalog), Verdict::Announced) => {
                 outputs.push(Output::Announced(ticket, Ok(())));
             }
-            (Some(Asked::Catalog), _) => {
+            (Some(Pending::Catalog), _) => {
                 let text = "the log could not take it in time".to_owned();
                 outputs.push(Output::Announced(ticket, Err(text)));
             }
-            (Some(Asked::Quota(to, ticket)), Verdict::Granted(grant)) => {
+            (Some(Pending::Quota(to, ticket)), Verdict::Granted(grant)) => {
                 outputs.push(send(to, Message::Grant { ticket, grant }));
             }
-            // The entry asks again.
-            (Some(Asked::Quota(..)), _) => (),
-            (Some(Asked::Read), Verdict::Readable(index)) => {
-                self.reads.push(Reading { index, ticket, until: now + PATIENCE });
+            // The entry repeats its demand.
+            (Some(Pending::Quota(..)), _) => (),
+            (Some(Pending::Read), Verdict::Readable(index)) => {
+                self.reads.push(PendingRead { index, ticket, deadline: now + ORDER_TIMEOUT });
             }
-            (Some(Asked::Read), _) => outputs.push(Output::Read(ticket, None)),
-            (Some(Asked::Submit) | None, verdict) => {
+            (Some(Pending::Read), _) => outputs.push(Output::Read(ticket, None)),
+            (Some(Pending::Submit) | None, verdict) => {
                 outputs.push(Output::Verdict(ticket, verdict));
             }
         }
     }
 
-    fn settle_reads(&mut self, now: Moment, outputs: &mut Vec<Output>) {
+    fn answer_reads(&mut self, now: Moment, outputs: &mut Vec<Output>) {
         if self.reads.is_empty() {
             return;
         }
@@ -405,7 +438,7 @@
         for read in std::mem::take(&mut self.reads) {
             if applied.is_some_and(|applied| applied >= read.index) {
                 outputs.push(Output::Read(read.ticket, Some(self.version().cloned())));
-            } else if read.until <= now {
+            } else if read.deadline <= now {
                 outputs.push(Output::Read(read.ticket, None));
             } else {
                 self.reads.push(read);
@@ -413,7 +446,7 @@
         }
     }
 
-    fn tell_controller(
+    fn step_controller(
         &mut self,
         now: Moment,
         wall: Epoch,
@@ -444,31 +477,33 @@
                 }
                 controller::Output::UpstreamChanged(action) => {
                     changed = true;
-                    outputs.push(Output::Event(events::about(&self.peers.me().id, &action)));
+                    outputs.push(Output::Event(events::catalog(&self.peers.me().id, &action)));
                 }
             }
         }
         if changed {
             let upstreams =
                 self.controller.iter().flat_map(|controller| controller.catalog().upstreams());
-            self.publisher.set_slots(upstreams.map(|said| said.slots).sum());
+            self.publisher.set_slots(upstreams.map(|announcement| announcement.slots).sum());
             self.publisher.changed(now);
-            self.meet_members();
+            self.add_members();
             self.publish(now, outputs);
         }
     }
 
     fn members(&self) -> Vec<NodeId> {
         let members = self.controller.as_ref().map(|controller| controller.replica().membership());
-        members.map(|them| them.members().map(|(id, _)| id.clone()).collect()).unwrap_or_default()
+        members
+            .map(|membership| membership.members().map(|(id, _)| id.clone()).collect())
+            .unwrap_or_default()
     }
 
-    fn meet_members(&mut self) {
-        self.peers.meet_all(self.members());
-        self.set_forwarder();
+    fn add_members(&mut self) {
+        self.peers.add_members_and_seeds(self.members());
+        self.update_forwarder();
     }
 
-    fn set_forwarder(&mut self) {
+    fn update_forwarder(&mut self) {
         self.forwarder.set_controls(self.peers.ids());
     }
 }
@@ -476,18 +511,18 @@
 fn ledger<'a>(
     now: Moment,
     controller: Option<&'a Controller>,
-    blank: &'a Catalog,
+    empty: &'a Catalog,
     controls: Vec<Control>,
 ) -> Ledger<'a> {
     let Some(controller) = controller else {
-        return Ledger { applied: 0, catalog: blank, configuration: None, controls, fresh: false };
+        return Ledger { applied: 0, catalog: empty, configuration: None, controls, fresh: false };
     };
     Ledger {
         applied: controller.applied(),
         catalog: controller.catalog(),
         configuration: controller.configuration(),
         controls,
-        fresh: controller.replica().is_current(now, FRESH),
+        fresh: controller.replica().is_current(now, FRESH_TIMEOUT),
     }
 }
 
--- a/src/node/feed_core/spoke.rs
+++ b/src/node/feed_core/entry_role.rs
@@ -1,4 +1,4 @@
-//! An entry's part: what controls told, and judgement of the upstreams.
+//! State of an entry: what it learned by the feed, and the circuit breakers of its upstreams.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -42,26 +42,30 @@
 use super::breakers::Breakers;
 use super::events;
 
-/// Share of a service's slots that stay in use where its rules say nothing.
-const FLOOR: f64 = 0.7;
-/// Longest until traffic goes by what only time or whole answers change: who is slow, who is
-/// warm. A view of 600 upstreams costs half a millisecond, and something is received always.
-const SETTLE: Duration = Duration::from_millis(250);
-/// An entry that no control has told anything for so long says so.
-const ALONE: Duration = Duration::from_secs(5);
+/// Default share of a service's slots that stays in use, for services without rules.
+const DEFAULT_FLOOR: f64 = 0.7;
+/// Interval at which views follow what changes with time or with successful answers, such as
+/// weights and warm-up. A view of 600 upstreams costs half a millisecond, and under load
+/// something changes all the time.
+const VIEW_INTERVAL: Duration = Duration::from_millis(250);
+/// An entry reports `ServingAlone` after this long without news from a control in touch with a
+/// leader.
+const ALONE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// An entry's part.
+/// State of an entry.
 #[derive(Debug)]
-pub(super) struct Spoke {
+pub(super) struct EntryRole {
     boundary: Arc<dyn Boundary>,
     breakers: Breakers,
-    dirty: bool,
+    /// Whether something has changed since the last view.
+    is_dirty: bool,
     entries: usize,
     id: NodeId,
-    leaving: bool,
-    /// Entries that callers are told of.
-    named: Arc<Vec<directory::Entry>>,
-    published: u64,
+    is_leaving: bool,
+    /// Directory of entries for callers.
+    directory: Arc<Vec<directory::Entry>>,
+    /// Version given to the service that changed last.
+    service_version: u64,
     rules: Option<Arc<Rules>>,
     participants: Participants,
     standing: Standing,
@@ -71,19 +75,20 @@
     viewed_at: Moment,
 }
 
-/// An upstream as controls told of it.
+/// An announced upstream.
 #[derive(Clone, Debug)]
 struct Known {
-    said: Announcement,
+    announcement: Announcement,
+    /// When this entry first learned of its incarnation.
     since: Moment,
 }
 
-/// Whether a message is for an entry.
-pub(super) fn takes(message: &Message) -> bool {
+/// Whether an entry processes this message.
+pub(super) fn is_for_entry(message: &Message) -> bool {
     matches!(message, Message::Grant { .. } | Message::News(_))
 }
 
-impl Spoke {
+impl EntryRole {
     pub(super) fn new(now: Moment, setup: &Setup) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(setup.seed);
         let mut draw = || ChaCha8Rng::seed_from_u64(random.next_u64());
@@ -97,12 +102,12 @@
         Self {
             boundary: Arc::clone(&setup.boundary),
             breakers: Breakers::new(now, draw()),
-            dirty: true,
+            is_dirty: true,
             entries: 1,
             id: setup.id.clone(),
-            leaving: false,
-            named: Arc::default(),
-            published: 0,
+            is_leaving: false,
+            directory: Arc::default(),
+            service_version: 0,
             rules: None,
             participants: Participants::new(setup.retry_window),
             standing: Standing::Starting,
@@ -117,26 +122,26 @@
         let mut outputs = Vec::new();
         match input {
             Input::Drain => {
-                self.leaving = true;
-                self.dirty = true;
+                self.is_leaving = true;
+                self.is_dirty = true;
                 self.subscriber.set_state(now, fleet::State::Leaving);
-                self.tell_subscriber(now, feed::Input::Tick, &mut outputs);
+                self.step_subscriber(now, feed::Input::Tick, &mut outputs);
             }
             Input::Frame(from, Frame::Feed(Message::News(news))) => {
                 let input = feed::Input::News(from.clone(), news.clone());
-                self.tell_subscriber(now, input, &mut outputs);
+                self.step_subscriber(now, input, &mut outputs);
             }
             Input::Frame(_, Frame::Feed(Message::Grant { ticket, grant })) => {
                 outputs.push(Output::Granted(*ticket, grant.clone()));
             }
-            Input::Quota(ticket, ask) => {
-                // Without a control it is asked again before long.
-                let message = Message::Ask { ticket: *ticket, ask: ask.clone() };
+            Input::Quota(ticket, demand) => {
+                // Without a control it is dropped; the limiter repeats it.
+                let message = Message::Ask { ticket: *ticket, ask: demand.clone() };
                 let to = self.subscriber.current().cloned();
                 outputs.extend(to.map(|to| Output::Send(to, None, Frame::Feed(message))));
             }
             Input::Outcome(service, upstream, kind, latency) => {
-                self.note(
+                self.record_own(
                     now,
                     service,
                     upstream,
@@ -146,10 +151,10 @@
             }
             Input::Tried { is_repeatable, kind, latency, service, upstream } => {
                 let counts = Counts::from_trial(*kind, *latency, *is_repeatable);
-                self.note(now, service, upstream, &counts, &mut outputs);
+                self.record_own(now, service, upstream, &counts, &mut outputs);
             }
             Input::Overdue(service, upstream, ages) => {
-                self.overdue(now, service, upstream, ages, &mut outputs);
+                self.record_overdue(now, service, upstream, ages, &mut outputs);
             }
             Input::Carried(arrivals, bytes) => self.subscriber.note_traffic(*arrivals, *bytes),
             Input::Seeds(seeds) => self.subscriber.set_seeds(seeds.clone()),
@@ -159,8 +164,8 @@
         outputs
     }
 
-    pub(super) fn wake(&self) -> Moment {
-        self.breakers.wake().into_iter().fold(self.subscriber.wake(), Moment::min)
+    pub(super) fn next_at(&self) -> Moment {
+        self.breakers.next_at().into_iter().fold(self.subscriber.wake(), Moment::min)
     }
 
     pub(super) fn version(&self) -> Option<&Version> {
@@ -172,37 +177,37 @@
     }
 
     pub(super) fn view(&mut self, now: Moment, last: &View) -> Option<View> {
-        if !self.dirty && now < self.viewed_at + SETTLE {
+        if !self.is_dirty && now < self.viewed_at + VIEW_INTERVAL {
             return None;
         }
         self.viewed_at = now;
         let services = self.services(now);
-        if !self.dirty && last.has(&services) {
+        if !self.is_dirty && last.has(&services) {
             return None;
         }
-        self.dirty = false;
+        self.is_dirty = false;
         Some(View {
-            entries: Arc::clone(&self.named),
-            leaving: self.leaving,
+            entries: Arc::clone(&self.directory),
+            leaving: self.is_leaving,
             number: self.version.as_ref().map(|version| version.number),
             rules: self.rules.clone(),
-            services: last.succeed(services, &mut self.published),
+            services: last.succeed(services, &mut self.service_version),
             standing: self.standing,
         })
     }
 
     pub(super) fn upstreams(&self, _: Moment) -> BTreeMap<ServiceId, Vec<status::Upstream>> {
         let mut services: BTreeMap<ServiceId, Vec<status::Upstream>> = BTreeMap::new();
-        for Known { said, .. } in self.upstreams.values() {
-            let group = self.breakers.get(&said.service);
-            let verdict = match group.map(|group| group.state(&said.upstream)) {
+        for Known { announcement, .. } in self.upstreams.values() {
+            let group = self.breakers.get(&announcement.service);
+            let verdict = match group.map(|group| group.state(&announcement.upstream)) {
                 None | Some(State::Closed) => health::Status::Sound,
                 Some(State::Open { .. }) => health::Status::Ejected,
                 Some(State::HalfOpen { .. }) => health::Status::Trial,
             };
-            services.entry(said.service.clone()).or_default().push(status::Upstream {
-                usable: said.state == registry::State::Ready,
-                upstream: said.upstream.clone(),
+            services.entry(announcement.service.clone()).or_default().push(status::Upstream {
+                usable: announcement.state == registry::State::Ready,
+                upstream: announcement.upstream.clone(),
                 verdict,
             });
         }
@@ -210,70 +215,70 @@
     }
 
     fn tick(&mut self, now: Moment, outputs: &mut Vec<Output>) {
-        self.tell_subscriber(now, feed::Input::Tick, outputs);
-        self.dirty |= self.breakers.look(now);
-        let alone = self.subscriber.fresh_at().is_none_or(|at| now >= at + ALONE);
+        self.step_subscriber(now, feed::Input::Tick, outputs);
+        self.is_dirty |= self.breakers.tick(now);
+        let is_alone = self.subscriber.fresh_at().is_none_or(|at| now >= at + ALONE_TIMEOUT);
         let standing = match self.rules {
             None => Standing::Starting,
-            Some(_) if alone => Standing::ServingAlone,
+            Some(_) if is_alone => Standing::ServingAlone,
             Some(_) => Standing::Serving,
         };
         if standing != self.standing {
             self.standing = standing;
-            self.dirty = true;
+            self.is_dirty = true;
             let event = events::event(&self.id, Kind::Other("standing".into()));
             outputs.push(Output::Event(event.detail("is", format!("{standing:?}"))));
         }
     }
 
-    fn tell_subscriber(&mut self, now: Moment, input: feed::Input, outputs: &mut Vec<Output>) {
+    fn step_subscriber(&mut self, now: Moment, input: feed::Input, outputs: &mut Vec<Output>) {
         for output in self.subscriber.handle(now, input) {
             match output {
                 feed::Output::Name(entries) => {
-                    self.named = Arc::new(entries.iter().map(super::listed).collect());
-                    self.dirty = true;
+                    self.directory = Arc::new(entries.iter().map(super::directory_entry).collect());
+                    self.is_dirty = true;
                 }
-                feed::Output::Note(tallies) => self.note_others(now, &tallies),
+                feed::Output::Note(tallies) => self.record_others(now, &tallies),
                 feed::Output::Send(to, message) => {
                     outputs.push(Output::Send(to, None, Frame::Feed(message)));
                 }
-                feed::Output::Take(news) => self.take(now, *news, outputs),
+                feed::Output::Take(news) => self.apply_news(now, *news, outputs),
             }
         }
     }
 
-    fn take(&mut self, now: Moment, news: News, outputs: &mut Vec<Output>) {
+    fn apply_news(&mut self, now: Moment, news: News, outputs: &mut Vec<Output>) {
         self.entries = news.entries.max(1);
         if news.fresh {
             self.participants.update(now, news.serving);
         }
         self.breakers.set_entries(news.entries);
         if let Some(version) = news.configuration {
-            self.configure(now, version, outputs);
+            self.apply_configuration(now, version, outputs);
         }
         let delta = news.upstreams;
         if delta.whole {
             let kept: Vec<UpstreamId> =
-                delta.upstreams.iter().map(|said| said.upstream.clone()).collect();
+                delta.upstreams.iter().map(|announcement| announcement.upstream.clone()).collect();
             let gone = self.upstreams.keys().filter(|id| !kept.contains(id)).cloned();
             let gone: Vec<UpstreamId> = gone.collect();
-            gone.iter().for_each(|id| self.lose(id));
+            gone.iter().for_each(|id| self.remove(id));
         }
-        delta.gone.iter().for_each(|id| self.lose(id));
-        for said in delta.upstreams {
-            self.learn(now, said);
+        delta.gone.iter().for_each(|id| self.remove(id));
+        for announcement in delta.upstreams {
+            self.add(now, announcement);
         }
     }
 
-    fn configure(&mut self, now: Moment, version: Version, outputs: &mut Vec<Output>) {
-        if self.version.as_ref().is_some_and(|held| held.number >= version.number) {
+    fn apply_configuration(&mut self, now: Moment, version: Version, outputs: &mut Vec<Output>) {
+        if self.version.as_ref().is_some_and(|current| current.number >= version.number) {
             return;
         }
         let rules = match self.boundary.rules(&version.document) {
             Ok(rules) => Arc::new(rules),
             Err(error) => {
                 let number = version.number;
-                tracing::error!(target: "hemlockfield::config", number, "can't be read: {error}");
+                tracing::error!(target: "hemlockfield::config", number, "configuration can't be compiled: {error}");
                 return;
             }
         };
@@ -282,37 +287,47 @@
         outputs.push(Output::Event(event));
         self.rules = Some(rules);
         self.version = Some(version);
-        self.dirty = true;
+        self.is_dirty = true;
         let rules = self.rules.as_deref();
         self.breakers.set_floors(|service| floor(rules, service));
-        if !self.leaving {
+        if !self.is_leaving {
             self.subscriber.set_state(now, fleet::State::Serving);
         }
     }
 
-    fn learn(&mut self, now: Moment, said: Announcement) {
-        let known = self.upstreams.get(&said.upstream);
-        let known = known.filter(|known| known.said.incarnation == said.incarnation);
+    fn add(&mut self, now: Moment, announcement: Announcement) {
+        let known = self.upstreams.get(&announcement.upstream);
+        let known =
+            known.filter(|known| known.announcement.incarnation == announcement.incarnation);
         let is_new = known.is_none();
         let since = known.map_or(now, |known| known.since);
         if is_new {
-            // What is known of a process that started again under its id is not of this one.
-            self.lose(&said.upstream);
+            // The upstream may have restarted; what was observed of its previous process does not
+            // apply to this one.
+            self.remove(&announcement.upstream);
         }
-        self.upstreams.insert(said.upstream.clone(), Known { said: said.clone(), since });
-        self.dirty = true;
-        let floor = self.floor(&said.service);
-        if said.state == registry::State::Ready {
-            self.breakers.join(&said.service, said.upstream, said.slots, floor);
+        self.upstreams.insert(
+            announcement.upstream.clone(),
+            Known { announcement: announcement.clone(), since },
+        );
+        self.is_dirty = true;
+        let floor = self.floor(&announcement.service);
+        if announcement.state == registry::State::Ready {
+            self.breakers.join(
+                &announcement.service,
+                announcement.upstream,
+                announcement.slots,
+                floor,
+            );
         } else {
-            self.breakers.leave(&said.upstream);
+            self.breakers.leave(&announcement.upstream);
         }
     }
 
-    fn lose(&mut self, id: &UpstreamId) {
+    fn remove(&mut self, id: &UpstreamId) {
         if self.upstreams.remove(id).is_some() {
-            self.dirty = true;
-            self.breakers.lose(id);
+            self.is_dirty = true;
+            self.breakers.remove(id);
         }
     }
 
@@ -320,8 +335,8 @@
         floor(self.rules.as_deref(), service)
     }
 
-    /// Takes what a caller received here.
-    fn note(
+    /// Records an outcome of this entry's callers.
+    fn record_own(
         &mut self,
         now: Moment,
         service: &ServiceId,
@@ -329,30 +344,30 @@
         counts: &Counts,
         outputs: &mut Vec<Output>,
     ) {
-        let Some(noted) = self.breakers.note_own(now, service, upstream, counts) else { return };
-        if noted.is_evidence {
-            let alarming = if noted.alarmed { counts.failed } else { 0 };
-            let counts = Counts { alarming, cleared: noted.cleared, ..*counts };
+        let Some(effect) = self.breakers.record_own(now, service, upstream, counts) else { return };
+        if effect.is_evidence {
+            let alarming = if effect.is_alarming { counts.failed } else { 0 };
+            let counts = Counts { alarming, cleared: effect.cleared, ..*counts };
             self.subscriber.note(now, upstream, &counts);
         }
-        if noted.changed {
-            self.dirty = true;
-            let event = events::breaker(&self.id, service, upstream, &noted);
+        if effect.has_changed {
+            self.is_dirty = true;
+            let event = events::breaker(&self.id, service, upstream, &effect);
             outputs.extend(event.map(Output::Event));
         }
     }
 
-    /// Takes what callers of other entries received.
-    fn note_others(&mut self, now: Moment, tallies: &Tallies) {
+    /// Records outcomes of other entries' callers.
+    fn record_others(&mut self, now: Moment, tallies: &Tallies) {
         for (upstream, counts) in &tallies.by_upstream {
             let Some(known) = self.upstreams.get(upstream) else { continue };
-            let service = &known.said.service;
-            self.dirty |= self.breakers.note_others(now, service, upstream, counts);
+            let service = &known.announcement.service;
+            self.is_dirty |= self.breakers.record_others(now, service, upstream, counts);
         }
     }
 
-    /// Counts requests that wait far longer than usual as broken, each once.
-    fn overdue(
+    /// Records requests that have waited far longer than usual as failures, each once.
+    fn record_overdue(
         &mut self,
         now: Moment,
         service: &ServiceId,
@@ -362,20 +377,20 @@
     ) {
         let counts = self.breakers.count_overdue(service, upstream, ages);
         if !counts.is_empty() {
-            self.note(now, service, upstream, &counts, outputs);
+            self.record_own(now, service, upstream, &counts, outputs);
         }
     }
 
     fn services(&self, now: Moment) -> BTreeMap<ServiceId, view::Service> {
         let mut services: BTreeMap<ServiceId, view::Service> = BTreeMap::new();
         let sharing = self.participants.count(now);
-        let ready = |known: &&Known| known.said.state == registry::State::Ready;
+        let ready = |known: &&Known| known.announcement.state == registry::State::Ready;
         for known in self.upstreams.values().filter(ready) {
-            let said = &known.said;
-            let service = services.entry(said.service.clone()).or_default();
+            let announcement = &known.announcement;
+            let service = services.entry(announcement.service.clone()).or_default();
             service.entries = self.entries;
             service.sharing = sharing;
-            service.addresses.insert(said.upstream.clone(), said.address);
+            service.addresses.insert(announcement.upstream.clone(), announcement.address);
             service.members.push(self.member(now, known));
         }
         for (name, service) in &mut services {
@@ -389,22 +404,22 @@
     }
 
     fn member(&self, now: Moment, known: &Known) -> balance::Member {
-        let said = &known.said;
-        let rules = self.rules.as_ref().and_then(|rules| rules.service(&said.service));
+        let announcement = &known.announcement;
+        let rules = self.rules.as_ref().and_then(|rules| rules.service(&announcement.service));
         let connections = rules.and_then(|service| service.connections);
-        let until = known.since.saturating_add(said.warm_up);
+        let until = known.since.saturating_add(announcement.warm_up);
         let warm = balance::State::Warm { since: known.since, until };
         balance::Member {
-            connections: connections.map_or(said.connections, |count| count as u32),
-            domain: said.domain.clone(),
-            slots: said.slots,
+            connections: connections.map_or(announcement.connections, |count| count as u32),
+            domain: announcement.domain.clone(),
+            slots: announcement.slots,
             state: if now < until { warm } else { balance::State::Ready },
-            upstream: said.upstream.clone(),
+            upstream: announcement.upstream.clone(),
         }
     }
 }
 
-/// Share of a service's slots that stay in use.
+/// Share of a service's slots that stays in use whatever the breakers say.
 fn floor(rules: Option<&Rules>, service: &ServiceId) -> f64 {
-    rules.and_then(|rules| rules.service(service)).map_or(FLOOR, |service| service.floor)
+    rules.and_then(|rules| rules.service(service)).map_or(DEFAULT_FLOOR, |service| service.floor)
 }
--- a/src/node/feed_core/events.rs
+++ b/src/node/feed_core/events.rs
@@ -1,4 +1,4 @@
-//! What the time line is told of the log.
+//! Constructors of events for the time line.
 
 use crate::breaker;
 use crate::catalog::Action;
@@ -10,38 +10,40 @@
 use crate::timeline::Kind;
 use crate::timeline::Stamp;
 
-use super::breakers::Noted;
+use super::breakers::Effect;
 
-/// An event at `vm`.
+/// Creates an event of `vm`.
 pub(super) fn event(vm: &NodeId, kind: Kind) -> Event {
     Event::new(Stamp::default(), vm.clone(), kind)
 }
 
-/// What became of an upstream.
-pub(super) fn about(vm: &NodeId, action: &Action) -> Event {
+/// Event for a committed change of an upstream.
+pub(super) fn catalog(vm: &NodeId, action: &Action) -> Event {
     match action {
         Action::Announce(change) => {
-            let said = &change.announcement;
-            let kind = match said.state {
+            let announcement = &change.announcement;
+            let kind = match announcement.state {
                 registry::State::Ready => Kind::UpstreamAnnounced,
                 _ => Kind::UpstreamDraining,
             };
-            let event = event(vm, kind).upstream(said.upstream.clone());
-            event.service(said.service.clone()).detail("address", said.address.to_string())
+            let event = event(vm, kind).upstream(announcement.upstream.clone());
+            event
+                .service(announcement.service.clone())
+                .detail("address", announcement.address.to_string())
         }
         Action::Leave(id) => event(vm, Kind::UpstreamExpired).upstream(id.clone()),
     }
 }
 
-/// What an entry's own callers did to an upstream's breaker; `None` where it neither opened nor
-/// closed.
+/// Event for a breaker that opened or closed on outcomes of this entry's callers; `None` if it did
+/// neither.
 pub(super) fn breaker(
     vm: &NodeId,
     service: &ServiceId,
     upstream: &UpstreamId,
-    noted: &Noted,
+    effect: &Effect,
 ) -> Option<Event> {
-    let kind = match (noted.before, noted.state) {
+    let kind = match (effect.before, effect.state) {
         (breaker::State::Open { .. }, breaker::State::Open { .. })
         | (_, breaker::State::HalfOpen { .. }) => return None,
         (breaker::State::Closed, _) => Kind::Ejected,
@@ -50,7 +52,7 @@
             Kind::Other("trial-failed".into())
         }
     };
-    let by = noted.cause.map(breaker::Cause::name).unwrap_or_default();
+    let by = effect.cause.map(breaker::Cause::name).unwrap_or_default();
     let event = event(vm, kind).service(service.clone()).upstream(upstream.clone());
     Some(event.detail("by", by))
 }
--- a/src/node/feed_core/peers.rs
+++ b/src/node/feed_core/peers.rs
@@ -1,4 +1,4 @@
-//! The controls that a control knows.
+//! Table of the controls that a control knows.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -9,12 +9,13 @@
 use crate::id::NodeId;
 use crate::quorum::DiskId;
 
-/// A control that greeted within this span is there: three greetings and a lost one.
-const PRESENT: Duration = Duration::from_millis(1600);
-/// A control that is neither member nor seed is forgotten after so long.
-const FORGET: Duration = Duration::from_secs(30);
+/// A control counts as live for this long after a greeting: three greeting intervals, so that
+/// one lost greeting does not matter.
+const LIVE_TIMEOUT: Duration = Duration::from_millis(1600);
+/// A control that is neither member nor seed is removed this long after its last greeting.
+const REMOVAL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The controls that a control knows, itself among them.
+/// The controls that a control knows, including itself.
 #[derive(Debug)]
 pub(super) struct Peers {
     known: BTreeMap<NodeId, Known>,
@@ -27,12 +28,13 @@
 struct Known {
     control: Control,
     disk: Option<DiskId>,
-    heard: Option<Moment>,
+    /// Time of its last greeting.
+    greeted_at: Option<Moment>,
 }
 
 impl Known {
-    fn is_present(&self, now: Moment) -> bool {
-        self.heard.is_some_and(|at| now < at + PRESENT)
+    fn is_live(&self, now: Moment) -> bool {
+        self.greeted_at.is_some_and(|at| now < at + LIVE_TIMEOUT)
     }
 }
 
@@ -49,7 +51,7 @@
         self.seeds = seeds;
     }
 
-    /// All ids, the own one among them.
+    /// Ids of all controls, including this one.
     pub(super) fn ids(&self) -> Vec<NodeId> {
         self.others().cloned().chain([self.me.id.clone()]).collect()
     }
@@ -58,53 +60,58 @@
         self.known.keys()
     }
 
-    /// Whether a control has greeted.
+    /// Whether this control has ever greeted.
     pub(super) fn has_greeted(&self, id: &NodeId) -> bool {
-        self.known.get(id).is_some_and(|known| known.heard.is_some())
+        self.known.get(id).is_some_and(|known| known.greeted_at.is_some())
     }
 
-    /// Knows the members and the seeds from now on.
-    pub(super) fn meet_all(&mut self, members: Vec<NodeId>) {
+    /// Adds the members and the seeds.
+    pub(super) fn add_members_and_seeds(&mut self, members: Vec<NodeId>) {
         for id in members.into_iter().chain(self.seeds.clone()) {
-            self.hear_of(Control { domain: Default::default(), id });
+            self.add(Control { domain: Default::default(), id });
         }
     }
 
-    /// Knows a control that another one told of; whether it is new.
-    pub(super) fn hear_of(&mut self, control: Control) -> bool {
+    /// Adds a control; returns whether it is new.
+    pub(super) fn add(&mut self, control: Control) -> bool {
         if control.id == self.me.id || self.known.contains_key(&control.id) {
             return false;
         }
-        self.known.insert(control.id.clone(), Known { control, disk: None, heard: None });
+        self.known.insert(control.id.clone(), Known { control, disk: None, greeted_at: None });
         true
     }
 
-    /// Notes that a control greeted; whether it is new.
-    pub(super) fn greeted(&mut self, now: Moment, control: Control, disk: Option<DiskId>) -> bool {
+    /// Records a greeting; returns whether the control is new.
+    pub(super) fn record_greeting(
+        &mut self,
+        now: Moment,
+        control: Control,
+        disk: Option<DiskId>,
+    ) -> bool {
         if control.id == self.me.id {
             return false;
         }
-        let known = Known { control: control.clone(), disk, heard: Some(now) };
+        let known = Known { control: control.clone(), disk, greeted_at: Some(now) };
         self.known.insert(control.id, known).is_none()
     }
 
-    /// Forgets those that have been silent for long, but for members and seeds.
-    pub(super) fn forget(&mut self, now: Moment, members: Vec<NodeId>) {
+    /// Removes controls that have been silent for long, except members and seeds.
+    pub(super) fn remove_silent(&mut self, now: Moment, members: Vec<NodeId>) {
         let kept: BTreeSet<NodeId> = members.into_iter().chain(self.seeds.clone()).collect();
         self.known.retain(|id, known| {
-            kept.contains(id) || known.heard.is_some_and(|at| now < at + FORGET)
+            kept.contains(id) || known.greeted_at.is_some_and(|at| now < at + REMOVAL_TIMEOUT)
         });
     }
 
-    /// Disks of the others that are there.
+    /// Disks of the other controls that are live.
     pub(super) fn disks(&self, now: Moment) -> BTreeMap<NodeId, DiskId> {
-        let present = self.known.values().filter(|known| known.is_present(now));
-        present.filter_map(|known| Some((known.control.id.clone(), known.disk?))).collect()
+        let live = self.known.values().filter(|known| known.is_live(now));
+        live.filter_map(|known| Some((known.control.id.clone(), known.disk?))).collect()
     }
 
-    /// Controls that entries may ask: those that are there, and this one.
-    pub(super) fn present(&self, now: Moment) -> Vec<Control> {
-        let others = self.known.values().filter(|known| known.is_present(now));
+    /// Controls that entries may poll: the live ones and this one.
+    pub(super) fn live(&self, now: Moment) -> Vec<Control> {
+        let others = self.known.values().filter(|known| known.is_live(now));
         others.map(|known| known.control.clone()).chain([self.me.clone()]).collect()
     }
 }
--- a/src/node/feed_core/setup.rs
+++ b/src/node/feed_core/setup.rs
@@ -1,4 +1,4 @@
-//! What a process knows when it starts.
+//! Initial values of a process, from its settings and its data folder.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,29 +10,29 @@
 use crate::id::NodeId;
 use crate::node::Controller;
 
-/// What a process knows when it starts.
+/// Initial values of a [`super::FeedCore`].
 #[derive(Debug)]
 pub(in crate::node) struct Setup {
-    /// How configurations are read.
+    /// Compiles configurations.
     pub(in crate::node) boundary: Arc<dyn Boundary>,
-    /// Where callers connect, at an entry.
+    /// Address at which an entry accepts callers.
     pub(in crate::node) callers: SocketAddr,
-    /// The own failure domain.
+    /// Failure domain of this process.
     pub(in crate::node) domain: DomainId,
-    /// The own id, which names the VM's address.
+    /// Id of this process: the address of its VM.
     pub(in crate::node) id: NodeId,
-    /// Whether it is a control.
+    /// Whether this process is a control.
     pub(in crate::node) is_control: bool,
-    /// Whether it is an entry.
+    /// Whether this process is an entry.
     pub(in crate::node) is_entry: bool,
-    /// The log, at a control.
+    /// Replicated state machine, at a control.
     pub(in crate::node) controller: Option<Controller>,
-    /// How much it is meant to carry, at an entry.
+    /// Load that an entry is sized for.
     pub(in crate::node) room: Room,
-    /// Span over which further tries count, at an entry.
+    /// Window over which an entry counts retries.
     pub(in crate::node) retry_window: Duration,
-    /// Seed of all that is drawn.
+    /// Seed of all random numbers.
     pub(in crate::node) seed: u64,
-    /// Controls that are known from the start.
+    /// Ids of the controls in the settings.
     pub(in crate::node) seeds: Vec<NodeId>,
 }
