--- a/src/node/config_store.rs
+++ b/src/node/config_store.rs
@@ -5,38 +5,41 @@
 use crate::storage::Disk;
 use crate::storage::Folder;
 
-/// File of the version in force.
+/// File with the version in force.
 const FILE: &str = "configuration";
-/// The same, while it is written.
+/// File to which a version is written before it replaces the one in force.
 const DRAFT: &str = "configuration.draft";
 
-/// The configuration in force, on this process's own disk: a restarted entry starts
-/// from it, and so never from an older one.
+/// Stores the configuration in force on this process's disk, so that a restarted entry never
+/// starts from an older one.
 pub(super) struct ConfigStore {
     disk: Box<dyn Disk>,
 }
 
 impl ConfigStore {
-    /// Opens `folder`, and gives what it holds; a damaged file counts as none, since
-    /// control and the peers hold the same.
+    /// Opens `folder` and reads the stored version. A damaged file counts as missing, since the
+    /// controls and the peers have the same version.
+    ///
+    /// # Errors
+    /// When the folder can't be opened.
     pub(super) fn open(folder: &Path) -> Result<(Self, Option<Version>), storage::Error> {
         let disk = Folder::open(folder)?;
-        let kept = disk.read(FILE).ok().and_then(|bytes| decode(&bytes));
-        Ok((Self { disk: Box::new(disk) }, kept))
+        let stored = disk.read(FILE).ok().and_then(|bytes| decode(&bytes));
+        Ok((Self { disk: Box::new(disk) }, stored))
     }
 
-    /// Keeps a version in place of the last; on failure the last stays.
+    /// Replaces the stored version. On failure the previous one stays and the error is logged.
     pub(super) fn save(&mut self, version: &Version) {
         let Some(bytes) = encode(version) else { return };
         let disk = &mut self.disk;
-        let kept = disk
+        let saved = disk
             .truncate(DRAFT, 0)
             .and_then(|()| disk.append(DRAFT, &bytes))
             .and_then(|()| disk.sync(DRAFT))
             .and_then(|()| disk.rename(DRAFT, FILE))
             .and_then(|()| disk.sync_names());
-        if let Err(error) = kept {
-            tracing::warn!(target: "hemlockfield::config", "configuration is not kept: {error}");
+        if let Err(error) = saved {
+            tracing::warn!(target: "hemlockfield::config", "can't save the configuration: {error}");
         }
     }
 }
--- a/src/node/forwarder.rs
+++ b/src/node/forwarder.rs
@@ -1,4 +1,4 @@
-//! Carries orders to whichever control leads.
+//! Forwards orders to the control that leads.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,40 +10,44 @@
 use crate::wire::Order;
 use crate::wire::Verdict;
 
-/// Time without an answer after which an order goes to the next control.
-const RETRY: Duration = Duration::from_millis(500);
-/// Pause before an order is sent again where nobody leads.
-const PAUSE: Duration = Duration::from_millis(100);
-/// Pause before an order follows the word of one control to another: two that take each
-/// other for the leader would pass it to and fro without end.
-const FOLLOW: Duration = Duration::from_millis(10);
-/// Longest that an operator's submission is carried around: an election takes two
-/// seconds, and the operator may send again.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Time without an answer after which an order is sent to the next control.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Backoff before an order is sent again when no control leads.
+const NO_LEADER_BACKOFF: Duration = Duration::from_millis(100);
+/// Backoff before an order follows a redirect. Two controls that take each other for the leader
+/// would otherwise redirect it in a busy loop.
+const REDIRECT_BACKOFF: Duration = Duration::from_millis(10);
+/// Longest time for which an operator's submission is retried. An election takes two seconds,
+/// and the operator may submit again.
+const SUBMIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Carries orders to whichever control leads.
+/// Forwards orders to the control that leads, and retries them until they are answered.
 ///
-/// The same order may reach the leader several times: a submission's id, an announcement's
-/// number, or that it only asks, makes that safe.
+/// An order may reach the leader several times. That is safe, since submissions are idempotent by
+/// id, announcements and demands by number, and reads change nothing.
 #[derive(Debug, Default)]
 pub(super) struct Forwarder {
     controls: Vec<NodeId>,
+    /// Index of the presumed leader in `controls`.
     leader: usize,
     pending: BTreeMap<u64, Pending>,
 }
 
 #[derive(Debug)]
 struct Pending {
-    due: Moment,
+    next_send_at: Moment,
     order: Order,
-    sent: bool,
-    until: Moment,
+    /// Whether it is sent and waits for an answer.
+    is_sent: bool,
+    deadline: Moment,
 }
 
-/// What the forwarder wants done.
+/// Effect that the caller of a [`Forwarder`] carries out.
 #[derive(Debug)]
 pub(super) enum Output {
+    /// Final answer to the order with this ticket.
     Answer(u64, Verdict),
+    /// Frame to send to a control.
     Send(NodeId, Box<Frame>),
 }
 
@@ -55,7 +59,7 @@
         }
     }
 
-    /// Tries this control first.
+    /// Sets the control that orders are sent to first.
     pub(super) fn set_leader(&mut self, leader: &NodeId) {
         if let Some(at) = self.controls.iter().position(|control| control == leader) {
             self.leader = at;
@@ -63,19 +67,21 @@
     }
 
     pub(super) fn submit(&mut self, now: Moment, ticket: u64, version: Version) -> Vec<Output> {
-        self.forward(now, ticket, Order::Submit(version), PATIENCE)
+        self.forward(now, ticket, Order::Submit(version), SUBMIT_TIMEOUT)
     }
 
-    /// Carries an order around for at most `patience`.
+    /// Forwards an order, and retries it for at most `timeout`.
     pub(super) fn forward(
         &mut self,
         now: Moment,
         ticket: u64,
         order: Order,
-        patience: Duration,
+        timeout: Duration,
     ) -> Vec<Output> {
-        self.pending
-            .insert(ticket, Pending { due: now, order, sent: false, until: now + patience });
+        self.pending.insert(
+            ticket,
+            Pending { next_send_at: now, order, is_sent: false, deadline: now + timeout },
+        );
         self.tick(now)
     }
 
@@ -83,56 +89,56 @@
         let Some(pending) = self.pending.get_mut(&ticket) else { return Vec::new() };
         match verdict {
             Verdict::NotLeader(Some(leader)) => {
-                pending.due = now + FOLLOW;
-                pending.sent = false;
+                pending.next_send_at = now + REDIRECT_BACKOFF;
+                pending.is_sent = false;
                 self.set_leader(&leader);
             }
             Verdict::NotLeader(None) => {
                 self.leader = (self.leader + 1) % self.controls.len().max(1);
-                pending.due = now + PAUSE;
-                pending.sent = false;
+                pending.next_send_at = now + NO_LEADER_BACKOFF;
+                pending.is_sent = false;
             }
-            settled => {
+            verdict => {
                 self.pending.remove(&ticket);
-                return vec![Output::Answer(ticket, settled)];
+                return vec![Output::Answer(ticket, verdict)];
             }
         }
         Vec::new()
     }
 
-    /// When it wants to be told the time.
+    /// When the next [`Self::tick`] is due.
     pub(super) fn wake(&self) -> Option<Moment> {
-        self.pending.values().map(|pending| pending.due.min(pending.until)).min()
+        self.pending.values().map(|pending| pending.next_send_at.min(pending.deadline)).min()
     }
 
     pub(super) fn tick(&mut self, now: Moment) -> Vec<Output> {
         let mut outputs = Vec::new();
-        let late: Vec<u64> = self
+        let expired: Vec<u64> = self
             .pending
             .iter()
-            .filter(|(_, pending)| pending.until <= now)
+            .filter(|(_, pending)| pending.deadline <= now)
             .map(|(ticket, _)| *ticket)
             .collect();
-        for ticket in late {
+        for ticket in expired {
             self.pending.remove(&ticket);
             outputs.push(Output::Answer(ticket, Verdict::Unconfirmed));
         }
-        let mut late = false;
+        let mut is_unanswered = false;
         for (ticket, pending) in &mut self.pending {
             let Some(control) = self.controls.get(self.leader) else { return outputs };
-            if pending.due > now {
+            if pending.next_send_at > now {
                 continue;
             }
-            late |= pending.sent;
-            pending.sent = true;
-            pending.due = now + RETRY;
+            is_unanswered |= pending.is_sent;
+            pending.is_sent = true;
+            pending.next_send_at = now + ANSWER_TIMEOUT;
             let frame = match pending.order.clone() {
                 Order::Submit(version) => Frame::Submit { ticket: *ticket, version },
                 order => Frame::Order { ticket: *ticket, order },
             };
             outputs.push(Output::Send(control.clone(), Box::new(frame)));
         }
-        if late {
+        if is_unanswered {
             self.leader = (self.leader + 1) % self.controls.len().max(1);
         }
         outputs
--- a/src/node/links.rs
+++ b/src/node/links.rs
@@ -1,8 +1,8 @@
-//! Joins the links to the control thread.
+//! Transports that connect the control threads of processes.
 
-mod plain;
+mod datagram;
 mod quic;
-mod stream;
+mod tcp;
 
 use crate::settings::Settings;
 
@@ -10,11 +10,14 @@
 use super::Inbox;
 use super::Transport;
 
-/// Starts the links of a process; what arrives goes to `control`.
+/// Starts the transport that the settings select; frames that arrive go to `control`.
+///
+/// # Errors
+/// When the address or the keys can't be used.
 pub(super) fn start(settings: &Settings, control: Inbox) -> Result<Box<dyn Transport>, Error> {
     match &settings.keys {
         Some(keys) => quic::start(settings, keys, control),
-        None if settings.trusted_network => stream::start(settings, control),
-        None => plain::start(settings, control),
+        None if settings.trusted_network => tcp::start(settings, control),
+        None => datagram::start(settings, control),
     }
 }
--- a/src/node/links/plain.rs
+++ b/src/node/links/datagram.rs
@@ -11,19 +11,19 @@
 use crate::node::inbox::Refused;
 use crate::settings::Settings;
 
-/// Largest frame that one datagram carries, in bytes.
-const DATAGRAM_MAX: usize = 65_000;
+/// Largest datagram, in bytes.
+const DATAGRAM_BYTES_MAX: usize = 65_000;
 
-/// Datagrams without keys, for trials on one VM: the settings allow them on loopback
-/// only, since whoever reaches the port could join.
-struct Plain {
+/// Unauthenticated datagrams, for trials on one VM. The settings allow them on loopback only,
+/// since whoever reaches the port could join the fleet.
+struct Datagram {
     me: NodeId,
     peers: BTreeMap<NodeId, SocketAddr>,
     socket: UdpSocket,
 }
 
 pub(super) fn start(settings: &Settings, control: Inbox) -> Result<Box<dyn Transport>, Error> {
-    tracing::warn!(target: "hemlockfield::link", "no keys: links are for trials on loopback");
+    tracing::warn!(target: "hemlockfield::link", "no keys: links are unauthenticated, for trials on loopback only");
     let address = settings.listen.links;
     let listen = |source| Error::Listen { address, source };
     let socket = UdpSocket::bind(address).map_err(listen)?;
@@ -33,17 +33,17 @@
         .spawn(move || read(&reader, &control))
         .map_err(Error::Thread)?;
     let peers = settings.peers.iter().map(|peer| (peer.id.clone(), peer.links)).collect();
-    Ok(Box::new(Plain { me: settings.node.id.clone(), peers, socket }))
+    Ok(Box::new(Datagram { me: settings.node.id.clone(), peers, socket }))
 }
 
-impl Transport for Plain {
+impl Transport for Datagram {
     fn set_neighbours(&mut self, _: &[NodeId]) {}
 
     fn send(&mut self, to: &NodeId, address: Option<SocketAddr>, bytes: Vec<u8>) {
         let Some(address) = address.or_else(|| self.peers.get(to).copied()) else { return };
         let Ok(packet) = postcard::to_stdvec(&(&self.me, bytes)) else { return };
-        if packet.len() > DATAGRAM_MAX {
-            tracing::warn!(target: "hemlockfield::link", peer = %to, "frame is too large");
+        if packet.len() > DATAGRAM_BYTES_MAX {
+            tracing::warn!(target: "hemlockfield::link", peer = %to, "frame is too large for a datagram, dropped");
             return;
         }
         self.socket.send_to(&packet, address).ok();
@@ -55,7 +55,7 @@
 }
 
 fn read(socket: &UdpSocket, control: &Inbox) {
-    let mut buffer = vec![0; DATAGRAM_MAX + 1];
+    let mut buffer = vec![0; DATAGRAM_BYTES_MAX + 1];
     loop {
         let Ok((length, _)) = socket.recv_from(&mut buffer) else { continue };
         let Ok((from, bytes)) = postcard::from_bytes(&buffer[..length]) else { continue };
--- a/src/node/links/quic.rs
+++ b/src/node/links/quic.rs
@@ -15,7 +15,7 @@
 use crate::settings::Keys;
 use crate::settings::Settings;
 
-/// Links with keys.
+/// Links by QUIC, authenticated by keys.
 struct Quic {
     addresses: BTreeMap<NodeId, SocketAddr>,
     endpoint: Endpoint,
@@ -31,10 +31,10 @@
     let paths = Paths { authority: keys.authority.clone(), identity: keys.identity.clone() };
     let links = link::Settings::new(settings.node.id.clone(), settings.listen.links, paths);
     let stop = StopSource::new();
-    // What control can't take now is dropped, as by a network: the slices send again.
+    // A frame that the control thread can't take now is dropped; slices resend what matters.
     let receive = move |from: &NodeId, bytes: Vec<u8>| {
         if control.try_send(Input::Frame(from.clone(), bytes)).is_err() {
-            tracing::warn!(target: "hemlockfield::link", peer = %from, "frame is dropped");
+            tracing::warn!(target: "hemlockfield::link", peer = %from, "control thread does not take the frame, dropped");
         }
     };
     let endpoint = Endpoint::start(links, Box::new(receive), stop.token())?;
--- a/src/node/null_recorder.rs
+++ b/src/node/null_recorder.rs
@@ -1,7 +1,7 @@
 use crate::timeline::Event;
 use crate::timeline::Recorder;
 
-/// Drops events, where the settings name no file for them.
+/// Recorder that drops all events, for settings without a time line file.
 #[derive(Debug)]
 pub(super) struct NullRecorder;
 
--- a/src/node/orders.rs
+++ b/src/node/orders.rs
@@ -1,5 +1,6 @@
-//! Side doors: announcements, operators, lists of entries and readiness, as the boundary
-//! reads them.
+//! Listeners for orders: announcements, configurations, lists of entries and readiness checks.
+//!
+//! The boundary defines what they look like on the wire.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,34 +30,34 @@
 use crate::runtime;
 use crate::wire::Verdict;
 
-/// Longest order, in bytes: a configuration many times that of the size planned for.
-const ORDER_MAX: u64 = 16 << 20;
-/// Longest pause in an order, and longest that a connection lies idle.
-const IDLE: Duration = Duration::from_secs(20);
-/// Longest that control is waited for: those who ask give up sooner.
-const PATIENCE: Duration = Duration::from_millis(2500);
-/// Pause after a failed accept.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Largest body of an order, in bytes: several times the largest planned configuration.
+const BODY_BYTES_MAX: u64 = 16 << 20;
+/// Longest pause within a request, and longest time for which a connection stays idle.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Longest wait for an answer of the control thread; clients give up sooner.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Backoff after a failed accept.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Serves one door.
+/// Serves the orders that arrive at `listener`.
 pub(super) async fn serve(listener: TcpListener, inbox: Inbox, proxy: Arc<Proxy>) {
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
-                runtime::spawn(connection(stream, peer, inbox.clone(), Arc::clone(&proxy)));
+                runtime::spawn(serve_connection(stream, peer, inbox.clone(), Arc::clone(&proxy)));
             }
             Err(error) => {
                 tracing::warn!(target: "hemlockfield::node", "can't accept: {error}");
-                task::sleep(PAUSE).await;
+                task::sleep(ACCEPT_BACKOFF).await;
             }
         }
     }
 }
 
-async fn connection(stream: TcpStream, peer: SocketAddr, inbox: Inbox, proxy: Arc<Proxy>) {
+async fn serve_connection(stream: TcpStream, peer: SocketAddr, inbox: Inbox, proxy: Arc<Proxy>) {
     let mut reader = RequestReader::new(stream, peer);
-    while let Some((request, mut writer)) = reader.next(IDLE).await {
-        order(request, &mut writer, &inbox, &proxy).await;
+    while let Some((request, mut writer)) = reader.next(IDLE_TIMEOUT).await {
+        serve_order(request, &mut writer, &inbox, &proxy).await;
         if writer.is_closing() {
             reader.linger().await;
             return;
@@ -64,8 +65,14 @@
     }
 }
 
-async fn order(mut request: Request, writer: &mut ResponseWriter, inbox: &Inbox, proxy: &Proxy) {
-    let body = match Payload::take(&mut request, ORDER_MAX, ORDER_MAX, IDLE).await {
+async fn serve_order(
+    mut request: Request,
+    writer: &mut ResponseWriter,
+    inbox: &Inbox,
+    proxy: &Proxy,
+) {
+    let body = match Payload::take(&mut request, BODY_BYTES_MAX, BODY_BYTES_MAX, IDLE_TIMEOUT).await
+    {
         Ok(Payload::Buffered(body)) => body,
         Ok(Payload::Stream(Some(mut body_reader), _)) => match body_reader.read_all().await {
             Ok(body) => body,
@@ -79,7 +86,7 @@
         Err(refusal) => proxy.boundary.refuse(&refusal),
     };
     if let Err(error) = writer.send(response).await {
-        tracing::debug!(target: "hemlockfield::node", "who asked is gone: {error}");
+        tracing::debug!(target: "hemlockfield::node", "client is gone: {error}");
     }
 }
 
@@ -87,7 +94,7 @@
     writer.close_after();
     let refusal = Refusal::new(status, Outcome::NotRun, reason);
     if let Err(error) = writer.send(proxy.boundary.refuse(&refusal)).await {
-        tracing::debug!(target: "hemlockfield::node", "who asked is gone: {error}");
+        tracing::debug!(target: "hemlockfield::node", "client is gone: {error}");
     }
 }
 
@@ -134,7 +141,7 @@
 async fn submit(version: crate::config::Version, inbox: &Inbox) -> Done {
     let (sender, receiver) = bounded(1);
     match ask(inbox, Input::Submit(version, sender), &receiver).await {
-        // One that is not higher than what is in force is overtaken, which is no error.
+        // A version that is not higher than the one in force is superseded, which is no error.
         Some(
             Verdict::Accepted(_)
             | Verdict::AlreadyAccepted(_)
@@ -145,9 +152,9 @@
     }
 }
 
-async fn ask<T>(inbox: &Inbox, input: Input, answer: &Receiver<T>) -> Option<T> {
+async fn ask<T>(inbox: &Inbox, input: Input, receiver: &Receiver<T>) -> Option<T> {
     if !inbox.send(input).await {
         return None;
     }
-    timeout(PATIENCE, answer.recv()).await.ok()?.ok()
+    timeout(ANSWER_TIMEOUT, receiver.recv()).await.ok()?.ok()
 }
