--- a/src/node/core.rs
+++ b/src/node/core.rs
@@ -386,7 +386,7 @@
                 );
             }
             Frame::Verdict { ticket, verdict } => {
-                let done = self.forwarder.verdict(now, ticket, verdict);
+                let done = self.forwarder.handle_verdict(now, ticket, verdict);
                 self.carry_out(now, done, outputs);
             }
         }
--- a/src/node/feed_core/control_role.rs
+++ b/src/node/feed_core/control_role.rs
@@ -148,7 +148,7 @@
             .filter(|controller| controller.is_leader())
             .map(|_| self.member_check_at);
         let due =
-            controller.into_iter().chain(reads).chain(member_check).chain(self.forwarder.wake());
+            controller.into_iter().chain(reads).chain(member_check).chain(self.forwarder.next_at());
         due.fold(self.publisher.wake().min(self.hello_at), Moment::min).max(now)
     }
 
@@ -210,7 +210,7 @@
                 self.step_controller(now, wall, input, outputs);
             }
             Frame::Verdict { ticket, verdict } => {
-                let effects = self.forwarder.verdict(now, ticket, verdict);
+                let effects = self.forwarder.handle_verdict(now, ticket, verdict);
                 self.handle_effects(now, effects, outputs);
             }
             _ => tracing::warn!(
--- a/src/node/forwarder.rs
+++ b/src/node/forwarder.rs
@@ -85,7 +85,12 @@
         self.tick(now)
     }
 
-    pub(super) fn verdict(&mut self, now: Moment, ticket: u64, verdict: Verdict) -> Vec<Output> {
+    pub(super) fn handle_verdict(
+        &mut self,
+        now: Moment,
+        ticket: u64,
+        verdict: Verdict,
+    ) -> Vec<Output> {
         let Some(pending) = self.pending.get_mut(&ticket) else { return Vec::new() };
         match verdict {
             Verdict::NotLeader(Some(leader)) => {
@@ -107,7 +112,7 @@
     }
 
     /// When the next [`Self::tick`] is due.
-    pub(super) fn wake(&self) -> Option<Moment> {
+    pub(super) fn next_at(&self) -> Option<Moment> {
         self.pending.values().map(|pending| pending.next_send_at.min(pending.deadline)).min()
     }
 
