--- a/src/node/controller.rs
+++ b/src/node/controller.rs
@@ -101,7 +101,8 @@
     Changed(u64, Result<Index, String>),
     /// A configuration is committed and now in force.
     Committed(Version),
-    /// Whether a majority has just confirmed that this replica leads.
+    /// `true` after a majority has confirmed that this replica leads, `false` after it stepped down
+    /// or the confirmation was refused.
     Leadership(bool),
     /// A snapshot has replaced the whole state.
     SnapshotInstalled,
@@ -521,8 +522,8 @@
         }
     }
 
-    /// Handles a proposal that may or may not be committed: the process that forwarded it is told
-    /// to send it again, which is idempotent by its submission id.
+    /// Handles a proposal that may or may not be committed. The process that forwarded it sends it
+    /// again, which is safe since submissions and announcements are idempotent.
     fn handle_uncertain(&mut self, ticket: u64, outputs: &mut Vec<Output>) {
         match self.proposals.remove(&ticket) {
             Some(
