--- a/src/node/controller.rs
+++ b/src/node/controller.rs
@@ -187,7 +187,7 @@
                 self.step_replica(now, quorum::Input::Receive { from, message }, &mut outputs);
             }
             Input::Quota(from, ticket, demand) => {
-                self.queue_demand(now, from, ticket, demand, &mut outputs)
+                self.queue_demand(now, from, ticket, demand, &mut outputs);
             }
             Input::Read(from, ticket) => self.read(now, from, ticket, &mut outputs),
             Input::Submit(from, ticket, version) => {
@@ -391,7 +391,7 @@
     fn handle_output(&mut self, now: Moment, output: quorum::Output, outputs: &mut Vec<Output>) {
         match output {
             quorum::Output::Accepted { ticket, index } => {
-                self.handle_accepted(ticket, index, outputs)
+                self.handle_accepted(ticket, index, outputs);
             }
             quorum::Output::BecameLeader { term } => {
                 self.is_leader = true;
--- a/src/node/feed_core/control_role.rs
+++ b/src/node/feed_core/control_role.rs
@@ -110,7 +110,7 @@
         let mut outputs = Vec::new();
         match input {
             Input::Catalog(ticket, action) => {
-                self.forward_announcement(now, ticket, action, &mut outputs)
+                self.forward_announcement(now, ticket, action, &mut outputs);
             }
             Input::Change(ticket, change) => {
                 self.step_controller(
