--- a/src/breaker/group.rs
+++ b/src/breaker/group.rs
@@ -58,7 +58,7 @@
 const SLOW_WEIGHT: f64 = 0.15;
 
 /// Share of hung requests at the other upstreams above which the service counts as overloaded.
-/// Gray failures that hang half the requests of a tenth of the upstreams stay below it: these get
+/// Gray failures that hang half the requests of a tenth of them stay below: once found, these get
 /// few.
 const OVERLOAD_HUNG_SHARE: f64 = 0.06;
 
--- a/tests/suite/breaker/outage_history.rs
+++ b/tests/suite/breaker/outage_history.rs
@@ -81,9 +81,9 @@
 }
 
 // Nine of ten upstreams recover within seconds, as idempotent trials show; the tenth stays
-// faulty, and no idempotent request has tried it yet. A non-idempotent request must try it only
-// after eight seconds, or after three if the service has no idempotent requests, as one request
-// in forty-one is lost meanwhile.
+// faulty, and no idempotent request has tried it yet. Losses stay low: forty of forty-one
+// requests are answered. A non-idempotent request must try the tenth only after eight seconds, or
+// after three if the service has no idempotent requests.
 #[rstest]
 #[case::idempotent(true, 8_000)]
 #[case::none(false, 3_000)]
