--- a/src/balance/health.rs
+++ b/src/balance/health.rs
@@ -1,4 +1,4 @@
-use crate::health::Judge;
+use crate::health::Monitor;
 
 /// Health of upstreams as the balancer needs it.
 pub trait Health {
@@ -11,8 +11,8 @@
     fn weight(&self, upstream: &str) -> f64;
 }
 
-impl Health for Judge {
+impl Health for Monitor {
     fn weight(&self, upstream: &str) -> f64 {
-        Judge::weight(self, upstream)
+        Monitor::weight(self, upstream)
     }
 }
--- a/src/balance/picker.rs
+++ b/src/balance/picker.rs
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Updates the health of all upstreams. Must be called at each tick of the judge and after
+    /// Updates the health of all upstreams. Must be called at each tick of the monitor and after
     /// each of its outputs that concerns an upstream.
     pub fn refresh(&mut self, health: &dyn Health) {
         let mut is_changed = false;
--- a/src/node.rs
+++ b/src/node.rs
@@ -4,13 +4,12 @@
 //! control thread carries its inputs and outputs. Traffic threads read immutable
 //! [`View`]s of it and send outcomes back, and never wait for it.
 
-mod attached;
-mod carrier;
-mod clerk;
+mod config_store;
+mod controller;
 pub mod core;
-mod doors;
 mod error;
-mod held;
+mod feed_core;
+mod forwarder;
 mod inbox;
 mod input;
 mod judges;
@@ -20,14 +19,15 @@
 mod make;
 mod metrics;
 mod metrics_door;
-mod nowhere;
-mod office;
+mod null_recorder;
 mod operators;
+mod orders;
 mod probe;
 mod snapshot;
 mod status;
 mod thread;
 mod traffic;
+mod transport;
 mod view;
 
 #[allow(clippy::module_inception)]
@@ -36,7 +36,7 @@
 pub use self::core::Core;
 pub use self::core::Output;
 pub use self::core::Setup;
-pub use carrier::Carrier;
+pub use controller::Controller;
 pub use error::Error;
 pub use inbox::Inbox;
 pub use input::Claimed;
@@ -46,9 +46,9 @@
 pub use logs::start_threads;
 pub use node::Leaving;
 pub use node::Node;
-pub use office::Office;
 pub use status::Status;
 pub use traffic::DIRECTORY_PATH;
+pub use transport::Transport;
 pub use view::View;
 
 use crate::id::Incarnation;
--- a/src/node/office.rs
+++ b/src/node/controller.rs
@@ -19,7 +19,7 @@
 use crate::quorum::Recovered;
 use crate::quorum::Replica;
 use crate::quota;
-use crate::quota::Keeper;
+use crate::quota::Coordinator;
 use crate::wire::Frame;
 use crate::wire::Verdict;
 
@@ -40,7 +40,7 @@
 
 /// A control's part: the quorum log and what it has brought about.
 #[derive(Debug)]
-pub struct Office {
+pub struct Controller {
     applied: Index,
     book: Book,
     catalog: Catalog,
@@ -52,7 +52,7 @@
     ledger: Ledger,
     next_ticket: u64,
     /// Gathers what entries ask of allowances.
-    keeper: Keeper,
+    keeper: Coordinator,
     proof_at: Moment,
     proposals: BTreeMap<u64, Proposal>,
     /// Answers to what entries asked, by the position of the record.
@@ -63,7 +63,7 @@
     snapshot_at: Index,
 }
 
-/// What an office is told.
+/// What an controller is told.
 #[derive(Debug)]
 pub enum Input {
     /// What an upstream said, from a control with its ticket.
@@ -75,7 +75,7 @@
     /// Message of another replica.
     Receive(NodeId, quorum::Message),
     /// An entry wants other parts of allowances, by way of a process and its ticket.
-    Quota(NodeId, u64, quota::Ask),
+    Quota(NodeId, u64, quota::Demand),
     /// A control asks up to which index it has to know the log, with its ticket.
     Read(NodeId, u64),
     /// Submission of an operator, by way of a process and its ticket.
@@ -86,7 +86,7 @@
     Tick,
 }
 
-/// What an office wants done, in this order.
+/// What an controller wants done, in this order.
 #[derive(Debug)]
 pub enum Output {
     /// Answer to a change of the membership.
@@ -94,17 +94,17 @@
     /// A configuration is committed.
     Committed(Version),
     /// This replica has proved that it leads, or leads no more.
-    Leads(bool),
+    Leadership(bool),
     /// The table of upstreams was replaced by a snapshot's.
-    Installed,
+    SnapshotInstalled,
     /// Records to write and sync.
     Persist(u64, Vec<Record>),
     /// Frame to send.
     Send(NodeId, Box<Frame>),
     /// This replica leads from this term on, or no more.
-    Term(quorum::Role, u64),
+    RoleChanged(quorum::Role, u64),
     /// The log said something new about an upstream.
-    Upstream(catalog::Action),
+    UpstreamChanged(catalog::Action),
 }
 
 #[derive(Clone, Debug)]
@@ -129,8 +129,8 @@
     },
 }
 
-impl Office {
-    /// Office over what its data folder still knows.
+impl Controller {
+    /// Controller over what its data folder still knows.
     pub fn new(setup: quorum::Setup, recovered: Recovered, seed: u64) -> Self {
         Self {
             applied: 0,
@@ -143,7 +143,7 @@
             leads: false,
             ledger: Ledger::new(claim::Limits::default()),
             granted: BTreeMap::new(),
-            keeper: Keeper::new(quota::Terms::default().window),
+            keeper: Coordinator::new(quota::Config::default().window),
             next_ticket: 0,
             proof_at: Moment::ZERO,
             proposals: BTreeMap::new(),
@@ -155,8 +155,8 @@
     }
 
     /// The same, counting allowances over windows of this length.
-    pub fn with_window(self, window: Duration) -> Self {
-        Self { keeper: Keeper::new(window), ..self }
+    pub fn with_quota_window(self, window: Duration) -> Self {
+        Self { keeper: Coordinator::new(window), ..self }
     }
 
     /// Takes one input, and says what to do about it.
@@ -192,7 +192,7 @@
     }
 
     /// When the next [`Input::Tick`] is due.
-    pub fn wake(&self) -> Option<Moment> {
+    pub fn next_at(&self) -> Option<Moment> {
         let keeper = self.leads.then(|| self.keeper.wake(&self.quotas)).flatten();
         self.replica.wake().into_iter().chain(keeper).min()
     }
@@ -208,7 +208,7 @@
     }
 
     /// Keys remembered.
-    pub fn claims_kept(&self) -> usize {
+    pub fn remembered_claims(&self) -> usize {
         self.ledger.len()
     }
 
@@ -317,7 +317,7 @@
         now: Moment,
         from: NodeId,
         ticket: u64,
-        ask: quota::Ask,
+        ask: quota::Demand,
         outputs: &mut Vec<Output>,
     ) {
         if self.leads {
@@ -373,7 +373,7 @@
             quorum::Output::BecameLeader { term } => {
                 self.leads = true;
                 self.led_since = now;
-                outputs.push(Output::Term(quorum::Role::Leader, term));
+                outputs.push(Output::RoleChanged(quorum::Role::Leader, term));
             }
             quorum::Output::Changed { .. } => (),
             quorum::Output::Commit { index, command, .. } => self.apply(index, &command, outputs),
@@ -385,7 +385,7 @@
                 Some(Proposal::Read { from, ticket }) => {
                     outputs.push(verdict_to(&from, ticket, Verdict::Readable(self.applied)));
                 }
-                _ => outputs.push(Output::Leads(self.leads)),
+                _ => outputs.push(Output::Leadership(self.leads)),
             },
             quorum::Output::Refused { ticket, reason, leader } => {
                 self.refused(ticket, reason, leader, outputs);
@@ -399,8 +399,8 @@
                 self.desk.clear();
                 self.keeper.clear();
                 self.granted.clear();
-                outputs.push(Output::Leads(false));
-                outputs.push(Output::Term(quorum::Role::Follower, term));
+                outputs.push(Output::Leadership(false));
+                outputs.push(Output::RoleChanged(quorum::Role::Follower, term));
             }
             quorum::Output::Uncertain { ticket } => self.uncertain(ticket, outputs),
         }
@@ -413,7 +413,7 @@
         match command.body {
             Body::Catalog(action) => {
                 if self.catalog.apply(index, &action) {
-                    outputs.push(Output::Upstream(action));
+                    outputs.push(Output::UpstreamChanged(action));
                 }
             }
             Body::Claims(claims) => {
@@ -483,7 +483,7 @@
                 outputs.push(Output::Changed(ticket, Err(text)));
             }
             Some(Proposal::Claims) => self.groups = self.groups.saturating_sub(1),
-            Some(Proposal::Proof) => outputs.push(Output::Leads(false)),
+            Some(Proposal::Proof) => outputs.push(Output::Leadership(false)),
             Some(Proposal::Quota(who)) => {
                 let verdict = |(to, ticket): &(NodeId, u64)| {
                     verdict_to(to, *ticket, Verdict::NotLeader(leader.clone()))
@@ -533,7 +533,7 @@
         self.applied = snapshot.index;
         self.snapshot_at = snapshot.index;
         outputs.extend(self.book.in_force().cloned().map(Output::Committed));
-        outputs.push(Output::Installed);
+        outputs.push(Output::SnapshotInstalled);
     }
 
     fn shorten(&mut self, now: Moment, outputs: &mut Vec<Output>) {
--- a/src/node/core.rs
+++ b/src/node/core.rs
@@ -49,11 +49,11 @@
 use crate::wire::Order;
 use crate::wire::Verdict;
 
-use super::Office;
-use super::clerk::Clerk;
+use super::Controller;
+use super::controller;
+use super::forwarder::Forwarder;
 use super::input::Claimed;
 use super::judges::Judges;
-use super::office;
 
 /// What a process is, and what it still knows, at its start.
 #[derive(Debug)]
@@ -65,7 +65,7 @@
     /// Itself, as it tells the others.
     pub me: fleet::Record,
     /// Control's part, where the process has one.
-    pub office: Option<Office>,
+    pub controller: Option<Controller>,
     /// Recording of the judges' inputs.
     pub recorder: Recorder,
     /// Processes to ask for membership.
@@ -100,7 +100,7 @@
     /// An upstream's own report: draining, where it told, and healthy.
     Probed(ServiceId, UpstreamId, Option<bool>, bool),
     /// This entry wants other parts of allowances.
-    Quota(u64, quota::Ask),
+    Quota(u64, quota::Demand),
     /// Somebody asks for the newest configuration.
     Read(u64),
     /// The seeds were exchanged.
@@ -172,7 +172,7 @@
     /// Ticket of the announcement being taken.
     announcing: Option<u64>,
     /// Services where an upstream stays in use only because of the floor.
-    clerk: Clerk,
+    forwarder: Forwarder,
     controls: Vec<NodeId>,
     dirty: bool,
     holder: Holder,
@@ -182,7 +182,7 @@
     leaving: bool,
     me: fleet::Record,
     member: Member,
-    office: Option<Office>,
+    controller: Option<Controller>,
     /// When this process last asked an upstream for its own report.
     probed_at: BTreeMap<UpstreamId, Moment>,
     registry: Registry,
@@ -209,7 +209,7 @@
         let mut core = Self {
             agent: Agent::new(now, me.id.clone(), me.incarnation),
             announcing: None,
-            clerk: Clerk::default(),
+            forwarder: Forwarder::default(),
             controls: setup.controls,
             dirty: true,
             holder,
@@ -218,7 +218,7 @@
             leaving: false,
             me,
             member,
-            office: setup.office,
+            controller: setup.controller,
             probed_at: BTreeMap::new(),
             registry,
             rules: None,
@@ -266,18 +266,19 @@
             }
             Input::Quota(ticket, ask) => {
                 let order = Order::Quota(ask);
-                let done = self.clerk.ask(now, ticket, order, quota::Meter::AGAIN);
+                let done =
+                    self.forwarder.forward(now, ticket, order, quota::Limiter::RESEND_INTERVAL);
                 self.carry_out(now, done, &mut outputs);
             }
             Input::Read(ticket) => outputs.push(Output::Read(ticket, None)),
             Input::Carried(..) | Input::Seeds(_) => (),
             Input::Stop => self.tell_member(now, fleet::Input::Leave, &mut outputs),
             Input::Submit(ticket, version) => {
-                let done = self.clerk.submit(now, ticket, version);
+                let done = self.forwarder.submit(now, ticket, version);
                 self.carry_out(now, done, &mut outputs);
             }
             Input::Synced(number) => {
-                self.tell_office(now, office::Input::Synced(number), &mut outputs);
+                self.tell_controller(now, controller::Input::Synced(number), &mut outputs);
             }
             Input::Tick => self.tick(now, &mut outputs),
         }
@@ -290,7 +291,7 @@
         if let Some(at) = self.agent.next_at() {
             wake = wake.min(at);
         }
-        if let Some(at) = self.office.as_ref().and_then(Office::wake) {
+        if let Some(at) = self.controller.as_ref().and_then(Controller::next_at) {
             wake = wake.min(at);
         }
         wake
@@ -327,12 +328,12 @@
     }
 
     /// Control's part.
-    pub fn office(&self) -> Option<&Office> {
-        self.office.as_ref()
+    pub fn controller(&self) -> Option<&Controller> {
+        self.controller.as_ref()
     }
 
     /// Verdicts on the upstreams of each service.
-    pub fn judges(&self) -> impl Iterator<Item = (&ServiceId, &health::Judge)> {
+    pub fn judges(&self) -> impl Iterator<Item = (&ServiceId, &health::Monitor)> {
         self.judges.iter()
     }
 
@@ -343,13 +344,13 @@
             self.members_moved(now, outputs);
         }
         self.tell_member(now, fleet::Input::Tick, outputs);
-        self.tell_office(now, office::Input::Tick, outputs);
+        self.tell_controller(now, controller::Input::Tick, outputs);
         self.tell_holder(now, config::Input::Tick, outputs);
         self.tell_agent(now, claim::Input::Tick, outputs);
         self.tick_registry(now, outputs);
         self.probe_own(now, outputs);
         self.tick_judges(now, outputs);
-        let done = self.clerk.tick(now);
+        let done = self.forwarder.tick(now);
         self.carry_out(now, done, outputs);
     }
 
@@ -360,7 +361,7 @@
                 self.tell_holder(now, config::Input::Receive { from, message }, outputs);
             }
             Frame::Order { ticket, order: Order::Quota(ask) } => {
-                self.tell_office(now, office::Input::Quota(from, ticket, ask), outputs);
+                self.tell_controller(now, controller::Input::Quota(from, ticket, ask), outputs);
             }
             Frame::Feed(_) | Frame::Order { .. } => {
                 tracing::warn!(target: "hemlockfield::link", peer = %from, "frame of another kind of fleet");
@@ -372,16 +373,20 @@
                 self.tell_judge(now, &service, health::Input::Digest(digest), outputs);
             }
             Frame::Quorum(message) => {
-                self.tell_office(now, office::Input::Receive(from, message), outputs);
+                self.tell_controller(now, controller::Input::Receive(from, message), outputs);
             }
             Frame::Registry(message) => {
                 self.tell_registry(now, registry::Input::Receive { from, message }, outputs);
             }
             Frame::Submit { ticket, version } => {
-                self.tell_office(now, office::Input::Submit(from, ticket, version), outputs);
+                self.tell_controller(
+                    now,
+                    controller::Input::Submit(from, ticket, version),
+                    outputs,
+                );
             }
             Frame::Verdict { ticket, verdict } => {
-                let done = self.clerk.verdict(now, ticket, verdict);
+                let done = self.forwarder.verdict(now, ticket, verdict);
                 self.carry_out(now, done, outputs);
             }
         }
--- a/src/node/make.rs
+++ b/src/node/make.rs
@@ -23,13 +23,13 @@
 use crate::storage::Folder;
 use crate::storage::Log;
 
+use super::Controller;
 use super::Core;
 use super::Error;
-use super::Office;
-use super::attached;
-use super::attached::Attached;
+use super::config_store::ConfigStore;
 use super::core::Setup;
-use super::held::Held;
+use super::feed_core;
+use super::feed_core::FeedCore;
 use super::machine::Machine;
 use super::thread::Opener;
 
@@ -40,7 +40,7 @@
 
 /// All that control works on.
 pub(super) struct Parts {
-    pub(super) held: Option<Held>,
+    pub(super) config_store: Option<ConfigStore>,
     pub(super) log: Option<Log>,
     pub(super) machine: Box<dyn Machine>,
     pub(super) opener: Option<Opener>,
@@ -67,16 +67,17 @@
         return own_parts(now, settings, callers, found, recorder);
     }
     let founders = founders(settings);
-    let opened = office(settings, founders.clone(), false)?;
-    let (office, log) = opened.map_or((None, None), |(office, log)| (Some(office), Some(log)));
-    let setup = attached::Setup {
+    let opened = controller(settings, founders.clone(), false)?;
+    let (controller, log) =
+        opened.map_or((None, None), |(controller, log)| (Some(controller), Some(log)));
+    let setup = feed_core::Setup {
         boundary,
         callers: callers.unwrap_or_else(nowhere),
         domain: settings.node.failure_domain.clone(),
         id: settings.node.id.clone(),
         is_control: settings.has(Role::Control),
         is_entry: settings.has(Role::Entry),
-        office,
+        controller,
         room: Room::new(settings.limits.processor, settings.limits.link),
         retry_window: settings.retry.window,
         seed: rand::random(),
@@ -84,11 +85,11 @@
     };
     let settings = settings.clone();
     let opener: Opener = Box::new(move || {
-        let opened = self::office(&settings, None, false)?;
-        opened.ok_or_else(|| Error::Office)
+        let opened = self::controller(&settings, None, false)?;
+        opened.ok_or_else(|| Error::NoLog)
     });
-    let machine = Box::new(Attached::new(now, setup));
-    Ok(Parts { held: None, log, machine, opener: Some(opener) })
+    let machine = Box::new(FeedCore::new(now, setup));
+    Ok(Parts { config_store: None, log, machine, opener: Some(opener) })
 }
 
 fn own_parts(
@@ -98,20 +99,21 @@
     found: bool,
     recorder: Recorder,
 ) -> Result<Parts, Error> {
-    let (held, kept) = held(settings)?;
+    let (config_store, kept) = config_store(settings)?;
     let founders = found.then(|| Membership::founding(controls(settings)));
-    let opened = office(settings, founders, found)?;
-    let (office, log) = opened.map_or((None, None), |(office, log)| (Some(office), Some(log)));
+    let opened = controller(settings, founders, found)?;
+    let (controller, log) =
+        opened.map_or((None, None), |(controller, log)| (Some(controller), Some(log)));
     let setup = Setup {
         controls: controls(settings),
         kept,
         me: me(settings, callers),
-        office,
+        controller,
         recorder,
         seeds: seeds(settings),
         seed: rand::random(),
     };
-    Ok(Parts { held, log, machine: Box::new(Core::new(now, setup)), opener: None })
+    Ok(Parts { config_store, log, machine: Box::new(Core::new(now, setup)), opener: None })
 }
 
 /// Ids of the controls that are known from the start: their addresses.
@@ -167,18 +169,20 @@
     settings.peers.iter().map(seed).collect()
 }
 
-fn held(settings: &Settings) -> Result<(Option<Held>, Option<config::Version>), Error> {
+fn config_store(
+    settings: &Settings,
+) -> Result<(Option<ConfigStore>, Option<config::Version>), Error> {
     let Some(data) = &settings.data else { return Ok((None, None)) };
-    let (held, kept) = Held::open(&data.join("held"))?;
-    Ok((Some(held), kept))
+    let (config_store, kept) = ConfigStore::open(&data.join("held"))?;
+    Ok((Some(config_store), kept))
 }
 
 /// Opens a control's log. `found` refuses a folder that has one already.
-fn office(
+fn controller(
     settings: &Settings,
     founders: Option<Membership>,
     found: bool,
-) -> Result<Option<(Office, Log)>, Error> {
+) -> Result<Option<(Controller, Log)>, Error> {
     let Some(data) = settings.data.as_deref().filter(|_| settings.has(Role::Control)) else {
         return Ok(None);
     };
@@ -195,8 +199,8 @@
     } else {
         setup.founders = founders;
     }
-    let office = Office::new(setup, recovered, rand::random());
-    Ok(Some((office.with_window(settings.quota.window), log)))
+    let controller = Controller::new(setup, recovered, rand::random());
+    Ok(Some((controller.with_quota_window(settings.quota.window), log)))
 }
 
 fn open(folder: &Path) -> Result<(Log, quorum::Recovered), Error> {
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -23,15 +23,15 @@
 use super::Error;
 use super::Inbox;
 use super::Input;
-use super::doors;
 use super::links;
 use super::make;
 use super::make::Parts;
 use super::metrics::Metrics;
 use super::metrics_door;
-use super::nowhere::Nowhere;
+use super::null_recorder::NullRecorder;
 use super::operators;
 use super::operators::Operators;
+use super::orders;
 use super::thread::Thread;
 use super::thread::Tickets;
 use super::thread::wall;
@@ -70,9 +70,9 @@
         let callers = bind(settings.listen.callers).await?;
         let operators = bind(settings.listen.operators).await?;
         let operators_at = operators.as_ref().map(address_of).transpose()?;
-        let mut doors = Vec::new();
+        let mut order_listeners = Vec::new();
         for address in &settings.listen.orders {
-            doors.extend(bind(Some(*address)).await?);
+            order_listeners.extend(bind(Some(*address)).await?);
         }
         let callers_at = callers.as_ref().map(address_of).transpose()?;
         let metrics = Metrics::new(settings.metrics.as_ref())?;
@@ -93,13 +93,13 @@
         journal.record(wall(), Kind::ProcessStarted, event);
         let now = started.elapsed();
         let parts = make::parts(now, &settings, callers_at, found, recorder, boundary)?;
-        let Parts { held, log, machine, opener } = parts;
-        let carrier = links::start(&settings, control.clone())?;
+        let Parts { config_store, log, machine, opener } = parts;
+        let transport = links::start(&settings, control.clone())?;
         let thread = Thread {
-            carrier,
+            transport,
             closed_at: None,
             control: control.clone(),
-            held,
+            config_store,
             inbox,
             journal,
             log,
@@ -128,8 +128,8 @@
         if let Some(listener) = measured {
             runtime::spawn(metrics_door::serve(listener, Arc::clone(&proxy)));
         }
-        for listener in doors {
-            runtime::spawn(doors::serve(listener, control.clone(), Arc::clone(&proxy)));
+        for listener in order_listeners {
+            runtime::spawn(orders::serve(listener, control.clone(), Arc::clone(&proxy)));
         }
         if let Some(listener) = callers {
             runtime::spawn(traffic::listen(listener, Arc::clone(&proxy)));
@@ -255,7 +255,9 @@
 
 fn journal(settings: &Settings) -> Result<Journal, Error> {
     let id = settings.node.id.clone();
-    let Some(path) = &settings.timeline else { return Ok(Journal::new(id, Arc::new(Nowhere))) };
+    let Some(path) = &settings.timeline else {
+        return Ok(Journal::new(id, Arc::new(NullRecorder)));
+    };
     // Opening the file says what is wrong where the folder can't be made.
     path.parent().and_then(|folder| std::fs::create_dir_all(folder).ok());
     let recorder = FileRecorder::open(path)?;
--- a/src/node/thread.rs
+++ b/src/node/thread.rs
@@ -23,14 +23,13 @@
 use crate::wire::Envelope;
 use crate::wire::Verdict;
 
+use super::Controller;
 use super::Error;
 use super::Inbox;
 use super::Input;
-use super::Office;
 use super::Status;
-use super::carrier::Carrier;
+use super::config_store::ConfigStore;
 use super::core;
-use super::held::Held;
 use super::inbox::Outbox;
 use super::input::Claimed;
 use super::machine::Machine;
@@ -38,6 +37,7 @@
 use super::traffic::Observation;
 use super::traffic::Proxy;
 use super::traffic::Trial;
+use super::transport::Transport;
 
 /// Inputs that are taken before the disk is synced once for all of them.
 const BATCH: usize = 512;
@@ -57,15 +57,15 @@
 const VIEW_MIN: Duration = Duration::from_millis(20);
 
 /// Opens the log again.
-pub(super) type Opener = Box<dyn Fn() -> Result<(Office, Log), Error> + Send>;
+pub(super) type Opener = Box<dyn Fn() -> Result<(Controller, Log), Error> + Send>;
 
 /// State of the control thread.
 pub(super) struct Thread {
-    pub(super) carrier: Box<dyn Carrier>,
+    pub(super) transport: Box<dyn Transport>,
     /// For what asks an upstream on this thread's behalf.
     pub(super) closed_at: Option<Moment>,
     pub(super) control: Inbox,
-    pub(super) held: Option<Held>,
+    pub(super) config_store: Option<ConfigStore>,
     pub(super) inbox: Outbox,
     pub(super) journal: Arc<Journal>,
     pub(super) log: Option<Log>,
@@ -162,11 +162,11 @@
         let due = self.closed_at.is_some_and(|at| now >= at + REOPEN);
         let Some(opener) = self.opener.as_ref().filter(|_| due) else { return };
         match opener() {
-            Ok((office, log)) => {
+            Ok((controller, log)) => {
                 tracing::info!(target: "hemlockfield::storage", "the disk is back");
                 self.closed_at = None;
                 self.log = Some(log);
-                self.machine.open_office(office);
+                self.machine.open_controller(controller);
             }
             Err(error) => {
                 tracing::warn!(target: "hemlockfield::storage", "the disk is not back: {error}");
@@ -257,8 +257,8 @@
                 answer(self.tickets.announced.remove(&ticket), result);
             }
             core::Output::Apply(version) => {
-                if let Some(held) = &mut self.held {
-                    held.keep(&version);
+                if let Some(config_store) = &mut self.config_store {
+                    config_store.save(&version);
                 }
             }
             core::Output::Changed(ticket, result) => {
@@ -282,7 +282,7 @@
             core::Output::Send(to, address, frame) => {
                 let stamp = self.journal.stamp(wall());
                 match (Envelope { frame, stamp }).encode() {
-                    Ok(bytes) => self.carrier.send(&to, address, bytes),
+                    Ok(bytes) => self.transport.send(&to, address, bytes),
                     Err(error) => tracing::error!(target: "hemlockfield::link", "{error}"),
                 }
             }
@@ -312,7 +312,7 @@
         tracing::error!(target: "hemlockfield::storage", "control stops here: {error}");
         self.log = None;
         self.closed_at = Some(self.now());
-        self.machine.close_office(error.to_string());
+        self.machine.close_controller(error.to_string());
     }
 
     fn record(&self, event: Event) {
@@ -332,12 +332,12 @@
         }
         let cost = self.now().saturating_sub(now);
         self.proxy.open_claims.store(self.machine.open_claims(), Ordering::Release);
-        self.carrier.keep(&self.machine.neighbours());
+        self.transport.set_neighbours(&self.machine.neighbours());
         cost
     }
 
     fn status(&self) -> Status {
-        Status::of(self.machine.report(self.now()), &self.proxy, self.carrier.as_ref())
+        Status::of(self.machine.report(self.now()), &self.proxy, self.transport.as_ref())
     }
 
     fn now(&self) -> Moment {
--- a/src/replay/machine.rs
+++ b/src/replay/machine.rs
@@ -24,14 +24,14 @@
         /// Seed of its jitter.
         seed: u64,
     },
-    /// A [`health::Judge`].
+    /// A [`health::Monitor`].
     Judge {
         /// Entry that it works in.
         name: NodeId,
         /// Seed of its trials.
         seed: u64,
         /// What the operator set.
-        setup: health::Setup,
+        setup: health::Config,
     },
     /// A [`retry::Policy`](crate::retry::Policy).
     Policy {
