--- a/src/config.rs
+++ b/src/config.rs
@@ -1,6 +1,6 @@
 //! Numbered configuration: what was accepted and what is in force.
 //!
-//! [`Book`] is replicated state: commands of the quorum log are applied to it in
+//! [`Submissions`] is replicated state: commands of the quorum log are applied to it in
 //! the same order on every control VM. [`Holder`] runs in every process: it holds
 //! the highest committed version that it has heard of and spreads it.
 //!
@@ -9,7 +9,6 @@
 //! would cost every process 1 MB, about 16 KB a second. See
 //! `docs/design/config.md`.
 
-mod book;
 mod command;
 mod error;
 mod holder;
@@ -21,11 +20,11 @@
 mod reply;
 mod settings;
 mod standing;
+mod submissions;
 mod trail;
 mod version;
 mod witness;
 
-pub use book::Book;
 pub use command::Command;
 pub use error::Error;
 pub use holder::Holder;
@@ -38,5 +37,6 @@
 pub use reply::Reply;
 pub use settings::Settings;
 pub use standing::Standing;
+pub use submissions::Submissions;
 pub use version::Head;
 pub use version::Version;
--- a/src/config/book.rs
+++ b/src/config/submissions.rs
@@ -31,14 +31,14 @@
 /// submissions are kept: a refused one stays refused since numbers only grow, so
 /// refusals can't push out what was accepted.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Book {
+pub struct Submissions {
     clock: Epoch,
     in_force: Option<Version>,
     kept: BTreeMap<SubmissionId, Head>,
     order: VecDeque<(Epoch, SubmissionId)>,
 }
 
-impl Book {
+impl Submissions {
     /// Applies a committed command.
     ///
     /// `at` is the proposer's wall clock as written into the log; a clock that
--- a/src/node/controller.rs
+++ b/src/node/controller.rs
@@ -9,8 +9,8 @@
 use crate::clock::Epoch;
 use crate::clock::Moment;
 use crate::config;
-use crate::config::Book;
 use crate::config::Patch;
+use crate::config::Submissions;
 use crate::config::Version;
 use crate::id::Index;
 use crate::id::NodeId;
@@ -42,7 +42,7 @@
 #[derive(Debug)]
 pub struct Controller {
     applied: Index,
-    book: Book,
+    submissions: Submissions,
     catalog: Catalog,
     configured: Index,
     desk: Desk,
@@ -134,7 +134,7 @@
     pub fn new(setup: quorum::Setup, recovered: Recovered, seed: u64) -> Self {
         Self {
             applied: 0,
-            book: Book::default(),
+            submissions: Submissions::default(),
             catalog: Catalog::default(),
             configured: 0,
             desk: Desk::default(),
@@ -204,7 +204,7 @@
 
     /// What is in force as far as this replica has applied the log.
     pub fn in_force(&self) -> Option<&Version> {
-        self.book.in_force()
+        self.submissions.in_force()
     }
 
     /// Keys remembered.
@@ -252,7 +252,7 @@
 
     /// The configuration in force, and the index since which it is.
     pub fn configuration(&self) -> Option<(&Version, Index)> {
-        self.book.in_force().map(|version| (version, self.configured))
+        self.submissions.in_force().map(|version| (version, self.configured))
     }
 
     /// The log's replica.
@@ -297,7 +297,7 @@
             outputs.push(verdict_to(from, *ticket, verdict));
             return;
         }
-        let command = match self.book.in_force() {
+        let command = match self.submissions.in_force() {
             Some(base) => smaller(Patch::between(base, version), version),
             None => config::Command::Submit(version.clone()),
         };
@@ -432,9 +432,10 @@
                 }
             }
             Body::Config(change) => {
-                let before = self.book.in_force().map(|version| version.number);
-                let reply = self.book.apply(command.at, change);
-                let now = self.book.in_force().filter(|version| Some(version.number) != before);
+                let before = self.submissions.in_force().map(|version| version.number);
+                let reply = self.submissions.apply(command.at, change);
+                let now =
+                    self.submissions.in_force().filter(|version| Some(version.number) != before);
                 if now.is_some() {
                     self.configured = index;
                 }
@@ -525,14 +526,14 @@
             tracing::error!(target: "hemlockfield::quorum", "snapshot can't be read");
             return;
         };
-        self.book = image.book;
+        self.submissions = image.book;
         self.catalog = image.catalog;
         self.configured = snapshot.index;
         self.ledger = image.ledger;
         self.quotas = image.quotas;
         self.applied = snapshot.index;
         self.snapshot_at = snapshot.index;
-        outputs.extend(self.book.in_force().cloned().map(Output::Committed));
+        outputs.extend(self.submissions.in_force().cloned().map(Output::Committed));
         outputs.push(Output::SnapshotInstalled);
     }
 
@@ -541,7 +542,7 @@
             return;
         }
         self.snapshot_at = self.applied;
-        let image = Image::encode(&self.book, &self.ledger, &self.catalog, &self.quotas);
+        let image = Image::encode(&self.submissions, &self.ledger, &self.catalog, &self.quotas);
         let Some(bytes) = image else { return };
         let index = self.applied;
         self.tell(now, quorum::Input::Snapshot { index, bytes }, outputs);
--- a/src/node/snapshot.rs
+++ b/src/node/snapshot.rs
@@ -29,7 +29,7 @@
 /// Everything that the quorum log has brought about.
 #[derive(Debug)]
 pub(super) struct Image {
-    pub(super) book: config::Book,
+    pub(super) book: config::Submissions,
     pub(super) catalog: catalog::Catalog,
     pub(super) ledger: claim::Ledger,
     pub(super) quotas: quota::Ledger,
@@ -46,7 +46,7 @@
 
 impl Image {
     pub(super) fn encode(
-        book: &config::Book,
+        book: &config::Submissions,
         ledger: &claim::Ledger,
         catalog: &catalog::Catalog,
         quotas: &quota::Ledger,
@@ -65,7 +65,7 @@
             rest => postcard::from_bytes(rest).ok()?,
         };
         Some(Self {
-            book: config::Book::decode(&head.book).ok()?,
+            book: config::Submissions::decode(&head.book).ok()?,
             catalog: head.catalog,
             ledger: claim::Ledger::decode(&head.ledger).ok()?,
             quotas,
--- a/tests/suite/fuzz/corpus.rs
+++ b/tests/suite/fuzz/corpus.rs
@@ -9,8 +9,8 @@
 use hemlockfield::claim;
 use hemlockfield::claim::Ledger;
 use hemlockfield::config;
-use hemlockfield::config::Book;
 use hemlockfield::config::Patch;
+use hemlockfield::config::Submissions;
 use hemlockfield::config::Version;
 use hemlockfield::fake;
 use hemlockfield::health;
@@ -112,7 +112,7 @@
 }
 
 fn book() -> Vec<u8> {
-    let mut book = Book::default();
+    let mut book = Submissions::default();
     for version in versions() {
         book.apply(AT, config::Command::Submit(version));
     }
--- a/tests/suite/fuzz/decoders.rs
+++ b/tests/suite/fuzz/decoders.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use hemlockfield::claim::Ledger;
-use hemlockfield::config::Book;
+use hemlockfield::config::Submissions;
 use hemlockfield::fake;
 use hemlockfield::registry::Announcement;
 use hemlockfield::replay::Trace;
@@ -48,10 +48,10 @@
 }
 
 fn book(bytes: &[u8]) -> bool {
-    let Ok(found) = Book::decode(bytes) else { return false };
+    let Ok(found) = Submissions::decode(bytes) else { return false };
     let again = found.encode().expect("encoded");
     assert!(again.len() <= bytes.len(), "more than what came");
-    assert_eq!(Book::decode(&again).expect("decoded"), found);
+    assert_eq!(Submissions::decode(&again).expect("decoded"), found);
     true
 }
 
