--- a/src/bench/spread.rs
+++ b/src/bench/spread.rs
@@ -10,11 +10,11 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::clock::Moment;
-use crate::config::Holder;
 use crate::config::Input;
 use crate::config::Message;
 use crate::config::Output;
 use crate::config::Peer;
+use crate::config::Replicator;
 use crate::config::Settings;
 use crate::config::Version;
 use crate::fake::Net;
@@ -127,9 +127,9 @@
     )
 }
 
-/// Holders on a network.
+/// Replicators on a network.
 struct Fleet {
-    holders: BTreeMap<NodeId, Holder>,
+    replicators: BTreeMap<NodeId, Replicator>,
     net: Net,
     now: Moment,
     tally: Tally,
@@ -141,7 +141,7 @@
         let delay_max = Duration::from_millis(30);
         let weather = Weather { loss: case.loss, duplication: 0.0, delay_min, delay_max };
         let mut fleet = Self {
-            holders: BTreeMap::new(),
+            replicators: BTreeMap::new(),
             net: Net::new(seed, weather),
             now: Duration::ZERO,
             tally: Tally::default(),
@@ -151,8 +151,8 @@
         for (index, links) in links.iter().enumerate() {
             let settings = Settings { fanout: case.fanout, ..Settings::default() };
             let random = ChaCha8Rng::seed_from_u64(random.random());
-            let holder = Holder::new(fleet.now, id(index), settings, None, random);
-            fleet.holders.insert(id(index), holder);
+            let replicator = Replicator::new(fleet.now, id(index), settings, None, random);
+            fleet.replicators.insert(id(index), replicator);
             let controls = (0..CONTROLS).filter(|_| links.is_empty());
             let peers = links.iter().copied().chain(controls).map(peer).collect();
             fleet.handle(&id(index), Input::Peers(peers));
@@ -188,7 +188,7 @@
 
     fn run(&mut self, span: Duration, change: Option<(u64, Moment)>) {
         let end = self.now + span;
-        let mut waiting = self.holders.keys().cloned().collect::<BTreeSet<_>>();
+        let mut waiting = self.replicators.keys().cloned().collect::<BTreeSet<_>>();
         while self.now < end {
             self.now += STEP;
             while let Some(delivery) = self.net.receive(self.now) {
@@ -197,7 +197,8 @@
                 };
                 self.handle(&delivery.to, Input::Receive { from: delivery.from, message });
             }
-            let due = self.holders.iter().filter(|(_, holder)| holder.next_at() <= self.now);
+            let due =
+                self.replicators.iter().filter(|(_, replicator)| replicator.next_at() <= self.now);
             let due = due.map(|(id, _)| id.clone()).collect::<Vec<_>>();
             due.iter().for_each(|id| self.handle(id, Input::Tick));
             if let Some((number, start)) = change {
@@ -208,8 +209,9 @@
     }
 
     fn note(&mut self, number: u64, start: Moment, waiting: &mut BTreeSet<NodeId>) {
-        let holders = &self.holders;
-        let reached = |id: &NodeId| holders[id].head().is_some_and(|head| head.number >= number);
+        let replicators = &self.replicators;
+        let reached =
+            |id: &NodeId| replicators[id].head().is_some_and(|head| head.number >= number);
         let before = waiting.len();
         waiting.retain(|id| !reached(id));
         let count = before - waiting.len();
@@ -217,8 +219,8 @@
     }
 
     fn handle(&mut self, id: &NodeId, input: Input) {
-        let Some(holder) = self.holders.get_mut(id) else { return };
-        for output in holder.handle(self.now, input) {
+        let Some(replicator) = self.replicators.get_mut(id) else { return };
+        for output in replicator.handle(self.now, input) {
             let Output::Send { message, to } = output else { continue };
             let Ok(bytes) = postcard::to_stdvec(&message) else { continue };
             *self.tally.bytes.entry(id.clone()).or_default() += bytes.len() + MESSAGE_BYTES;
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,7 +1,7 @@
 //! Numbered configuration: what was accepted and what is in force.
 //!
 //! [`Submissions`] is replicated state: commands of the quorum log are applied to it in
-//! the same order on every control VM. [`Holder`] runs in every process: it holds
+//! the same order on every control VM. [`Replicator`] runs in every process: it holds
 //! the highest committed version that it has heard of and spreads it.
 //!
 //! Load pattern: 1,400 changes a day, each a few lines of a document of about
@@ -11,12 +11,12 @@
 
 mod command;
 mod error;
-mod holder;
 mod input;
 mod message;
 mod output;
 mod patch;
 mod peer;
+mod replicator;
 mod reply;
 mod settings;
 mod standing;
@@ -27,13 +27,13 @@
 
 pub use command::Command;
 pub use error::Error;
-pub use holder::Holder;
 pub use input::Input;
 pub use message::Message;
 pub use output::Output;
 pub use patch::Patch;
 pub use patch::Step;
 pub use peer::Peer;
+pub use replicator::Replicator;
 pub use reply::Reply;
 pub use settings::Settings;
 pub use standing::Standing;
--- a/src/config/input.rs
+++ b/src/config/input.rs
@@ -1,4 +1,4 @@
-//! What a holder is told.
+//! What a replicator is told.
 
 use crate::id::NodeId;
 
@@ -6,7 +6,7 @@
 use super::Peer;
 use super::Version;
 
-/// Event for a holder.
+/// Event for a replicator.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Input {
     /// The log of this process (a control replica) committed a version.
@@ -24,6 +24,6 @@
         /// The message.
         message: Message,
     },
-    /// Time has passed; wanted about every 100 ms, or at [`super::Holder::next_at`].
+    /// Time has passed; wanted about every 100 ms, or at [`super::Replicator::next_at`].
     Tick,
 }
--- a/src/config/message.rs
+++ b/src/config/message.rs
@@ -1,4 +1,4 @@
-//! Messages between holders.
+//! Messages between replicators.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -8,7 +8,7 @@
 use super::Standing;
 use super::Version;
 
-/// Message from one holder to another.
+/// Message from one replicator to another.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Message {
     /// Answer to [`Message::Ask`].
--- a/src/config/output.rs
+++ b/src/config/output.rs
@@ -1,4 +1,4 @@
-//! What a holder wants done.
+//! What a replicator wants done.
 
 use crate::id::NodeId;
 
--- a/src/config/holder.rs
+++ b/src/config/replicator.rs
@@ -46,7 +46,7 @@
 /// only committed ones itself. So a higher number is always newer, from whoever
 /// it comes, and a stale control replica or peer can only offer a lower one.
 #[derive(Clone, Debug)]
-pub struct Holder {
+pub struct Replicator {
     ask: u64,
     ask_at: Moment,
     current: Option<Version>,
@@ -70,8 +70,8 @@
     witnesses: Witnesses,
 }
 
-impl Holder {
-    /// Holder of a process that starts now. `kept` is what its disk holds, if it
+impl Replicator {
+    /// Replicator of a process that starts now. `kept` is what its disk holds, if it
     /// has one; the driver puts that in force itself.
     pub fn new(
         now: Moment,
--- a/src/config/holder/fetch.rs
+++ b/src/config/replicator/fetch.rs
@@ -1,4 +1,4 @@
-//! How a holder learns of newer versions, and gets them.
+//! How a replicator learns of newer versions, and gets them.
 
 use rand::seq::IteratorRandom;
 
@@ -10,13 +10,13 @@
 use crate::config::Version;
 use crate::id::NodeId;
 
-use super::Holder;
+use super::Replicator;
 use super::Want;
 
 /// Known sources of a newer version that are remembered.
 const SOURCE_LIMIT: usize = 16;
 
-impl Holder {
+impl Replicator {
     pub(super) fn compare(
         &mut self,
         now: Moment,
--- a/src/config/holder/spread.rs
+++ b/src/config/replicator/spread.rs
@@ -1,4 +1,4 @@
-//! How a holder passes on the version that it holds.
+//! How a replicator passes on the version that it holds.
 
 use std::time::Duration;
 
@@ -12,14 +12,14 @@
 use crate::config::Patch;
 use crate::id::NodeId;
 
-use super::Holder;
+use super::Replicator;
 
 /// Least time between two whole documents sent, so that a fleet that starts as a
 /// whole can't queue hundreds of megabytes at one process; who gets none asks
 /// another one, and there are twice as many after each second.
 const WHOLE_GAP: Duration = Duration::from_millis(250);
 
-impl Holder {
+impl Replicator {
     /// Brings a peer up to date that was seen to be behind.
     pub(super) fn bring(&self, to: NodeId, base: Option<Head>, outputs: &mut Vec<Output>) {
         let Some(head) = self.head else { return };
--- a/src/config/holder/start.rs
+++ b/src/config/replicator/start.rs
@@ -1,4 +1,4 @@
-//! When a holder's process may take callers.
+//! When a replicator's process may take callers.
 
 use rand::seq::IndexedRandom;
 
@@ -10,7 +10,7 @@
 use crate::config::witness::Witness;
 use crate::id::NodeId;
 
-use super::Holder;
+use super::Replicator;
 
 /// Peers without a role in control that a starting process asks at a time.
 const ASKED: usize = 5;
@@ -22,7 +22,7 @@
     pub(super) standing: Standing,
 }
 
-impl Holder {
+impl Replicator {
     pub(super) fn answer(&self, to: NodeId, ask: u64, outputs: &mut Vec<Output>) {
         let message =
             Message::Answer { ask, head: self.head, leads: self.leads, standing: self.standing };
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// Figures of a holder; the defaults are for 520 processes and 3 KB a second each.
+/// Figures of a replicator; the defaults are for 520 processes and 3 KB a second each.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Settings {
     /// Time without any message after which a process counts itself as alone:
--- a/src/node/core.rs
+++ b/src/node/core.rs
@@ -24,7 +24,7 @@
 use crate::clock::Epoch;
 use crate::clock::Moment;
 use crate::config;
-use crate::config::Holder;
+use crate::config::Replicator;
 use crate::config::Standing;
 use crate::config::Version;
 use crate::directory;
@@ -175,7 +175,7 @@
     forwarder: Forwarder,
     controls: Vec<NodeId>,
     dirty: bool,
-    holder: Holder,
+    replicator: Replicator,
     /// Whether the slices know who there is.
     introduced: bool,
     judges: Judges,
@@ -201,8 +201,8 @@
         let mut random = ChaCha8Rng::seed_from_u64(setup.seed);
         let mut draw = || ChaCha8Rng::seed_from_u64(random.next_u64());
         let me = setup.me;
-        let holder =
-            Holder::new(now, me.id.clone(), config::Settings::default(), setup.kept, draw());
+        let replicator =
+            Replicator::new(now, me.id.clone(), config::Settings::default(), setup.kept, draw());
         let member = Member::new(now, me.clone(), setup.seeds, draw());
         let registry = Registry::new(now, me.id.clone(), draw());
         let judges = Judges::new(now, me.id.clone(), setup.recorder, draw());
@@ -212,7 +212,7 @@
             forwarder: Forwarder::default(),
             controls: setup.controls,
             dirty: true,
-            holder,
+            replicator,
             introduced: false,
             judges,
             leaving: false,
@@ -227,7 +227,7 @@
             version: 0,
             wall: Epoch::ZERO,
         };
-        if let Some(version) = core.holder.current().cloned() {
+        if let Some(version) = core.replicator.current().cloned() {
             core.resume(now, &version);
         }
         core
@@ -287,7 +287,7 @@
 
     /// When the next [`Input::Tick`] is due, at the latest.
     pub fn wake(&self) -> Moment {
-        let mut wake = self.holder.next_at();
+        let mut wake = self.replicator.next_at();
         if let Some(at) = self.agent.next_at() {
             wake = wake.min(at);
         }
@@ -299,12 +299,12 @@
 
     /// What is in force here.
     pub fn version(&self) -> Option<&Version> {
-        self.holder.current()
+        self.replicator.current()
     }
 
     /// What this process may do with callers.
     pub fn standing(&self) -> Standing {
-        self.holder.standing()
+        self.replicator.standing()
     }
 
     /// Claims that control has not confirmed yet, beside the note of this start.
@@ -345,7 +345,7 @@
         }
         self.tell_member(now, fleet::Input::Tick, outputs);
         self.tell_controller(now, controller::Input::Tick, outputs);
-        self.tell_holder(now, config::Input::Tick, outputs);
+        self.tell_replicator(now, config::Input::Tick, outputs);
         self.tell_agent(now, claim::Input::Tick, outputs);
         self.tick_registry(now, outputs);
         self.probe_own(now, outputs);
@@ -358,7 +358,7 @@
         match frame {
             Frame::Claim(message) => self.claim_message(now, from, message, outputs),
             Frame::Config(message) => {
-                self.tell_holder(now, config::Input::Receive { from, message }, outputs);
+                self.tell_replicator(now, config::Input::Receive { from, message }, outputs);
             }
             Frame::Order { ticket, order: Order::Quota(ask) } => {
                 self.tell_controller(now, controller::Input::Quota(from, ticket, ask), outputs);
--- a/src/node/core/configuration.rs
+++ b/src/node/core/configuration.rs
@@ -31,7 +31,7 @@
                     let number = version.number;
                     let event = self.event(Kind::ConfigurationAccepted).configuration(number);
                     outputs.push(Output::Event(event));
-                    self.tell_holder(now, config::Input::Committed(version), outputs);
+                    self.tell_replicator(now, config::Input::Committed(version), outputs);
                 }
                 controller::Output::SnapshotInstalled | controller::Output::UpstreamChanged(_) => {
                     tracing::warn!(
@@ -40,7 +40,7 @@
                     );
                 }
                 controller::Output::Leadership(leads) => {
-                    self.tell_holder(now, config::Input::Leads(leads), outputs);
+                    self.tell_replicator(now, config::Input::Leads(leads), outputs);
                 }
                 controller::Output::Persist(number, records) => {
                     outputs.push(Output::Persist(number, records));
@@ -69,13 +69,13 @@
         self.tell_controller(now, controller::Input::Change(ticket, change), outputs);
     }
 
-    pub(super) fn tell_holder(
+    pub(super) fn tell_replicator(
         &mut self,
         now: Moment,
         input: config::Input,
         outputs: &mut Vec<Output>,
     ) {
-        for output in self.holder.handle(now, input) {
+        for output in self.replicator.handle(now, input) {
             match output {
                 config::Output::Apply(version) => self.apply(now, version, outputs),
                 config::Output::Send { message, to } => {
--- a/src/node/core/membership.rs
+++ b/src/node/core/membership.rs
@@ -46,7 +46,7 @@
         self.forwarder.set_controls(controls.clone());
         self.tell_agent(now, claim::Input::Controls(controls.clone()), outputs);
         let peers = self.config_peers(&controls);
-        self.tell_holder(now, config::Input::Peers(peers), outputs);
+        self.tell_replicator(now, config::Input::Peers(peers), outputs);
         self.tell_entries(now, outputs);
     }
 
@@ -84,7 +84,7 @@
 
     /// Tells the others what this process does with callers.
     pub(super) fn describe(&mut self, now: Moment, outputs: &mut Vec<Output>) {
-        let state = match self.holder.standing() {
+        let state = match self.replicator.standing() {
             _ if self.leaving => fleet::State::Leaving,
             standing if standing.serves() && self.rules.is_some() => fleet::State::Serving,
             _ => fleet::State::Starting,
--- a/src/node/core/view.rs
+++ b/src/node/core/view.rs
@@ -23,10 +23,10 @@
         Some(View {
             entries: Arc::new(self.entries()),
             leaving: self.leaving,
-            number: self.holder.current().map(|version| version.number),
+            number: self.replicator.current().map(|version| version.number),
             rules: self.rules.clone(),
             services: last.succeed(services, &mut self.version),
-            standing: self.holder.standing(),
+            standing: self.replicator.standing(),
         })
     }
 
--- a/tests/suite/config.rs
+++ b/tests/suite/config.rs
@@ -1,8 +1,8 @@
 //! Tests of `hemlockfield::config`.
 #![allow(clippy::unwrap_used)]
 
-mod holder;
 mod patch;
+mod replicator;
 mod site;
 mod spread;
 mod submissions;
--- a/tests/suite/config/site.rs
+++ b/tests/suite/config/site.rs
@@ -1,14 +1,14 @@
-//! Holders on the fake network.
+//! Replicators on the fake network.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use hemlockfield::clock::Moment;
-use hemlockfield::config::Holder;
 use hemlockfield::config::Input;
 use hemlockfield::config::Message;
 use hemlockfield::config::Output;
 use hemlockfield::config::Peer;
+use hemlockfield::config::Replicator;
 use hemlockfield::config::Settings;
 use hemlockfield::config::Standing;
 use hemlockfield::config::Version;
@@ -26,9 +26,9 @@
     Version::new(number, format!("s{number}").into(), &format!("limit: 4\nnumber: {number}\n"))
 }
 
-/// Holders, of which the first is a control replica.
+/// Replicators, of which the first is a control replica.
 pub(super) struct Site {
-    pub(super) holders: BTreeMap<NodeId, Holder>,
+    pub(super) replicators: BTreeMap<NodeId, Replicator>,
     pub(super) net: Net,
     pub(super) now: Moment,
     count: usize,
@@ -37,10 +37,10 @@
 }
 
 impl Site {
-    /// `count` holders that serve version 1, or have not heard anything yet.
+    /// `count` replicators that serve version 1, or have not heard anything yet.
     pub(super) fn new(seed: u64, count: usize, weather: Weather) -> Self {
         let mut site = Self {
-            holders: BTreeMap::new(),
+            replicators: BTreeMap::new(),
             net: Net::new(seed, weather),
             now: Duration::ZERO,
             count,
@@ -69,12 +69,13 @@
         (0..self.count).map(peer).collect()
     }
 
-    /// Starts or restarts a holder; `kept` is what its disk holds.
+    /// Starts or restarts a replicator; `kept` is what its disk holds.
     pub(super) fn start(&mut self, index: usize, kept: Option<Version>) {
         self.seed += 1;
         let random = ChaCha8Rng::seed_from_u64(self.seed);
-        let holder = Holder::new(self.now, Self::id(index), Settings::default(), kept, random);
-        self.holders.insert(Self::id(index), holder);
+        let replicator =
+            Replicator::new(self.now, Self::id(index), Settings::default(), kept, random);
+        self.replicators.insert(Self::id(index), replicator);
         let peers = self.peers();
         self.input(index, Input::Peers(peers));
     }
@@ -88,11 +89,11 @@
     }
 
     pub(super) fn number(&self, index: usize) -> Option<u64> {
-        self.holders[&Self::id(index)].head().map(|head| head.number)
+        self.replicators[&Self::id(index)].head().map(|head| head.number)
     }
 
     pub(super) fn standing(&self, index: usize) -> Standing {
-        self.holders[&Self::id(index)].standing()
+        self.replicators[&Self::id(index)].standing()
     }
 
     /// Whether all hold this number.
@@ -100,7 +101,7 @@
         (0..self.count).all(|index| self.number(index) == Some(number))
     }
 
-    /// Cuts a holder off from all others, both ways.
+    /// Cuts a replicator off from all others, both ways.
     pub(super) fn isolate(&mut self, index: usize) {
         for other in (0..self.count).filter(|other| *other != index) {
             self.net.cut_both(&Self::id(index), &Self::id(other));
@@ -115,15 +116,15 @@
                 let message = postcard::from_bytes::<Message>(&delivery.bytes).unwrap();
                 self.handle(&delivery.to, Input::Receive { from: delivery.from, message });
             }
-            let ids = self.holders.keys().cloned().collect::<Vec<_>>();
+            let ids = self.replicators.keys().cloned().collect::<Vec<_>>();
             ids.iter().for_each(|id| self.handle(id, Input::Tick));
         }
     }
 
     fn handle(&mut self, id: &NodeId, input: Input) {
-        let Some(holder) = self.holders.get_mut(id) else { return };
-        let mut before = holder.head().map(|head| head.number);
-        for output in holder.handle(self.now, input) {
+        let Some(replicator) = self.replicators.get_mut(id) else { return };
+        let mut before = replicator.head().map(|head| head.number);
+        for output in replicator.handle(self.now, input) {
             match output {
                 Output::Apply(version) => {
                     assert!(before < Some(version.number), "`{id}` went back");
@@ -142,11 +143,11 @@
     /// A process that takes callers never does so by an older version than it, or
     /// an earlier process of its name, did before.
     fn check(&mut self, id: &NodeId) {
-        let holder = &self.holders[id];
-        if !holder.standing().serves() {
+        let replicator = &self.replicators[id];
+        if !replicator.standing().serves() {
             return;
         }
-        let number = holder.head().map_or(0, |head| head.number);
+        let number = replicator.head().map_or(0, |head| head.number);
         let served = self.served.entry(id.clone()).or_default();
         assert!(number >= *served, "`{id}` serves an older version");
         *served = number;
--- a/tests/suite/config/spread.rs
+++ b/tests/suite/config/spread.rs
@@ -1,4 +1,4 @@
-//! Spread over many holders.
+//! Spread over many replicators.
 
 use std::time::Duration;
 
