--- a/src/config/output.rs
+++ b/src/config/output.rs
@@ -19,5 +19,5 @@
         to: NodeId,
     },
     /// What the process may do with callers has changed.
-    Stand(Standing),
+    StandingChanged(Standing),
 }
--- a/src/config/replicator/start.rs
+++ b/src/config/replicator/start.rs
@@ -68,7 +68,7 @@
         let standing = self.judge(now);
         if standing != self.standing {
             self.standing = standing;
-            outputs.push(Output::Stand(standing));
+            outputs.push(Output::StandingChanged(standing));
         }
     }
 
--- a/src/node/core/configuration.rs
+++ b/src/node/core/configuration.rs
@@ -81,7 +81,7 @@
                 config::Output::Send { message, to } => {
                     self.send(now, to, Frame::Config(message), outputs);
                 }
-                config::Output::Stand(standing) => {
+                config::Output::StandingChanged(standing) => {
                     self.dirty = true;
                     self.describe(now, outputs);
                     let event = self.event(Kind::Other("standing".into()));
--- a/tests/suite/config/site.rs
+++ b/tests/suite/config/site.rs
@@ -134,7 +134,7 @@
                     let bytes = postcard::to_stdvec(&message).unwrap();
                     self.net.send(self.now, id, &to, bytes);
                 }
-                Output::Stand(_) => {}
+                Output::StandingChanged(_) => {}
             }
         }
         self.check(id);
