--- a/src/catalog/table.rs
+++ b/src/catalog/table.rs
@@ -43,7 +43,7 @@
 impl Catalog {
     /// Takes an entry of the log; whether it changed anything.
     pub fn apply(&mut self, index: Index, action: &Action) -> bool {
-        if !self.is_news(action) {
+        if !self.would_change(action) {
             return false;
         }
         match action {
@@ -66,7 +66,7 @@
 
     /// Whether an action says anything that the table doesn't. Late announcements don't: one
     /// of an upstream that is gone or draining would send it work that it can't finish.
-    pub fn is_news(&self, action: &Action) -> bool {
+    pub fn would_change(&self, action: &Action) -> bool {
         match action {
             Action::Announce(change) => self.is_newer(change),
             Action::Leave(id) => !self.gone.contains_key(id),
--- a/src/node/controller.rs
+++ b/src/node/controller.rs
@@ -276,7 +276,7 @@
         let Proposal::Catalog { from, ticket } = &proposal else { return };
         if !self.leads {
             outputs.push(verdict_to(from, *ticket, Verdict::NotLeader(self.leader())));
-        } else if self.catalog.is_news(&action) {
+        } else if self.catalog.would_change(&action) {
             self.propose(now, wall, proposal, Body::Catalog(action), outputs);
         } else {
             // What the table holds is committed already.
--- a/src/node/feed_core/hub.rs
+++ b/src/node/feed_core/hub.rs
@@ -308,7 +308,7 @@
             outputs.push(Output::Announced(ticket, Err("no disk to write to".to_owned())));
             return;
         };
-        if !controller.catalog().is_news(&action) {
+        if !controller.catalog().would_change(&action) {
             outputs.push(Output::Announced(ticket, Ok(())));
             return;
         }
