--- a/src/node/traffic/serve.rs
+++ b/src/node/traffic/serve.rs
@@ -27,7 +27,7 @@
 use crate::rule;
 use crate::rule::Action;
 use crate::rule::Terms;
-use crate::team::Asker;
+use crate::team::Requester;
 use crate::team::Team;
 
 use super::DIRECTORY_PATH;
@@ -202,17 +202,17 @@
         return Err(Refusal::not_run(503, text, STARTUP_RETRY_AFTER));
     };
     let call = proxy.boundary.call(request, peer.ip());
-    let asker = rules.teams().asker(call.key.as_ref());
+    let requester = rules.teams().identify(call.key.as_ref());
     let rule_request = rule::Request {
         caller: &call.caller,
         headers: &Headers(request),
         host: &request.host(),
         method: request.method.as_str(),
         path: request.path(),
-        team: asker.team().map(|team| &team.name),
+        team: requester.team().map(|team| &team.name),
     };
     let decided = rules.decide(&rule_request, view);
-    if asker == Asker::Unknown && rules.needs_key(decided) {
+    if requester == Requester::Unknown && rules.needs_key(decided) {
         return Err(Refusal::new(401, Outcome::NotRun, "the request carries no known API key"));
     }
     let Some(decided) = decided else {
@@ -228,11 +228,11 @@
         return Err(refusal);
     }
     let service = split.choose(rand::rng().random_range(0.0..1.0)).clone();
-    let team = asker.team().or_else(|| rules.teams().of_caller(&call.caller));
+    let team = requester.team().or_else(|| rules.teams().of_caller(&call.caller));
     if let Some(class) = team.and_then(|team| team.class.clone()) {
         terms.class = class;
     }
-    let verified_team = asker.team().map(|team| team.name.clone());
+    let verified_team = requester.team().map(|team| team.name.clone());
     let team = team.cloned();
     Ok(Routing { call, verified_team, rule: decided.name.clone(), service, team, terms })
 }
--- a/src/rule/rules.rs
+++ b/src/rule/rules.rs
@@ -107,7 +107,7 @@
             Action::Refuse { .. } => false,
             Action::Route { terms, .. } => terms.public,
         };
-        self.teams.is_keyed() && !rule.is_some_and(is_public)
+        self.teams.has_keys() && !rule.is_some_and(is_public)
     }
 
     /// Rules in the order of the document.
--- a/src/team.rs
+++ b/src/team.rs
@@ -15,6 +15,6 @@
 pub use limit::Limit;
 pub use secret::Secret;
 pub use team::Team;
-pub use teams::Asker;
-pub use teams::Taken;
+pub use teams::Conflict;
+pub use teams::Requester;
 pub use teams::Teams;
--- a/src/team/teams.rs
+++ b/src/team/teams.rs
@@ -20,7 +20,7 @@
 
 /// Whose request it is, by the key that came with it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Asker<'a> {
+pub enum Requester<'a> {
     /// This team's.
     Known(&'a Team),
     /// Nobody's: no key came, or none that counts.
@@ -29,7 +29,7 @@
 
 /// A key or a caller that belongs to another team already.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Taken {
+pub struct Conflict {
     /// The other team.
     pub by: TeamId,
 }
@@ -46,7 +46,7 @@
     /// # Errors
     ///
     /// Where it belongs to another one.
-    pub fn add_caller(&mut self, team: u32, caller: CallerId) -> Result<(), Taken> {
+    pub fn add_caller(&mut self, team: u32, caller: CallerId) -> Result<(), Conflict> {
         let before = self.callers.insert(caller, team);
         self.check(team, before)
     }
@@ -56,7 +56,7 @@
     /// # Errors
     ///
     /// Where it belongs to another one.
-    pub fn add_key(&mut self, team: u32, key: Digest) -> Result<(), Taken> {
+    pub fn add_key(&mut self, team: u32, key: Digest) -> Result<(), Conflict> {
         let before = self.keys.insert(key, team);
         self.check(team, before)
     }
@@ -67,14 +67,14 @@
     }
 
     /// Whether callers have to prove by a key who they are.
-    pub fn is_keyed(&self) -> bool {
+    pub fn has_keys(&self) -> bool {
         !self.keys.is_empty()
     }
 
     /// Whose request it is that came with this key.
-    pub fn asker(&self, key: Option<&Secret>) -> Asker<'_> {
+    pub fn identify(&self, key: Option<&Secret>) -> Requester<'_> {
         let known = key.and_then(|key| self.keys.get(&key.digest()));
-        known.map_or(Asker::Unknown, |team| Asker::Known(&self.teams[*team as usize]))
+        known.map_or(Requester::Unknown, |team| Requester::Known(&self.teams[*team as usize]))
     }
 
     /// Team of a caller.
@@ -82,17 +82,17 @@
         self.callers.get(caller).map(|team| &self.teams[*team as usize])
     }
 
-    fn check(&self, team: u32, before: Option<u32>) -> Result<(), Taken> {
+    fn check(&self, team: u32, before: Option<u32>) -> Result<(), Conflict> {
         match before {
             Some(other) if other != team => {
-                Err(Taken { by: self.teams[other as usize].name.clone() })
+                Err(Conflict { by: self.teams[other as usize].name.clone() })
             }
             _ => Ok(()),
         }
     }
 }
 
-impl<'a> Asker<'a> {
+impl<'a> Requester<'a> {
     /// The team, where it is known.
     pub fn team(self) -> Option<&'a Team> {
         match self {
--- a/tests/suite/platform/configuration.rs
+++ b/tests/suite/platform/configuration.rs
@@ -129,7 +129,7 @@
     let document =
         with_teams(teams).replace("\"priority\": 1,", "\"priority\": 1, \"public\": true,");
     let rules = rules(&document);
-    let asked = |key: &str| rules.teams().asker(Some(&Secret::new(key))).team().cloned();
+    let asked = |key: &str| rules.teams().identify(Some(&Secret::new(key))).team().cloned();
     let port = asked("k2").expect("a team");
     assert_eq!(port.name, "port");
     assert_eq!(port.limit, Some(Limit { burst: 5.0, rate: 12.5 }));
--- a/tests/suite/team.rs
+++ b/tests/suite/team.rs
@@ -1,9 +1,9 @@
 //! Who asks: keys of teams.
 
-use hemlockfield::team::Asker;
+use hemlockfield::team::Conflict;
 use hemlockfield::team::Digest;
+use hemlockfield::team::Requester;
 use hemlockfield::team::Secret;
-use hemlockfield::team::Taken;
 use hemlockfield::team::Team;
 use hemlockfield::team::Teams;
 use rstest::rstest;
@@ -15,12 +15,12 @@
 }
 
 fn name_of<'a>(teams: &'a Teams, key: &str) -> Option<&'a str> {
-    teams.asker(Some(&Secret::new(key))).team().map(|team| team.name.as_str())
+    teams.identify(Some(&Secret::new(key))).team().map(|team| team.name.as_str())
 }
 
 // Each team has several keys, so that one can be exchanged while callers still use the other.
 #[test]
-fn asker_several_keys() {
+fn identify_several_keys() {
     let mut teams = Teams::default();
     for name in ["yard-linz", "yard-passau"] {
         let number = teams.add(team(name));
@@ -37,11 +37,11 @@
 #[case::other_case(Some("KEY"))]
 #[case::more(Some("key "))]
 #[case::a_list(Some("key,key"))]
-fn asker_unknown(#[case] key: Option<&str>) {
+fn identify_unknown(#[case] key: Option<&str>) {
     let mut teams = Teams::default();
     let number = teams.add(team("yard-linz"));
     teams.add_key(number, Digest::of("key")).unwrap();
-    assert_eq!(teams.asker(key.map(Secret::new).as_ref()), Asker::Unknown);
+    assert_eq!(teams.identify(key.map(Secret::new).as_ref()), Requester::Unknown);
 }
 
 #[test]
@@ -51,7 +51,7 @@
     let other = teams.add(team("yard-passau"));
     teams.add_key(one, Digest::of("key")).unwrap();
     assert_eq!(teams.add_key(one, Digest::of("key")), Ok(()));
-    let taken = Taken { by: "yard-linz".into() };
+    let taken = Conflict { by: "yard-linz".into() };
     assert_eq!(teams.add_key(other, Digest::of("key")), Err(taken));
 }
 
