--- a/src/rule/action.rs
+++ b/src/rule/action.rs
@@ -5,7 +5,7 @@
 use crate::id::ClassId;
 use crate::settings::Fields;
 use crate::settings::Mistakes;
-use crate::settings::Tree;
+use crate::settings::Yaml;
 
 /// Default for `status` of a refusal.
 const DEFAULT_STATUS: u16 = 403;
@@ -34,22 +34,22 @@
 impl Action {
     /// Reads the `then` field of a rule; `class` is the default class.
     pub(super) fn read(
-        tree: &Tree,
+        yaml: &Yaml,
         class: &ClassId,
         classes: &[ClassId],
         mistakes: &Mistakes,
     ) -> Option<Self> {
-        let fields = Fields::open(tree, mistakes, &["refuse", "route", "terms"])?;
-        match (fields.tree("refuse"), fields.tree("route")) {
+        let fields = Fields::open(yaml, mistakes, &["refuse", "route", "terms"])?;
+        match (fields.yaml("refuse"), fields.yaml("route")) {
             (Some(refuse), None) => {
-                if fields.tree("terms").is_some() {
+                if fields.yaml("terms").is_some() {
                     let text = "`terms` belong to `route`; a refusal has none";
                     mistakes.add(fields.line_of("terms"), text);
                 }
                 read_refusal(refuse, mistakes)
             }
             (None, Some(route)) => {
-                let terms = Terms::read(fields.tree("terms"), class, classes, mistakes);
+                let terms = Terms::read(fields.yaml("terms"), class, classes, mistakes);
                 let split = Split::read(route, mistakes);
                 Some(Self::Route { split: split?, terms: terms? })
             }
@@ -61,8 +61,8 @@
     }
 }
 
-fn read_refusal(tree: &Tree, mistakes: &Mistakes) -> Option<Action> {
-    let fields = Fields::open(tree, mistakes, &["message", "status"])?;
+fn read_refusal(yaml: &Yaml, mistakes: &Mistakes) -> Option<Action> {
+    let fields = Fields::open(yaml, mistakes, &["message", "status"])?;
     let message = fields.or("message", DEFAULT_MESSAGE.into());
     let status = fields.ranged("status", DEFAULT_STATUS, &400, &599);
     Some(Action::Refuse { message, status })
--- a/src/rule/class.rs
+++ b/src/rule/class.rs
@@ -7,7 +7,7 @@
 use crate::id::ClassId;
 use crate::settings::Fields;
 use crate::settings::Mistakes;
-use crate::settings::Tree;
+use crate::settings::Yaml;
 
 /// Default for `weight`: all classes have the same share.
 const DEFAULT_WEIGHT: usize = 1;
@@ -33,8 +33,8 @@
     }
 
     /// Reads an item of `classes`.
-    pub(super) fn read(tree: &Tree, mistakes: &Mistakes) -> Option<Self> {
-        let fields = Fields::open(tree, mistakes, &["name", "wait", "weight"])?;
+    pub(super) fn read(yaml: &Yaml, mistakes: &Mistakes) -> Option<Self> {
+        let fields = Fields::open(yaml, mistakes, &["name", "wait", "weight"])?;
         let name = fields.required::<CompactString>("name");
         let max_wait = Duration::from_secs(60);
         let wait = fields.ranged("wait", DEFAULT_WAIT, &Duration::ZERO, &max_wait);
--- a/src/rule/condition.rs
+++ b/src/rule/condition.rs
@@ -13,7 +13,7 @@
 use crate::settings::Fields;
 use crate::settings::Mistakes;
 use crate::settings::Scalar;
-use crate::settings::Tree;
+use crate::settings::Yaml;
 use crate::settings::scalar;
 
 /// Value of `header` in a document that matches any value of the header.
@@ -93,9 +93,9 @@
     }
 
     /// Reads the `when` field of a rule.
-    pub(super) fn read(tree: &Tree, mistakes: &Mistakes) -> Option<Self> {
+    pub(super) fn read(yaml: &Yaml, mistakes: &Mistakes) -> Option<Self> {
         let allowed = ["caller", "header", "host", "method", "path", "service_state", "team"];
-        let fields = Fields::open(tree, mistakes, &allowed)?;
+        let fields = Fields::open(yaml, mistakes, &allowed)?;
         let methods = fields.several::<CompactString>("method");
         for method in &methods {
             check_method(method, &fields);
@@ -139,24 +139,24 @@
 
 fn read_headers(fields: &Fields) -> Vec<(CompactString, Option<CompactString>)> {
     let mut headers = Vec::new();
-    for (_, name, tree) in fields.entries("header") {
-        let Some(value) = scalar::<CompactString>(tree, fields.mistakes()) else { continue };
+    for (_, name, yaml) in fields.entries("header") {
+        let Some(value) = scalar::<CompactString>(yaml, fields.mistakes()) else { continue };
         headers.push((name.to_lowercase(), (value != ANY_VALUE).then_some(value)));
     }
     headers
 }
 
 fn read_states(fields: &Fields) -> Vec<(ServiceId, Vec<ServiceState>)> {
-    let Some(tree) = fields.tree("service_state") else { return Vec::new() };
-    let trees = match &tree.content {
+    let Some(yaml) = fields.yaml("service_state") else { return Vec::new() };
+    let trees = match &yaml.content {
         Content::List(items) => items.as_slice(),
-        _ => std::slice::from_ref(tree),
+        _ => std::slice::from_ref(yaml),
     };
-    trees.iter().filter_map(|tree| read_state(tree, fields.mistakes())).collect()
+    trees.iter().filter_map(|yaml| read_state(yaml, fields.mistakes())).collect()
 }
 
-fn read_state(tree: &Tree, mistakes: &Mistakes) -> Option<(ServiceId, Vec<ServiceState>)> {
-    let fields = Fields::open(tree, mistakes, &["is", "service"])?;
+fn read_state(yaml: &Yaml, mistakes: &Mistakes) -> Option<(ServiceId, Vec<ServiceState>)> {
+    let fields = Fields::open(yaml, mistakes, &["is", "service"])?;
     let service = fields.required::<CompactString>("service");
     fields.needed("is");
     let states = fields.several::<ServiceState>("is");
--- a/src/rule/limits.rs
+++ b/src/rule/limits.rs
@@ -5,7 +5,7 @@
 use crate::settings::Fields;
 use crate::settings::Mistakes;
 use crate::settings::Size;
-use crate::settings::Tree;
+use crate::settings::Yaml;
 
 /// Limits on callers' connections. The process's settings apply where a field is `None`.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
@@ -20,16 +20,16 @@
 
 impl Limits {
     /// Reads the `limits` field of a document.
-    pub(super) fn read(tree: &Tree, mistakes: &Mistakes) -> Option<Self> {
-        let fields = Fields::open(tree, mistakes, &["head", "head_time", "idle"])?;
-        let head = fields.tree("head").map(|_| {
+    pub(super) fn read(yaml: &Yaml, mistakes: &Mistakes) -> Option<Self> {
+        let fields = Fields::open(yaml, mistakes, &["head", "head_time", "idle"])?;
+        let head = fields.yaml("head").map(|_| {
             let size = fields.ranged("head", Size(16 << 10), &Size(1 << 10), &Size(1 << 20));
             size.0 as usize
         });
         let time = |name: &str| {
             let min = Duration::from_millis(10);
             let max = Duration::from_secs(3600);
-            fields.tree(name).map(|_| fields.ranged(name, max, &min, &max))
+            fields.yaml(name).map(|_| fields.ranged(name, max, &min, &max))
         };
         Some(Self { head, head_time: time("head_time"), idle: time("idle") })
     }
--- a/src/rule/not_run_signal.rs
+++ b/src/rule/not_run_signal.rs
@@ -2,7 +2,7 @@
 
 use crate::settings::Fields;
 use crate::settings::Mistakes;
-use crate::settings::Tree;
+use crate::settings::Yaml;
 
 /// Default for `status`.
 const DEFAULT_STATUS: u16 = 503;
@@ -40,8 +40,8 @@
     }
 
     /// Reads the `not_run` field of a service.
-    pub(super) fn read(tree: &Tree, mistakes: &Mistakes) -> Option<Self> {
-        let fields = Fields::open(tree, mistakes, &["header", "status", "value"])?;
+    pub(super) fn read(yaml: &Yaml, mistakes: &Mistakes) -> Option<Self> {
+        let fields = Fields::open(yaml, mistakes, &["header", "status", "value"])?;
         let header: CompactString = fields.or("header", DEFAULT_HEADER.0.into());
         let status = fields.ranged("status", DEFAULT_STATUS, &400, &599);
         let value = fields.or("value", DEFAULT_HEADER.1.into());
--- a/src/rule/probe.rs
+++ b/src/rule/probe.rs
@@ -4,7 +4,7 @@
 
 use crate::settings::Fields;
 use crate::settings::Mistakes;
-use crate::settings::Tree;
+use crate::settings::Yaml;
 
 /// Default for `path`.
 const DEFAULT_PATH: &str = "/health";
@@ -29,8 +29,8 @@
 
 impl Probe {
     /// Reads the `probe` field of a service.
-    pub(super) fn read(tree: &Tree, mistakes: &Mistakes) -> Option<Self> {
-        let fields = Fields::open(tree, mistakes, &["interval", "path"])?;
+    pub(super) fn read(yaml: &Yaml, mistakes: &Mistakes) -> Option<Self> {
+        let fields = Fields::open(yaml, mistakes, &["interval", "path"])?;
         let min = Duration::from_millis(100);
         let max = Duration::from_secs(300);
         let interval = fields.ranged("interval", DEFAULT_INTERVAL, &min, &max);
--- a/src/rule/rule.rs
+++ b/src/rule/rule.rs
@@ -6,7 +6,7 @@
 use crate::id::RuleId;
 use crate::settings::Fields;
 use crate::settings::Mistakes;
-use crate::settings::Tree;
+use crate::settings::Yaml;
 
 /// One rule: a condition, and the action for requests that match it.
 #[derive(Clone, Debug, PartialEq)]
@@ -24,19 +24,19 @@
 impl Rule {
     /// Reads an item of `rules`; `class` is the default class.
     pub(super) fn read(
-        tree: &Tree,
+        yaml: &Yaml,
         class: &ClassId,
         classes: &[ClassId],
         mistakes: &Mistakes,
     ) -> Option<Self> {
-        let fields = Fields::open(tree, mistakes, &["name", "then", "when"])?;
+        let fields = Fields::open(yaml, mistakes, &["name", "then", "when"])?;
         let name = fields.required::<CompactString>("name");
-        let when = match fields.tree("when") {
-            Some(tree) => Condition::read(tree, mistakes),
+        let when = match fields.yaml("when") {
+            Some(yaml) => Condition::read(yaml, mistakes),
             None => Some(Condition::default()),
         };
         let then = fields.needed("then");
-        let then = then.and_then(|tree| Action::read(tree, class, classes, mistakes));
-        Some(Self { line: tree.line, name: name?, then: then?, when: when? })
+        let then = then.and_then(|yaml| Action::read(yaml, class, classes, mistakes));
+        Some(Self { line: yaml.line, name: name?, then: then?, when: when? })
     }
 }
--- a/src/rule/rules.rs
+++ b/src/rule/rules.rs
@@ -17,7 +17,7 @@
 use crate::id::TeamId;
 use crate::settings::Fields;
 use crate::settings::Mistakes;
-use crate::settings::Tree;
+use crate::settings::Yaml;
 use crate::team::Teams;
 
 /// Name of the document in mistakes if no file name is given.
@@ -68,9 +68,9 @@
     ///
     /// [`Error::Invalid`] with all mistakes and their lines.
     pub fn parse_file(file: &str, text: &str) -> Result<Self, Error> {
-        let tree = Tree::parse(file, text).map_err(|mistake| Error::Invalid(vec![mistake]))?;
+        let yaml = Yaml::parse(file, text).map_err(|mistake| Error::Invalid(vec![mistake]))?;
         let mistakes = Mistakes::new(file);
-        let rules = Self::read(&tree, &mistakes);
+        let rules = Self::read(&yaml, &mistakes);
         let mistakes = mistakes.into_sorted();
         match rules {
             Some(rules) if mistakes.is_empty() => Ok(rules),
@@ -143,10 +143,10 @@
         request.team.or_else(team_of_caller)
     }
 
-    fn read(tree: &Tree, mistakes: &Mistakes) -> Option<Self> {
+    fn read(yaml: &Yaml, mistakes: &Mistakes) -> Option<Self> {
         let fields =
-            Fields::open(tree, mistakes, &["classes", "limits", "rules", "services", "teams"])?;
-        let limits = fields.tree("limits").and_then(|tree| Limits::read(tree, mistakes));
+            Fields::open(yaml, mistakes, &["classes", "limits", "rules", "services", "teams"])?;
+        let limits = fields.yaml("limits").and_then(|yaml| Limits::read(yaml, mistakes));
         let classes = read_classes(&fields);
         let services = read_services(&fields);
         let teams = teams::read(&fields, &classes);
@@ -164,11 +164,11 @@
 
 fn read_classes(fields: &Fields) -> Vec<Class> {
     let mut classes: Vec<Class> = Vec::new();
-    for tree in fields.items("classes") {
-        let Some(class) = Class::read(tree, fields.mistakes()) else { continue };
+    for yaml in fields.items("classes") {
+        let Some(class) = Class::read(yaml, fields.mistakes()) else { continue };
         if classes.iter().any(|other| other.name == class.name) {
             let text = format!("class `{}` is named twice; names are unique", class.name);
-            fields.mistakes().add(tree.line, text);
+            fields.mistakes().add(yaml.line, text);
         }
         classes.push(class);
     }
@@ -180,8 +180,8 @@
 
 fn read_services(fields: &Fields) -> BTreeMap<ServiceId, Service> {
     let mut services = BTreeMap::new();
-    for (_, name, tree) in fields.entries("services") {
-        if let Some(service) = Service::read(tree, fields.mistakes()) {
+    for (_, name, yaml) in fields.entries("services") {
+        if let Some(service) = Service::read(yaml, fields.mistakes()) {
             services.insert(name.clone(), service);
         }
     }
@@ -193,8 +193,8 @@
     let Some(last) = names.last() else { return Vec::new() };
     let mut seen = HashSet::new();
     let mut rules = Vec::new();
-    for tree in fields.items("rules") {
-        let Some(rule) = Rule::read(tree, last, &names, fields.mistakes()) else { continue };
+    for yaml in fields.items("rules") {
+        let Some(rule) = Rule::read(yaml, last, &names, fields.mistakes()) else { continue };
         if !seen.insert(rule.name.clone()) {
             let text = format!("rule `{}` is named twice; names are unique", rule.name);
             fields.mistakes().add(rule.line, text);
--- a/src/rule/service.rs
+++ b/src/rule/service.rs
@@ -5,7 +5,7 @@
 use crate::settings::Fields;
 use crate::settings::Fraction;
 use crate::settings::Mistakes;
-use crate::settings::Tree;
+use crate::settings::Yaml;
 
 /// Default for `floor`. With three or four failure domains, all upstreams of one
 /// domain (25% to 33%) can be ejected, and about two thirds of the capacity remain.
@@ -36,13 +36,13 @@
 
 impl Service {
     /// Reads a value of `services`.
-    pub(super) fn read(tree: &Tree, mistakes: &Mistakes) -> Option<Self> {
+    pub(super) fn read(yaml: &Yaml, mistakes: &Mistakes) -> Option<Self> {
         let allowed =
             ["connections", "floor", "not_run", "probe", "sensitivity", "slots", "warm_up"];
-        let fields = Fields::open(tree, mistakes, &allowed)?;
+        let fields = Fields::open(yaml, mistakes, &allowed)?;
         let max_warm_up = Duration::from_secs(3600);
-        let not_run = fields.tree("not_run").and_then(|tree| NotRunSignal::read(tree, mistakes));
-        let probe = fields.tree("probe").and_then(|tree| Probe::read(tree, mistakes));
+        let not_run = fields.yaml("not_run").and_then(|yaml| NotRunSignal::read(yaml, mistakes));
+        let probe = fields.yaml("probe").and_then(|yaml| Probe::read(yaml, mistakes));
         Some(Self {
             connections: read_count(&fields, "connections"),
             floor: fields.or("floor", DEFAULT_FLOOR).0,
@@ -56,6 +56,6 @@
 }
 
 fn read_count(fields: &Fields, name: &str) -> Option<usize> {
-    fields.tree(name)?;
+    fields.yaml(name)?;
     Some(fields.ranged(name, 1, &1, &100_000))
 }
--- a/src/rule/split.rs
+++ b/src/rule/split.rs
@@ -6,7 +6,7 @@
 use crate::settings::Fields;
 use crate::settings::Mistakes;
 use crate::settings::Scalar;
-use crate::settings::Tree;
+use crate::settings::Yaml;
 
 /// Largest weight; it allows any practical share and keeps sums of whole weights exact.
 const MAX_WEIGHT: Weight = Weight(1e6);
@@ -78,16 +78,16 @@
     }
 
     /// Reads the `route` field of an action.
-    pub(super) fn read(tree: &Tree, mistakes: &Mistakes) -> Option<Self> {
-        let fields = Fields::open(tree, mistakes, &["service", "split"])?;
-        if fields.tree("split").is_none() {
+    pub(super) fn read(yaml: &Yaml, mistakes: &Mistakes) -> Option<Self> {
+        let fields = Fields::open(yaml, mistakes, &["service", "split"])?;
+        if fields.yaml("split").is_none() {
             return fields.required::<CompactString>("service").map(Self::single);
         }
-        if fields.tree("service").is_some() {
+        if fields.yaml("service").is_some() {
             let text = "write `service` or `split`, not both";
             mistakes.add(fields.line_of("split"), text);
         }
-        let parts = fields.items("split").iter().filter_map(|tree| read_portion(tree, mistakes));
+        let parts = fields.items("split").iter().filter_map(|yaml| read_portion(yaml, mistakes));
         let split = Self::new(parts.collect());
         if split.is_none() {
             mistakes.add(fields.line_of("split"), "`split` has no part with a weight above `0`");
@@ -106,8 +106,8 @@
     }
 }
 
-fn read_portion(tree: &Tree, mistakes: &Mistakes) -> Option<Portion> {
-    let fields = Fields::open(tree, mistakes, &["service", "weight"])?;
+fn read_portion(yaml: &Yaml, mistakes: &Mistakes) -> Option<Portion> {
+    let fields = Fields::open(yaml, mistakes, &["service", "weight"])?;
     let service = fields.required::<CompactString>("service");
     let weight = fields.ranged("weight", Weight(1.0), &Weight(0.0), &MAX_WEIGHT).0;
     Some(Portion { service: service?, weight })
--- a/src/rule/teams.rs
+++ b/src/rule/teams.rs
@@ -7,7 +7,7 @@
 use crate::settings::Fields;
 use crate::settings::Mistakes;
 use crate::settings::Scalar;
-use crate::settings::Tree;
+use crate::settings::Yaml;
 use crate::settings::scalar;
 use crate::team::Digest;
 use crate::team::Limit;
@@ -33,21 +33,21 @@
 /// Reads the `teams` field of a document.
 pub(super) fn read(fields: &Fields, classes: &[Class]) -> Teams {
     let mut teams = Teams::default();
-    for (_, name, tree) in fields.entries("teams") {
-        match &tree.content {
-            Content::Map(_) => read_team(name, tree, classes, fields.mistakes(), &mut teams),
+    for (_, name, yaml) in fields.entries("teams") {
+        match &yaml.content {
+            Content::Map(_) => read_team(name, yaml, classes, fields.mistakes(), &mut teams),
             _ => {
                 let team = teams.add(Team { class: None, limit: None, name: name.clone() });
-                add_callers(team, tree, fields.mistakes(), &mut teams);
+                add_callers(team, yaml, fields.mistakes(), &mut teams);
             }
         }
     }
     teams
 }
 
-fn read_team(name: &str, tree: &Tree, classes: &[Class], mistakes: &Mistakes, teams: &mut Teams) {
+fn read_team(name: &str, yaml: &Yaml, classes: &[Class], mistakes: &Mistakes, teams: &mut Teams) {
     let allowed = ["burst", "callers", "class", "keys", "rate"];
-    let Some(fields) = Fields::open(tree, mistakes, &allowed) else { return };
+    let Some(fields) = Fields::open(yaml, mistakes, &allowed) else { return };
     let class: Option<ClassId> = fields.optional("class");
     if let Some(class) = class.as_ref().filter(|class| !is_known(class, classes)) {
         let names: Vec<&str> = classes.iter().map(|class| class.name.as_str()).collect();
@@ -57,8 +57,8 @@
     }
     let limit = read_limit(&fields);
     let team = teams.add(Team { class, limit, name: name.into() });
-    if let Some(tree) = fields.tree("callers") {
-        add_callers(team, tree, mistakes, teams);
+    if let Some(yaml) = fields.yaml("callers") {
+        add_callers(team, yaml, mistakes, teams);
     }
     for key in fields.several::<Digest>("keys") {
         if let Err(taken) = teams.add_key(team, key) {
@@ -73,20 +73,20 @@
 }
 
 fn read_limit(fields: &Fields) -> Option<Limit> {
-    if fields.tree("rate").is_none() && fields.tree("burst").is_some() {
+    if fields.yaml("rate").is_none() && fields.yaml("burst").is_some() {
         fields.mistakes().add(fields.line_of("burst"), "`burst` goes with `rate`");
     }
-    fields.tree("rate")?;
+    fields.yaml("rate")?;
     let rate = fields.ranged("rate", MAX_LIMIT, &0.1, &MAX_LIMIT);
     let burst = fields.ranged("burst", rate, &0.0, &MAX_LIMIT);
     Some(Limit { burst, rate })
 }
 
-fn add_callers(team: u32, tree: &Tree, mistakes: &Mistakes, teams: &mut Teams) {
-    let read = |tree: &Tree| Some((tree.line, scalar::<CallerId>(tree, mistakes)?));
-    let callers: Vec<(u64, CallerId)> = match &tree.content {
+fn add_callers(team: u32, yaml: &Yaml, mistakes: &Mistakes, teams: &mut Teams) {
+    let read = |yaml: &Yaml| Some((yaml.line, scalar::<CallerId>(yaml, mistakes)?));
+    let callers: Vec<(u64, CallerId)> = match &yaml.content {
         Content::List(items) => items.iter().filter_map(read).collect(),
-        _ => read(tree).into_iter().collect(),
+        _ => read(yaml).into_iter().collect(),
     };
     for (line, caller) in callers {
         if let Err(taken) = teams.add_caller(team, caller.clone()) {
--- a/src/rule/terms.rs
+++ b/src/rule/terms.rs
@@ -6,7 +6,7 @@
 use crate::settings::Fields;
 use crate::settings::Mistakes;
 use crate::settings::Size;
-use crate::settings::Tree;
+use crate::settings::Yaml;
 
 /// Default for `attempts`; equals the limit of the retry policy.
 pub const DEFAULT_ATTEMPTS: u32 = 4;
@@ -50,7 +50,7 @@
 impl Terms {
     /// Reads the `terms` field of an action; `class` is the default class.
     pub(super) fn read(
-        tree: Option<&Tree>,
+        yaml: Option<&Yaml>,
         class: &ClassId,
         classes: &[ClassId],
         mistakes: &Mistakes,
@@ -68,12 +68,12 @@
             "public",
             "retry",
         ];
-        let empty = Tree::empty();
-        let fields = Fields::open(tree.unwrap_or(&empty), mistakes, &allowed)?;
+        let empty = Yaml::empty();
+        let fields = Fields::open(yaml.unwrap_or(&empty), mistakes, &allowed)?;
         let min = Duration::from_millis(1);
         let terms = Self {
             aim: fields
-                .tree("aim")
+                .yaml("aim")
                 .map(|_| fields.ranged("aim", DEFAULT_DEADLINE, &min, &MAX_DEADLINE)),
             attempts: fields.ranged("attempts", DEFAULT_ATTEMPTS as usize, &1, &10) as u32,
             body: fields.ranged("body", DEFAULT_BODY, &Size(0), &MAX_BODY).0,
@@ -109,7 +109,7 @@
 }
 
 fn read_key(fields: &Fields) -> Option<CompactString> {
-    let tree = fields.tree("key")?;
-    let key = Fields::open(tree, fields.mistakes(), &["header"])?;
+    let yaml = fields.yaml("key")?;
+    let key = Fields::open(yaml, fields.mistakes(), &["header"])?;
     Some(key.required::<CompactString>("header")?.to_lowercase())
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,6 +1,6 @@
 //! Checked settings of one process.
 //!
-//! A file is read into a tree that knows the line of every value, and is
+//! A file is read into a yaml that knows the line of every value, and is
 //! then checked field by field, so that one run reports every mistake. A
 //! derived decoder would stop at the first. Unknown fields are mistakes.
 
@@ -28,7 +28,7 @@
 mod shutdown;
 mod size;
 mod traffic;
-mod tree;
+mod yaml;
 
 pub use directory::Directory;
 pub use error::Error;
@@ -54,5 +54,5 @@
 pub use shutdown::Shutdown;
 pub use size::Size;
 pub use traffic::Traffic;
-pub(crate) use tree::Content;
-pub(crate) use tree::Tree;
+pub(crate) use yaml::Content;
+pub(crate) use yaml::Yaml;
--- a/src/settings/directory.rs
+++ b/src/settings/directory.rs
@@ -2,7 +2,7 @@
 
 use super::Fields;
 use super::Mistakes;
-use super::Tree;
+use super::Yaml;
 
 /// Default for `lifetime`: callers ask again twice a minute, so 1,000 callers
 /// cost 33 requests a second, and a lost entry is off every list within 30 s.
@@ -22,8 +22,8 @@
 }
 
 impl Directory {
-    pub(super) fn read(tree: &Tree, mistakes: &Mistakes) -> Option<Self> {
-        let fields = Fields::open(tree, mistakes, &["lifetime"])?;
+    pub(super) fn read(yaml: &Yaml, mistakes: &Mistakes) -> Option<Self> {
+        let fields = Fields::open(yaml, mistakes, &["lifetime"])?;
         let least = Duration::from_millis(100);
         let most = Duration::from_secs(3600);
         Some(Self { lifetime: fields.ranged("lifetime", LIFETIME, &least, &most) })
--- a/src/settings/fields.rs
+++ b/src/settings/fields.rs
@@ -3,21 +3,21 @@
 use super::Content;
 use super::Mistakes;
 use super::Scalar;
-use super::Tree;
+use super::Yaml;
 
 /// A mapping under check: hands out typed fields and notes every mistake.
 pub(crate) struct Fields<'a> {
-    entries: &'a [(u64, CompactString, Tree)],
+    entries: &'a [(u64, CompactString, Yaml)],
     line: u64,
     mistakes: &'a Mistakes,
 }
 
 impl<'a> Fields<'a> {
-    /// Opens `tree` as a mapping with the `allowed` fields and no others.
-    pub(crate) fn open(tree: &'a Tree, mistakes: &'a Mistakes, allowed: &[&str]) -> Option<Self> {
-        let Content::Map(entries) = &tree.content else {
+    /// Opens `yaml` as a mapping with the `allowed` fields and no others.
+    pub(crate) fn open(yaml: &'a Yaml, mistakes: &'a Mistakes, allowed: &[&str]) -> Option<Self> {
+        let Content::Map(entries) = &yaml.content else {
             let names = list(allowed);
-            mistakes.add(tree.line, format!("{} is not a mapping; write {names}", shown(tree)));
+            mistakes.add(yaml.line, format!("{} is not a mapping; write {names}", shown(yaml)));
             return None;
         };
         for (line, key, _) in entries {
@@ -26,7 +26,7 @@
                 mistakes.add(*line, format!("`{key}` is not a known field; allowed are {names}"));
             }
         }
-        Some(Self { entries, line: tree.line, mistakes })
+        Some(Self { entries, line: yaml.line, mistakes })
     }
 
     /// Line of the mapping.
@@ -45,23 +45,23 @@
     }
 
     /// Value of field `name`, unread.
-    pub(crate) fn tree(&self, name: &str) -> Option<&'a Tree> {
-        let (_, _, tree) = self.entries.iter().find(|entry| entry.1 == name)?;
-        (!matches!(tree.content, Content::Empty)).then_some(tree)
+    pub(crate) fn yaml(&self, name: &str) -> Option<&'a Yaml> {
+        let (_, _, yaml) = self.entries.iter().find(|entry| entry.1 == name)?;
+        (!matches!(yaml.content, Content::Empty)).then_some(yaml)
     }
 
     /// Value of field `name`; a missing one is a mistake.
-    pub(crate) fn needed(&self, name: &str) -> Option<&'a Tree> {
-        let tree = self.tree(name);
-        if tree.is_none() {
+    pub(crate) fn needed(&self, name: &str) -> Option<&'a Yaml> {
+        let yaml = self.yaml(name);
+        if yaml.is_none() {
             self.mistakes.add(self.line, format!("field `{name}` is missing"));
         }
-        tree
+        yaml
     }
 
     /// Typed field, where the file has it.
     pub(crate) fn optional<T: Scalar>(&self, name: &str) -> Option<T> {
-        scalar(self.tree(name)?, self.mistakes)
+        scalar(self.yaml(name)?, self.mistakes)
     }
 
     /// Typed field that must be there.
@@ -94,36 +94,36 @@
 
     /// Field that holds one value or a list of them; empty where missing.
     pub(crate) fn several<T: Scalar>(&self, name: &str) -> Vec<T> {
-        let Some(tree) = self.tree(name) else { return Vec::new() };
-        match &tree.content {
+        let Some(yaml) = self.yaml(name) else { return Vec::new() };
+        match &yaml.content {
             Content::List(items) => {
                 items.iter().filter_map(|item| scalar(item, self.mistakes)).collect()
             }
-            _ => scalar(tree, self.mistakes).into_iter().collect(),
+            _ => scalar(yaml, self.mistakes).into_iter().collect(),
         }
     }
 
     /// Items of a list field; empty where missing.
-    pub(crate) fn items(&self, name: &str) -> &'a [Tree] {
-        let Some(tree) = self.tree(name) else { return &[] };
-        match &tree.content {
+    pub(crate) fn items(&self, name: &str) -> &'a [Yaml] {
+        let Some(yaml) = self.yaml(name) else { return &[] };
+        match &yaml.content {
             Content::List(items) => items,
             _ => {
                 self.mistakes
-                    .add(tree.line, format!("{} is not a list; write `- ...`", shown(tree)));
+                    .add(yaml.line, format!("{} is not a list; write `- ...`", shown(yaml)));
                 &[]
             }
         }
     }
 
     /// Entries of a mapping field whose keys are names; empty where missing.
-    pub(crate) fn entries(&self, name: &str) -> &'a [(u64, CompactString, Tree)] {
-        let Some(tree) = self.tree(name) else { return &[] };
-        match &tree.content {
+    pub(crate) fn entries(&self, name: &str) -> &'a [(u64, CompactString, Yaml)] {
+        let Some(yaml) = self.yaml(name) else { return &[] };
+        match &yaml.content {
             Content::Map(entries) => entries,
             _ => {
-                let text = format!("{} is not a mapping; write `name: value`", shown(tree));
-                self.mistakes.add(tree.line, text);
+                let text = format!("{} is not a mapping; write `name: value`", shown(yaml));
+                self.mistakes.add(yaml.line, text);
                 &[]
             }
         }
@@ -131,20 +131,20 @@
 }
 
 /// Reads one scalar; `None` notes a mistake.
-pub(crate) fn scalar<T: Scalar>(tree: &Tree, mistakes: &Mistakes) -> Option<T> {
-    let value = match &tree.content {
+pub(crate) fn scalar<T: Scalar>(yaml: &Yaml, mistakes: &Mistakes) -> Option<T> {
+    let value = match &yaml.content {
         Content::Text(text) => T::read(text),
         _ => None,
     };
     if value.is_none() {
-        let text = format!("{} is not {}; {}", shown(tree), T::KIND, T::ALLOWED);
-        mistakes.add(tree.line, text);
+        let text = format!("{} is not {}; {}", shown(yaml), T::KIND, T::ALLOWED);
+        mistakes.add(yaml.line, text);
     }
     value
 }
 
-fn shown(tree: &Tree) -> String {
-    match &tree.content {
+fn shown(yaml: &Yaml) -> String {
+    match &yaml.content {
         Content::Empty => "an empty value".into(),
         Content::List(_) => "a list".into(),
         Content::Map(_) => "a mapping".into(),
--- a/src/settings/keys.rs
+++ b/src/settings/keys.rs
@@ -2,7 +2,7 @@
 
 use super::Fields;
 use super::Mistakes;
-use super::Tree;
+use super::Yaml;
 
 /// Files of the keys for links between processes, as PEM.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -15,8 +15,8 @@
 }
 
 impl Keys {
-    pub(super) fn read(tree: &Tree, mistakes: &Mistakes) -> Option<Self> {
-        let fields = Fields::open(tree, mistakes, &["authority", "identity"])?;
+    pub(super) fn read(yaml: &Yaml, mistakes: &Mistakes) -> Option<Self> {
+        let fields = Fields::open(yaml, mistakes, &["authority", "identity"])?;
         let authority = fields.required::<PathBuf>("authority");
         let identity = fields.required::<PathBuf>("identity");
         Some(Self { authority: authority?, identity: identity? })
--- a/src/settings/limits.rs
+++ b/src/settings/limits.rs
@@ -3,7 +3,7 @@
 use super::Fields;
 use super::Mistakes;
 use super::Size;
-use super::Tree;
+use super::Yaml;
 
 /// Default for `body_buffer`: enough to keep a network round trip of 1 ms busy
 /// at 1 Gbit/s twice over, and 400 connections then hold 100 MiB at the worst.
@@ -92,7 +92,7 @@
 }
 
 impl Limits {
-    pub(super) fn read(tree: &Tree, mistakes: &Mistakes) -> Option<Self> {
+    pub(super) fn read(yaml: &Yaml, mistakes: &Mistakes) -> Option<Self> {
         let allowed = [
             "body_buffer",
             "connect",
@@ -106,7 +106,7 @@
             "proven",
             "upstream_idle",
         ];
-        let fields = Fields::open(tree, mistakes, &allowed)?;
+        let fields = Fields::open(yaml, mistakes, &allowed)?;
         let time = |name, default| fields.ranged(name, default, &SHORTEST, &LONGEST);
         let least = Size(4 * 1024);
         Some(Self {
@@ -126,6 +126,6 @@
 }
 
 fn link(fields: &Fields) -> Option<f64> {
-    fields.tree("link")?;
+    fields.yaml("link")?;
     Some(fields.ranged("link", LINK_MOST, &LINK_LEAST, &LINK_MOST))
 }
--- a/src/settings/listen.rs
+++ b/src/settings/listen.rs
@@ -2,7 +2,7 @@
 
 use super::Fields;
 use super::Mistakes;
-use super::Tree;
+use super::Yaml;
 
 /// Addresses that the process listens on.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -19,12 +19,12 @@
 }
 
 impl Listen {
-    pub(super) fn read(tree: &Tree, mistakes: &Mistakes) -> Option<Self> {
-        let fields = Fields::open(tree, mistakes, &["callers", "links", "operators", "orders"])?;
+    pub(super) fn read(yaml: &Yaml, mistakes: &Mistakes) -> Option<Self> {
+        let fields = Fields::open(yaml, mistakes, &["callers", "links", "operators", "orders"])?;
         let callers = fields.optional::<SocketAddr>("callers");
         let links = fields.required::<SocketAddr>("links");
         let orders = fields.several::<SocketAddr>("orders");
-        let operators = match fields.tree("operators") {
+        let operators = match fields.yaml("operators") {
             None if !orders.is_empty() => None,
             _ => fields.required::<SocketAddr>("operators"),
         };
--- a/src/settings/log.rs
+++ b/src/settings/log.rs
@@ -5,7 +5,7 @@
 use super::Fields;
 use super::Mistakes;
 use super::Scalar;
-use super::Tree;
+use super::Yaml;
 use super::fields::scalar;
 
 /// Slices whose level can be set on its own.
@@ -98,8 +98,8 @@
         parts.join(",")
     }
 
-    pub(super) fn read(tree: &Tree, mistakes: &Mistakes) -> Option<Self> {
-        let fields = Fields::open(tree, mistakes, &["level", "slices"])?;
+    pub(super) fn read(yaml: &Yaml, mistakes: &Mistakes) -> Option<Self> {
+        let fields = Fields::open(yaml, mistakes, &["level", "slices"])?;
         let mut slices = BTreeMap::new();
         for (line, slice, level) in fields.entries("slices") {
             if !SLICES.contains(&slice.as_str()) {
--- a/src/settings/metrics.rs
+++ b/src/settings/metrics.rs
@@ -2,7 +2,7 @@
 
 use super::Fields;
 use super::Mistakes;
-use super::Tree;
+use super::Yaml;
 
 /// Where metrics go.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
@@ -14,8 +14,8 @@
 }
 
 impl Metrics {
-    pub(super) fn read(tree: &Tree, mistakes: &Mistakes) -> Option<Self> {
-        let fields = Fields::open(tree, mistakes, &["listen", "statsd"])?;
+    pub(super) fn read(yaml: &Yaml, mistakes: &Mistakes) -> Option<Self> {
+        let fields = Fields::open(yaml, mistakes, &["listen", "statsd"])?;
         Some(Self { listen: fields.optional("listen"), statsd: fields.optional("statsd") })
     }
 }
--- a/src/settings/node.rs
+++ b/src/settings/node.rs
@@ -2,7 +2,7 @@
 
 use super::Fields;
 use super::Mistakes;
-use super::Tree;
+use super::Yaml;
 use crate::id::DomainId;
 use crate::id::NodeId;
 use crate::id::RegionId;
@@ -19,8 +19,8 @@
 }
 
 impl Node {
-    pub(super) fn read(tree: &Tree, mistakes: &Mistakes) -> Option<Self> {
-        let fields = Fields::open(tree, mistakes, &["failure_domain", "id", "region"])?;
+    pub(super) fn read(yaml: &Yaml, mistakes: &Mistakes) -> Option<Self> {
+        let fields = Fields::open(yaml, mistakes, &["failure_domain", "id", "region"])?;
         let failure_domain = fields.required::<CompactString>("failure_domain");
         let id = fields.required::<CompactString>("id");
         let region = fields.required::<CompactString>("region");
--- a/src/settings/peer.rs
+++ b/src/settings/peer.rs
@@ -5,7 +5,7 @@
 use super::Fields;
 use super::Mistakes;
 use super::Role;
-use super::Tree;
+use super::Yaml;
 use crate::id::DomainId;
 use crate::id::NodeId;
 use crate::id::RegionId;
@@ -28,9 +28,9 @@
 }
 
 impl Peer {
-    pub(super) fn read(tree: &Tree, mistakes: &Mistakes) -> Option<Self> {
+    pub(super) fn read(yaml: &Yaml, mistakes: &Mistakes) -> Option<Self> {
         let allowed = ["callers", "failure_domain", "id", "links", "region", "roles"];
-        let fields = Fields::open(tree, mistakes, &allowed)?;
+        let fields = Fields::open(yaml, mistakes, &allowed)?;
         let callers = fields.optional::<SocketAddr>("callers");
         let failure_domain = fields.required::<CompactString>("failure_domain");
         let id = fields.required::<CompactString>("id");
--- a/src/settings/quota.rs
+++ b/src/settings/quota.rs
@@ -3,7 +3,7 @@
 use super::Fields;
 use super::Fraction;
 use super::Mistakes;
-use super::Tree;
+use super::Yaml;
 use crate::quota::Config;
 
 /// Default for `window`: long against a request, short against a working day.
@@ -20,8 +20,8 @@
 }
 
 impl Config {
-    pub(super) fn read(tree: &Tree, mistakes: &Mistakes) -> Option<Self> {
-        let fields = Fields::open(tree, mistakes, &["overage", "tolerance", "window"])?;
+    pub(super) fn read(yaml: &Yaml, mistakes: &Mistakes) -> Option<Self> {
+        let fields = Fields::open(yaml, mistakes, &["overage", "tolerance", "window"])?;
         Some(Self {
             overage: fields.or("overage", Fraction(0.0)).0,
             tolerance: fields.ranged("tolerance", 0.0, &0.0, &TOLERANCE_MOST),
--- a/src/settings/record.rs
+++ b/src/settings/record.rs
@@ -3,7 +3,7 @@
 use super::Fields;
 use super::Mistakes;
 use super::Size;
-use super::Tree;
+use super::Yaml;
 
 /// Default for `limit`: about half a million inputs, minutes of full load.
 const LIMIT: Size = Size(64 * 1024 * 1024);
@@ -18,8 +18,8 @@
 }
 
 impl Record {
-    pub(super) fn read(tree: &Tree, mistakes: &Mistakes) -> Option<Self> {
-        let fields = Fields::open(tree, mistakes, &["file", "limit"])?;
+    pub(super) fn read(yaml: &Yaml, mistakes: &Mistakes) -> Option<Self> {
+        let fields = Fields::open(yaml, mistakes, &["file", "limit"])?;
         let file = fields.required::<PathBuf>("file");
         let limit = fields.ranged("limit", LIMIT, &Size(1024), &Size(1 << 40)).0;
         Some(Self { file: file?, limit })
--- a/src/settings/retry.rs
+++ b/src/settings/retry.rs
@@ -3,7 +3,7 @@
 use super::Fields;
 use super::Fraction;
 use super::Mistakes;
-use super::Tree;
+use super::Yaml;
 
 /// Default for `share`: one try in twenty keeps a storm of retries from doubling any load.
 const SHARE: Fraction = Fraction(0.05);
@@ -35,8 +35,8 @@
 }
 
 impl Retry {
-    pub(super) fn read(tree: &Tree, mistakes: &Mistakes) -> Option<Self> {
-        let fields = Fields::open(tree, mistakes, &["burst", "pooled", "share", "window"])?;
+    pub(super) fn read(yaml: &Yaml, mistakes: &Mistakes) -> Option<Self> {
+        let fields = Fields::open(yaml, mistakes, &["burst", "pooled", "share", "window"])?;
         let most = Duration::from_secs(600);
         Some(Self {
             burst: fields.ranged("burst", BURST, &0.0, &1e6),
--- a/src/settings/settings.rs
+++ b/src/settings/settings.rs
@@ -21,7 +21,7 @@
 use super::Role;
 use super::Shutdown;
 use super::Traffic;
-use super::Tree;
+use super::Yaml;
 use super::peer::roles;
 use crate::quota;
 
@@ -105,9 +105,9 @@
 
     /// Checks `text`; `file` names it in mistakes.
     pub fn parse(file: &str, text: &str) -> Result<Self, Error> {
-        let tree = Tree::parse(file, text).map_err(|mistake| Error::Invalid(vec![mistake]))?;
+        let yaml = Yaml::parse(file, text).map_err(|mistake| Error::Invalid(vec![mistake]))?;
         let mistakes = Mistakes::new(file);
-        let settings = Self::read(&tree, &mistakes);
+        let settings = Self::read(&yaml, &mistakes);
         let mistakes = mistakes.into_sorted();
         match settings {
             Some(settings) if mistakes.is_empty() => Ok(settings),
@@ -120,38 +120,38 @@
         self.roles.contains(&role)
     }
 
-    fn read(tree: &Tree, mistakes: &Mistakes) -> Option<Self> {
-        let fields = Fields::open(tree, mistakes, ALLOWED)?;
-        let part = |name: &str| fields.tree(name);
-        let node = fields.needed("node").and_then(|tree| Node::read(tree, mistakes));
-        let listen = fields.needed("listen").and_then(|tree| Listen::read(tree, mistakes));
+    fn read(yaml: &Yaml, mistakes: &Mistakes) -> Option<Self> {
+        let fields = Fields::open(yaml, mistakes, ALLOWED)?;
+        let part = |name: &str| fields.yaml(name);
+        let node = fields.needed("node").and_then(|yaml| Node::read(yaml, mistakes));
+        let listen = fields.needed("listen").and_then(|yaml| Listen::read(yaml, mistakes));
         let settings = Self {
             data: fields.optional("data"),
             directory: part("directory")
-                .and_then(|tree| Directory::read(tree, mistakes))
+                .and_then(|yaml| Directory::read(yaml, mistakes))
                 .unwrap_or_default(),
             first_start: fields.or("first_start", false),
             interface: fields.or("interface", Interface::default()),
-            keys: part("keys").and_then(|tree| Keys::read(tree, mistakes)),
+            keys: part("keys").and_then(|yaml| Keys::read(yaml, mistakes)),
             limits: part("limits")
-                .and_then(|tree| Limits::read(tree, mistakes))
+                .and_then(|yaml| Limits::read(yaml, mistakes))
                 .unwrap_or_default(),
-            log: part("log").and_then(|tree| Log::read(tree, mistakes)).unwrap_or_default(),
-            metrics: part("metrics").and_then(|tree| Metrics::read(tree, mistakes)),
+            log: part("log").and_then(|yaml| Log::read(yaml, mistakes)).unwrap_or_default(),
+            metrics: part("metrics").and_then(|yaml| Metrics::read(yaml, mistakes)),
             peers: peers(&fields),
             quota: part("quota")
-                .and_then(|tree| quota::Config::read(tree, mistakes))
+                .and_then(|yaml| quota::Config::read(yaml, mistakes))
                 .unwrap_or_default(),
-            record: part("record").and_then(|tree| Record::read(tree, mistakes)),
-            retry: part("retry").and_then(|tree| Retry::read(tree, mistakes)).unwrap_or_default(),
+            record: part("record").and_then(|yaml| Record::read(yaml, mistakes)),
+            retry: part("retry").and_then(|yaml| Retry::read(yaml, mistakes)).unwrap_or_default(),
             roles: roles(&fields),
             seeds: fields.several("seeds"),
             shutdown: part("shutdown")
-                .and_then(|tree| Shutdown::read(tree, mistakes))
+                .and_then(|yaml| Shutdown::read(yaml, mistakes))
                 .unwrap_or_default(),
-            timeline: part("timeline").and_then(|tree| timeline(tree, mistakes)),
+            timeline: part("timeline").and_then(|yaml| timeline(yaml, mistakes)),
             traffic: part("traffic")
-                .and_then(|tree| Traffic::read(tree, mistakes))
+                .and_then(|yaml| Traffic::read(yaml, mistakes))
                 .unwrap_or_default(),
             trusted_network: fields.or("trusted_network", false),
             listen: listen?,
@@ -165,7 +165,7 @@
     fn check(&self, fields: &Fields) {
         let mistakes = fields.mistakes();
         let roles = fields.line_of("roles");
-        if self.has(Role::Control) && fields.tree("data").is_none() {
+        if self.has(Role::Control) && fields.yaml("data").is_none() {
             mistakes.add(roles, "role `control` needs `data`, the folder of its durable state");
         }
         if self.has(Role::Entry) && self.listen.callers.is_none() {
@@ -213,14 +213,14 @@
     let mut names = BTreeSet::new();
     let mut addresses = BTreeSet::new();
     let mut peers = Vec::new();
-    for tree in fields.items("peers") {
-        let Some(peer) = Peer::read(tree, mistakes) else { continue };
+    for yaml in fields.items("peers") {
+        let Some(peer) = Peer::read(yaml, mistakes) else { continue };
         if !names.insert(peer.id.clone()) {
-            mistakes.add(tree.line, format!("peer `{}` is named twice; names are unique", peer.id));
+            mistakes.add(yaml.line, format!("peer `{}` is named twice; names are unique", peer.id));
         }
         if !addresses.insert(peer.links) {
             let text = format!("`{}` is the address of two peers; each has its own", peer.links);
-            mistakes.add(tree.line, text);
+            mistakes.add(yaml.line, text);
         }
         peers.push(peer);
     }
@@ -228,6 +228,6 @@
     peers
 }
 
-fn timeline(tree: &Tree, mistakes: &Mistakes) -> Option<PathBuf> {
-    Fields::open(tree, mistakes, &["file"])?.required("file")
+fn timeline(yaml: &Yaml, mistakes: &Mistakes) -> Option<PathBuf> {
+    Fields::open(yaml, mistakes, &["file"])?.required("file")
 }
--- a/src/settings/shutdown.rs
+++ b/src/settings/shutdown.rs
@@ -2,7 +2,7 @@
 
 use super::Fields;
 use super::Mistakes;
-use super::Tree;
+use super::Yaml;
 
 /// Default for `limit`: the lifetime of handed-out addresses (30 s) must be
 /// over before the entry stops, plus the longest usual request.
@@ -32,11 +32,11 @@
 }
 
 impl Shutdown {
-    pub(super) fn read(tree: &Tree, mistakes: &Mistakes) -> Option<Self> {
-        let fields = Fields::open(tree, mistakes, &["grace", "limit", "notice"])?;
+    pub(super) fn read(yaml: &Yaml, mistakes: &Mistakes) -> Option<Self> {
+        let fields = Fields::open(yaml, mistakes, &["grace", "limit", "notice"])?;
         let most = Duration::from_secs(3600);
         let optional =
-            |name| fields.tree(name).map(|_| fields.ranged(name, LIMIT, &Duration::ZERO, &most));
+            |name| fields.yaml(name).map(|_| fields.ranged(name, LIMIT, &Duration::ZERO, &most));
         let (grace, limit, notice) = (optional("grace"), optional("limit"), optional("notice"));
         Some(Self {
             limit: limit.or(grace.map(|grace| grace.mul_f64(USED))).unwrap_or(LIMIT),
--- a/src/settings/traffic.rs
+++ b/src/settings/traffic.rs
@@ -1,6 +1,6 @@
 use super::Fields;
 use super::Mistakes;
-use super::Tree;
+use super::Yaml;
 
 /// Default for `threads`: the VMs are small; one thread carries about 2,000
 /// requests a second, far above one of 44 entries' share.
@@ -22,8 +22,8 @@
 }
 
 impl Traffic {
-    pub(super) fn read(tree: &Tree, mistakes: &Mistakes) -> Option<Self> {
-        let fields = Fields::open(tree, mistakes, &["local", "threads"])?;
+    pub(super) fn read(yaml: &Yaml, mistakes: &Mistakes) -> Option<Self> {
+        let fields = Fields::open(yaml, mistakes, &["local", "threads"])?;
         Some(Self {
             threads: fields.ranged("threads", THREADS, &1, &256),
             local: fields.or("local", false),
--- a/src/settings/tree.rs
+++ b/src/settings/yaml.rs
@@ -24,7 +24,7 @@
 
 /// One YAML value with the line it stands on.
 #[derive(Clone, Debug)]
-pub(crate) struct Tree {
+pub(crate) struct Yaml {
     /// What the value holds.
     pub(crate) content: Content,
     /// Line in the file, from 1.
@@ -37,14 +37,14 @@
     /// Nothing, or `~`.
     Empty,
     /// A sequence.
-    List(Vec<Tree>),
+    List(Vec<Yaml>),
     /// A mapping, in the order of the file: line of the key, key, value.
-    Map(Vec<(u64, CompactString, Tree)>),
+    Map(Vec<(u64, CompactString, Yaml)>),
     /// Text, a number or a truth value.
     Text(CompactString),
 }
 
-impl Tree {
+impl Yaml {
     /// A mapping without fields, for one that the file leaves out.
     pub(crate) fn empty() -> Self {
         Self { content: Content::Map(Vec::new()), line: 0 }
@@ -86,7 +86,7 @@
 
 impl Raw {
     /// Takes the spelling of numbers from the `source`.
-    fn settle(self, source: &str) -> Tree {
+    fn settle(self, source: &str) -> Yaml {
         let line = self.location.line();
         let content = match self.content {
             RawContent::Empty => Content::Empty,
@@ -102,7 +102,7 @@
             }
             RawContent::Text(text) => Content::Text(text),
         };
-        Tree { content, line }
+        Yaml { content, line }
     }
 }
 
