--- a/src/rule/service.rs
+++ b/src/rule/service.rs
@@ -3,15 +3,15 @@
 use super::NotRunSignal;
 use super::Probe;
 use crate::settings::Fields;
-use crate::settings::Fraction;
 use crate::settings::Mistakes;
+use crate::settings::Ratio;
 use crate::settings::Yaml;
 
 /// Default for `floor`. With three or four failure domains, all upstreams of one
 /// domain (25% to 33%) can be ejected, and about two thirds of the capacity remain.
-const DEFAULT_FLOOR: Fraction = Fraction(0.7);
+const DEFAULT_FLOOR: Ratio = Ratio(0.7);
 /// Default for `sensitivity`: halfway between few false ejections and fast detection.
-const DEFAULT_SENSITIVITY: Fraction = Fraction(0.5);
+const DEFAULT_SENSITIVITY: Ratio = Ratio(0.5);
 /// Default for `warm_up`: none. Operators set it for upstreams with slow cold starts.
 const DEFAULT_WARM_UP: Duration = Duration::ZERO;
 
--- a/src/settings/quota.rs
+++ b/src/settings/quota.rs
@@ -1,8 +1,8 @@
 use std::time::Duration;
 
 use super::Fields;
-use super::Fraction;
 use super::Mistakes;
+use super::Ratio;
 use super::Yaml;
 use crate::quota::Config;
 
@@ -23,7 +23,7 @@
     pub(super) fn read(yaml: &Yaml, mistakes: &Mistakes) -> Option<Self> {
         let fields = Fields::open(yaml, mistakes, &["overage", "tolerance", "window"])?;
         Some(Self {
-            overage: fields.or("overage", Fraction(0.0)).0,
+            overage: fields.or("overage", Ratio(0.0)).0,
             tolerance: fields.ranged("tolerance", 0.0, &0.0, &TOLERANCE_MOST),
             window: fields.ranged("window", WINDOW, &Duration::from_secs(1), &WINDOW_MOST),
         })
--- a/src/settings/fraction.rs
+++ b/src/settings/ratio.rs
@@ -3,9 +3,9 @@
 
 /// A share between 0 and 1, written as `0.7` or `70%`.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
-pub struct Fraction(pub f64);
+pub struct Ratio(pub f64);
 
-impl Scalar for Fraction {
+impl Scalar for Ratio {
     const KIND: &'static str = "a share";
     const ALLOWED: &'static str = "write `0%` to `100%`, or `0.0` to `1.0`";
 
--- a/src/settings/retry.rs
+++ b/src/settings/retry.rs
@@ -1,12 +1,12 @@
 use std::time::Duration;
 
 use super::Fields;
-use super::Fraction;
 use super::Mistakes;
+use super::Ratio;
 use super::Yaml;
 
 /// Default for `share`: one try in twenty keeps a storm of retries from doubling any load.
-const SHARE: Fraction = Fraction(0.05);
+const SHARE: Ratio = Ratio(0.05);
 /// Default for `burst`, of each entry.
 const BURST: f64 = 2.0;
 
