--- a/src/config.rs
+++ b/src/config.rs
@@ -1,16 +1,17 @@
 //! Numbered configuration: what was accepted and what is in force.
 //!
-//! [`Submissions`] is replicated state: commands of the quorum log are applied to it in
-//! the same order on every control VM. [`Replicator`] runs in every process: it holds
-//! the highest committed version that it has heard of and spreads it.
+//! [`Submissions`] is replicated state: every control VM applies the commands of the
+//! quorum log to it in the same order. [`Replicator`] runs in every process: it keeps
+//! the highest committed version that it has received and passes it on to its peers.
 //!
-//! Load pattern: 1,400 changes a day, each a few lines of a document of about
-//! 1 MB, for 520 processes with 3 KB a second each. Without patches each change
-//! would cost every process 1 MB, about 16 KB a second. See
+//! Expected load: 1,400 changes a day, each of a few lines in a document of about
+//! 1 MB, for 520 processes with a budget of 3 KB a second each. Without patches every
+//! change would cost each process 1 MB, about 16 KB a second. See
 //! `docs/design/config.md`.
 
 mod command;
 mod error;
+mod history;
 mod input;
 mod message;
 mod output;
@@ -21,7 +22,6 @@
 mod settings;
 mod standing;
 mod submissions;
-mod trail;
 mod version;
 mod witness;
 
--- a/src/config/command.rs
+++ b/src/config/command.rs
@@ -1,4 +1,4 @@
-//! What the quorum log carries for the configuration.
+//! Commands that the quorum log carries for the configuration.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -9,18 +9,18 @@
 use super::Patch;
 use super::Version;
 
-/// Submission of an operator; the document was checked before it was proposed.
+/// An operator's submission. Its document is validated before it is proposed.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Command {
-    /// As a difference from the version that the proposer saw in force: 1,400
-    /// changes of a 1 MB document a day would be 1.4 GB of log otherwise.
+    /// The submission as a difference from the version that the proposer saw in force.
+    /// With whole documents, 1,400 changes a day of 1 MB each would add 1.4 GB to the log.
     Amend(Patch),
-    /// With its whole document.
+    /// The submission with its whole document.
     Submit(Version),
 }
 
 impl Command {
-    /// Number that the operator gave.
+    /// Number that the operator gave to the configuration.
     pub fn number(&self) -> ConfigNumber {
         match self {
             Self::Amend(patch) => patch.head.number,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Id that makes a resend safe.
+    /// Idempotency key: a resend with the same id is answered as the first time.
     pub fn submission(&self) -> &SubmissionId {
         match self {
             Self::Amend(patch) => &patch.submission,
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,34 +1,35 @@
-//! Errors of the configuration slice.
+//! Errors of the numbered configuration.
 
 use thiserror::Error;
 
 use crate::id::ConfigNumber;
 
-/// Why a patch, a snapshot or a document could not be used.
+/// Reasons for which a patch, a snapshot or a document can't be used.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum Error {
-    /// The patch starts from another version than the one at hand.
+    /// The patch starts from a version other than the one it was applied to.
     #[error("patch to configuration `{number}` starts from another base")]
     Base {
-        /// Configuration that the patch leads to.
+        /// Number of the configuration that the patch produces.
         number: ConfigNumber,
     },
-    /// The document that came out does not have the announced hash.
+    /// The resulting document does not have the hash that the patch announced.
     #[error("document of configuration `{number}` does not match its hash")]
     Hash {
-        /// Configuration whose document is damaged.
+        /// Number of the configuration whose document is damaged.
         number: ConfigNumber,
     },
-    /// The snapshot could not be read.
+    /// The snapshot could not be encoded or decoded.
     #[error("snapshot of the configuration is unreadable: {reason}")]
     Snapshot {
-        /// What the decoder reported.
+        /// Error of the codec.
         reason: String,
     },
-    /// A step of the patch names bytes that the base does not have.
+    /// A step of the patch copies a range that the base does not have, or the resulting
+    /// document exceeds the size limit.
     #[error("patch to configuration `{number}` copies outside its base")]
     Step {
-        /// Configuration that the patch leads to.
+        /// Number of the configuration that the patch produces.
         number: ConfigNumber,
     },
 }
--- a/src/config/input.rs
+++ b/src/config/input.rs
@@ -1,4 +1,4 @@
-//! What a replicator is told.
+//! Inputs of a replicator.
 
 use crate::id::NodeId;
 
@@ -6,24 +6,24 @@
 use super::Peer;
 use super::Version;
 
-/// Event for a replicator.
+/// An event that a replicator handles.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Input {
-    /// The log of this process (a control replica) committed a version.
+    /// The quorum log of this process, which is a control replica, committed a version.
     Committed(Version),
-    /// This process has just proved that it leads control, by lease or read
-    /// index, and has applied all that is committed; or that it no longer does.
+    /// Whether this process leads control. `true` requires that it has just proved so by a
+    /// lease or a read index and has applied everything that is committed.
     Leads(bool),
-    /// Other processes to exchange configuration with: the long-lived links and
+    /// Other processes to exchange configuration with: those with long-lived links and
     /// the control replicas, not the whole fleet.
     Peers(Vec<Peer>),
     /// A message arrived.
     Receive {
-        /// Its sender, as its certificate says.
+        /// Its sender, as named by its certificate.
         from: NodeId,
         /// The message.
         message: Message,
     },
-    /// Time has passed; wanted about every 100 ms, or at [`super::Replicator::next_at`].
+    /// Time has passed. Due about every 100 ms, or at [`super::Replicator::next_at`].
     Tick,
 }
--- a/src/config/message.rs
+++ b/src/config/message.rs
@@ -1,4 +1,4 @@
-//! Messages between replicators.
+//! Messages that replicators exchange.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -8,30 +8,30 @@
 use super::Standing;
 use super::Version;
 
-/// Message from one replicator to another.
+/// A message from one replicator to another.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Message {
     /// Answer to [`Message::Ask`].
     Answer {
-        /// Number of the question.
+        /// Number of the [`Message::Ask`] that is answered.
         ask: u64,
-        /// What the sender holds.
+        /// Version that the sender holds.
         head: Option<Head>,
-        /// Whether the sender leads control and has just proved that it does.
+        /// Whether the sender has just proved that it leads control.
         leads: bool,
-        /// What the sender does with callers.
+        /// Whether the sender serves callers.
         standing: Standing,
     },
-    /// A starting process asks what is in force; the number is one of its own.
+    /// A starting process asks which version is in force. It chooses the number at random.
     Ask(u64),
-    /// Regular comparison, which mends what a push lost.
+    /// Periodic anti-entropy: the sender's version, which repairs lost pushes.
     Digest(Option<Head>),
-    /// A newer version exists at the sender, too large to be pushed unasked.
+    /// The sender holds a newer version, which is too large to be pushed unrequested.
     Offer(Head),
-    /// Patches from a version that the receiver may hold, in their order.
+    /// Consecutive patches, from a version that the receiver may hold.
     Patches(Vec<Patch>),
-    /// Request for whatever is newer than this.
+    /// Request for everything newer than this version.
     Want(Option<Head>),
-    /// A whole version, for a process that no patch can bring up to date.
+    /// A version with its whole document, for a process that patches can't bring up to date.
     Whole(Version),
 }
--- a/src/config/output.rs
+++ b/src/config/output.rs
@@ -1,4 +1,4 @@
-//! What a replicator wants done.
+//! Outputs of a replicator.
 
 use crate::id::NodeId;
 
@@ -6,10 +6,10 @@
 use super::Standing;
 use super::Version;
 
-/// Effect that the driver carries out.
+/// An effect that the driver carries out.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Output {
-    /// Put this version in force here, and write it to the disk if there is one.
+    /// Put this version in force in this process, and write it to its disk if it has one.
     Apply(Version),
     /// Send a message.
     Send {
@@ -18,6 +18,6 @@
         /// Its receiver.
         to: NodeId,
     },
-    /// What the process may do with callers has changed.
+    /// Whether the process may serve callers has changed.
     StandingChanged(Standing),
 }
--- a/src/config/patch.rs
+++ b/src/config/patch.rs
@@ -1,4 +1,4 @@
-//! Difference between two versions, by lines.
+//! Line-based difference between two versions.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,51 +13,52 @@
 use super::Head;
 use super::Version;
 
-/// Part of a patched document.
+/// One part of the document that a patch produces.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Step {
     /// Bytes taken from the base.
     Copy {
-        /// First byte in the base.
+        /// Offset of the first byte in the base.
         offset: u64,
         /// Number of bytes.
         length: u64,
     },
-    /// Text that the base does not have at this place.
+    /// New text.
     Insert(CompactString),
 }
 
-/// What turns one version into a later one.
+/// Difference that turns one version into a later one.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Patch {
     /// Version that it starts from.
     pub base: Head,
-    /// Version that it leads to.
+    /// Version that it produces.
     pub head: Head,
-    /// Parts of the new document in their order.
+    /// Parts of the new document, in order.
     pub steps: Vec<Step>,
-    /// Submission of the new version.
+    /// Submission that brought the new version.
     pub submission: SubmissionId,
 }
 
 impl Patch {
-    /// Difference from `base` to `version`, in time linear in both documents.
+    /// Computes the difference from `base` to `version` in time linear in both documents.
     ///
-    /// A line is matched with its first like in the base, unless the copy before
-    /// it runs on; so a moved or repeated line costs a step, never a wrong text.
+    /// A line is copied from where the previous copy ends if the base continues with it,
+    /// otherwise from its first occurrence in the base. A moved or repeated line therefore
+    /// costs an extra step but never produces a wrong text.
     pub fn between(base: &Version, version: &Version) -> Self {
         let lines = line_offsets(&base.document);
         let mut steps = Vec::new();
-        let mut rest = 0;
+        let mut copied_to = 0;
         for line in version.document.split_inclusive('\n') {
-            let offset = match base.document.get(rest..) {
-                Some(next) if next.starts_with(line) => Some(rest),
+            let offset = match base.document.get(copied_to..) {
+                Some(next) if next.starts_with(line) => Some(copied_to),
                 _ => lines.get(line).copied(),
             };
             match offset {
                 Some(offset) => {
                     push_copy(&mut steps, offset, line.len());
-                    rest = offset + line.len();
+                    copied_to = offset + line.len();
                 }
                 None => push_insert(&mut steps, line),
             }
@@ -70,12 +71,13 @@
         }
     }
 
-    /// The version that it leads to.
+    /// Applies the patch to `base`.
     ///
     /// # Errors
     ///
-    /// [`Error::Base`] for another base, [`Error::Step`] for bytes outside it,
-    /// [`Error::Hash`] when the outcome is not the announced document.
+    /// [`Error::Base`] when the patch starts from another version, [`Error::Step`] when a
+    /// step copies outside the base or the document gets too large, [`Error::Hash`] when the
+    /// result does not have the announced hash.
     pub fn apply(&self, base: &Version) -> Result<Version, Error> {
         let number = self.head.number;
         if base.head() != self.base {
@@ -91,7 +93,7 @@
                 }
                 Step::Insert(text) => document.push_str(text),
             }
-            if document.len() > DOCUMENT_LIMIT {
+            if document.len() > MAX_DOCUMENT_BYTES {
                 return Err(Error::Step { number });
             }
         }
@@ -100,23 +102,23 @@
         if version.head() == self.head { Ok(version) } else { Err(Error::Hash { number }) }
     }
 
-    /// Encoded size in bytes, to within a few bytes a step.
+    /// Encoded size in bytes, accurate to a few bytes per step.
     pub fn size(&self) -> usize {
         let steps = self.steps.iter().map(|step| match step {
-            Step::Copy { .. } => COPY_BYTES,
-            Step::Insert(text) => text.len() + COPY_BYTES,
+            Step::Copy { .. } => STEP_BYTES,
+            Step::Insert(text) => text.len() + STEP_BYTES,
         });
-        FRAME_BYTES + self.submission.len() + steps.sum::<usize>()
+        HEADER_BYTES + self.submission.len() + steps.sum::<usize>()
     }
 }
 
-/// Largest document that a patch may make, so that a damaged patch of repeated
-/// copies can't exhaust memory; eight times the two-year document of 1 MB.
-const DOCUMENT_LIMIT: usize = 8 << 20;
-/// A step's tag and two variable-length numbers below 2^21.
-const COPY_BYTES: usize = 7;
-/// Two heads and two lengths.
-const FRAME_BYTES: usize = 32;
+/// Largest document that a patch may produce, in bytes, so that a damaged patch with many
+/// copies can't exhaust memory. It is eight times the 1 MB expected in two years.
+const MAX_DOCUMENT_BYTES: usize = 8 << 20;
+/// Encoded size of a step without text: a tag and two variable-length numbers below 2^21.
+const STEP_BYTES: usize = 7;
+/// Encoded size of a patch without steps and submission: two heads and two lengths.
+const HEADER_BYTES: usize = 32;
 
 fn line_offsets(document: &str) -> HashMap<&str, usize> {
     let mut offsets = HashMap::new();
--- a/src/config/peer.rs
+++ b/src/config/peer.rs
@@ -1,4 +1,4 @@
-//! Another process that configuration is exchanged with.
+//! Peers of a replicator.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,7 +6,7 @@
 use crate::id::DomainId;
 use crate::id::NodeId;
 
-/// Another process, as membership knows it.
+/// Another process that configuration is exchanged with, as known from membership.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Peer {
     /// Whether it is a control replica.
--- a/src/config/replicator.rs
+++ b/src/config/replicator.rs
@@ -1,4 +1,4 @@
-//! State machine of every process: the version held, and its spread.
+//! State machine that runs in every process, keeps the latest version and passes it on.
 
 mod fetch;
 mod spread;
@@ -22,115 +22,115 @@
 use super::Settings;
 use super::Standing;
 use super::Version;
-use super::trail::Trail;
+use super::history::History;
 use super::witness::Witnesses;
 
-/// Push of the version held.
+/// An ongoing push of the version held.
 #[derive(Clone, Debug)]
 struct Push {
     at: Moment,
     known: BTreeSet<NodeId>,
-    left: usize,
+    remaining: usize,
 }
 
-/// Request for a newer version.
+/// A request for a newer version that has not been answered.
 #[derive(Clone, Debug)]
-struct Want {
+struct Request {
     at: Moment,
     from: NodeId,
 }
 
-/// Holds the highest committed version and spreads it; never goes back.
+/// Keeps the highest committed version and passes it on; never returns to a lower one.
 ///
-/// Versions come from the log of a control replica or from a peer, which holds
-/// only committed ones itself. So a higher number is always newer, from whoever
-/// it comes, and a stale control replica or peer can only offer a lower one.
+/// Versions come from the log of a control replica or from a peer, which itself holds
+/// only committed ones. A higher number is therefore always newer, whatever its source,
+/// and a stale control replica or peer can only offer a lower one.
 #[derive(Clone, Debug)]
 pub struct Replicator {
-    ask: u64,
-    ask_at: Moment,
+    ask_id: u64,
+    next_ask_at: Moment,
     current: Option<Version>,
-    digest_at: Moment,
+    next_digest_at: Moment,
     head: Option<Head>,
-    heard_at: Moment,
-    leads: bool,
-    me: NodeId,
+    last_heard_at: Moment,
+    is_leader: bool,
+    own_id: NodeId,
     peers: BTreeMap<NodeId, Peer>,
     push: Option<Push>,
     random: ChaCha8Rng,
     settings: Settings,
     sources: BTreeMap<NodeId, Head>,
-    splits: u64,
+    hash_conflicts: u64,
     standing: Standing,
     started_at: Moment,
-    trail: Trail,
-    want: Option<Want>,
-    want_whole: bool,
-    whole_at: Moment,
+    history: History,
+    request: Option<Request>,
+    needs_document: bool,
+    next_document_at: Moment,
     witnesses: Witnesses,
 }
 
 impl Replicator {
-    /// Replicator of a process that starts now. `kept` is what its disk holds, if it
-    /// has one; the driver puts that in force itself.
+    /// Creates the replicator of a process that starts now. `kept` is the version on its
+    /// disk, if there is one; the driver puts that in force itself.
     pub fn new(
         now: Moment,
-        me: NodeId,
+        own_id: NodeId,
         settings: Settings,
         kept: Option<Version>,
         mut random: ChaCha8Rng,
     ) -> Self {
         Self {
-            ask: random.random(),
-            ask_at: now,
-            digest_at: now + settings.digest_period,
+            ask_id: random.random(),
+            next_ask_at: now,
+            next_digest_at: now + settings.digest_period,
             head: kept.as_ref().map(Version::head),
             current: kept,
-            heard_at: now,
-            leads: false,
-            me,
+            last_heard_at: now,
+            is_leader: false,
+            own_id,
             peers: BTreeMap::new(),
             push: None,
             random,
             settings,
             sources: BTreeMap::new(),
-            splits: 0,
+            hash_conflicts: 0,
             standing: Standing::Starting,
             started_at: now,
-            trail: Trail::default(),
-            want: None,
-            want_whole: false,
-            whole_at: now,
+            history: History::default(),
+            request: None,
+            needs_document: false,
+            next_document_at: now,
             witnesses: Witnesses::default(),
         }
     }
 
-    /// Takes an event and tells what to do.
+    /// Handles an event and returns the effects that the driver has to carry out.
     pub fn handle(&mut self, now: Moment, input: Input) -> Vec<Output> {
         let mut outputs = Vec::new();
         match input {
             Input::Committed(version) => self.commit(now, version, &mut outputs),
-            Input::Leads(leads) => self.leads = leads,
+            Input::Leads(leads) => self.is_leader = leads,
             Input::Peers(peers) => self.set_peers(peers),
             Input::Receive { from, message } => self.receive(now, from, message, &mut outputs),
             Input::Tick => {}
         }
-        self.stand(now, &mut outputs);
+        self.update_standing(now, &mut outputs);
         self.run_timers(now, &mut outputs);
         outputs
     }
 
-    /// When the next [`Input::Tick`] is due.
+    /// Time at which the next [`Input::Tick`] is due.
     pub fn next_at(&self) -> Moment {
-        let mut at = self.digest_at;
+        let mut at = self.next_digest_at;
         if self.standing == Standing::Starting {
-            at = at.min(self.ask_at);
+            at = at.min(self.next_ask_at);
         }
         if let Some(push) = &self.push {
             at = at.min(push.at);
         }
-        if let Some(want) = &self.want {
-            at = at.min(want.at + self.settings.retry);
+        if let Some(request) = &self.request {
+            at = at.min(request.at + self.settings.request_timeout);
         }
         at
     }
@@ -140,24 +140,24 @@
         self.current.as_ref()
     }
 
-    /// Short form of the version held.
+    /// Number and hash of the version held.
     pub fn head(&self) -> Option<Head> {
         self.head
     }
 
-    /// How often another document was seen under the number held. Anything but
-    /// zero means that control was set up anew over a fleet that still ran.
-    pub fn splits(&self) -> u64 {
-        self.splits
+    /// How often another document was seen under the number held. Any value but zero means
+    /// that control was set up from scratch while the fleet kept running.
+    pub fn hash_conflicts(&self) -> u64 {
+        self.hash_conflicts
     }
 
-    /// What the process may do with callers.
+    /// Whether the process may serve callers.
     pub fn standing(&self) -> Standing {
         self.standing
     }
 
     fn set_peers(&mut self, peers: Vec<Peer>) {
-        let others = peers.into_iter().filter(|peer| peer.id != self.me);
+        let others = peers.into_iter().filter(|peer| peer.id != self.own_id);
         self.peers = others.map(|peer| (peer.id.clone(), peer)).collect();
     }
 
@@ -166,29 +166,36 @@
             return;
         }
         match &self.current {
-            Some(base) => self.trail.push(Patch::between(base, &version)),
-            None => self.trail.clear(),
+            Some(base) => self.history.push(Patch::between(base, &version)),
+            None => self.history.clear(),
         }
-        self.hold(now, version, None, outputs);
+        self.replace_current(now, version, None, outputs);
     }
 
     fn receive(&mut self, now: Moment, from: NodeId, message: Message, outputs: &mut Vec<Output>) {
-        self.heard_at = now;
+        self.last_heard_at = now;
         match message {
             Message::Answer { ask, head, leads, standing } => {
-                self.take_answer(now, from, ask, start::Answer { head, leads, standing }, outputs);
+                self.receive_answer(
+                    now,
+                    from,
+                    ask,
+                    start::Answer { head, is_leader: leads, standing },
+                    outputs,
+                );
             }
-            Message::Ask(ask) => self.answer(from, ask, outputs),
-            Message::Digest(head) => self.compare(now, from, head, outputs),
-            Message::Offer(head) => self.consider(now, from, head, outputs),
-            Message::Patches(patches) => self.take_patches(now, from, &patches, outputs),
-            Message::Want(base) => self.serve(now, from, base, outputs),
-            Message::Whole(version) => self.take_whole(now, from, version, outputs),
+            Message::Ask(ask) => self.answer_ask(from, ask, outputs),
+            Message::Digest(head) => self.receive_digest(now, from, head, outputs),
+            Message::Offer(head) => self.receive_offer(now, from, head, outputs),
+            Message::Patches(patches) => self.receive_patches(now, from, &patches, outputs),
+            Message::Want(base) => self.answer_want(now, from, base, outputs),
+            Message::Whole(version) => self.receive_document(now, from, version, outputs),
         }
     }
 
-    /// The only place where the version held changes, and only upwards.
-    fn hold(
+    /// Replaces the version held. Callers have checked that `version` is newer; no other
+    /// method changes the version.
+    fn replace_current(
         &mut self,
         now: Moment,
         version: Version,
@@ -198,29 +205,29 @@
         let head = version.head();
         self.head = Some(head);
         self.current = Some(version.clone());
-        self.want = None;
-        self.want_whole = false;
+        self.request = None;
+        self.needs_document = false;
         let known =
             self.sources.iter().filter(|(_, theirs)| **theirs >= head).map(|(id, _)| id.clone());
         let known = known.chain(from).collect();
         self.sources.retain(|_, theirs| *theirs > head);
         outputs.push(Output::Apply(version));
-        if self.standing.serves() || self.leads {
-            self.push = Some(Push { at: now, known, left: self.settings.fanout });
+        if self.standing.serves() || self.is_leader {
+            self.push = Some(Push { at: now, known, remaining: self.settings.fanout });
         }
     }
 
     fn is_newer(&mut self, head: Head) -> bool {
         let Some(held) = self.head else { return true };
         if head.number == held.number && head.hash != held.hash {
-            self.splits += 1;
+            self.hash_conflicts += 1;
         }
         head.number > held.number
     }
 
     fn run_timers(&mut self, now: Moment, outputs: &mut Vec<Output>) {
         self.run_push(now, outputs);
-        self.run_want(now, outputs);
+        self.run_request(now, outputs);
         if self.standing == Standing::Starting {
             self.run_ask(now, outputs);
         }
--- a/src/config/replicator/fetch.rs
+++ b/src/config/replicator/fetch.rs
@@ -1,4 +1,4 @@
-//! How a replicator learns of newer versions, and gets them.
+//! Discovery and retrieval of newer versions.
 
 use rand::seq::IteratorRandom;
 
@@ -11,13 +11,13 @@
 use crate::id::NodeId;
 
 use super::Replicator;
-use super::Want;
+use super::Request;
 
-/// Known sources of a newer version that are remembered.
-const SOURCE_LIMIT: usize = 16;
+/// Peers that are remembered as sources of a newer version.
+const MAX_SOURCES: usize = 16;
 
 impl Replicator {
-    pub(super) fn compare(
+    pub(super) fn receive_digest(
         &mut self,
         now: Moment,
         from: NodeId,
@@ -25,15 +25,15 @@
         outputs: &mut Vec<Output>,
     ) {
         if let Some(head) = theirs {
-            self.consider(now, from.clone(), head, outputs);
+            self.receive_offer(now, from.clone(), head, outputs);
         }
         if theirs < self.head {
-            self.bring(from, theirs, outputs);
+            self.send_update(from, theirs, outputs);
         }
     }
 
-    /// Notes what a peer holds, and asks for it if it is newer.
-    pub(super) fn consider(
+    /// Records which version a peer holds, and requests it if it is newer.
+    pub(super) fn receive_offer(
         &mut self,
         now: Moment,
         from: NodeId,
@@ -41,34 +41,34 @@
         outputs: &mut Vec<Output>,
     ) {
         if Some(head) >= self.head {
-            self.note_known(&from);
+            self.mark_known(&from);
         }
         if !self.is_newer(head) {
             return;
         }
-        if self.sources.len() < SOURCE_LIMIT {
+        if self.sources.len() < MAX_SOURCES {
             self.sources.insert(from, head);
         }
-        if self.want.is_none() {
-            self.request(now, outputs);
+        if self.request.is_none() {
+            self.send_request(now, outputs);
         }
     }
 
-    pub(super) fn note_known(&mut self, peer: &NodeId) {
+    pub(super) fn mark_known(&mut self, peer: &NodeId) {
         if let Some(push) = &mut self.push {
             push.known.insert(peer.clone());
         }
     }
 
-    pub(super) fn request(&mut self, now: Moment, outputs: &mut Vec<Output>) {
+    pub(super) fn send_request(&mut self, now: Moment, outputs: &mut Vec<Output>) {
         let Some((from, _)) = self.sources.iter().choose(&mut self.random) else { return };
         let to = from.clone();
-        let base = if self.want_whole { None } else { self.head };
+        let base = if self.needs_document { None } else { self.head };
         outputs.push(Output::Send { message: Message::Want(base), to: to.clone() });
-        self.want = Some(Want { at: now, from: to });
+        self.request = Some(Request { at: now, from: to });
     }
 
-    pub(super) fn take_patches(
+    pub(super) fn receive_patches(
         &mut self,
         now: Moment,
         from: NodeId,
@@ -77,20 +77,20 @@
     ) {
         let Some(last) = patches.last() else { return };
         if !self.is_newer(last.head) {
-            self.note_known(&from);
+            self.mark_known(&from);
             return;
         }
-        match self.patched(patches) {
+        match self.apply_patches(patches) {
             Some(version) => {
                 let newer = patches.iter().filter(|patch| Some(patch.head) > self.head);
-                newer.for_each(|patch| self.trail.push(patch.clone()));
-                self.hold(now, version, Some(from), outputs);
+                newer.for_each(|patch| self.history.push(patch.clone()));
+                self.replace_current(now, version, Some(from), outputs);
             }
-            None => self.consider(now, from, last.head, outputs),
+            None => self.receive_offer(now, from, last.head, outputs),
         }
     }
 
-    pub(super) fn patched(&mut self, patches: &[Patch]) -> Option<Version> {
+    pub(super) fn apply_patches(&mut self, patches: &[Patch]) -> Option<Version> {
         let mut version = self.current.clone()?;
         for patch in patches.iter().filter(|patch| Some(patch.head) > self.head) {
             if patch.base.number != version.number {
@@ -99,7 +99,7 @@
             match patch.apply(&version) {
                 Ok(next) => version = next,
                 Err(_) => {
-                    self.want_whole = true;
+                    self.needs_document = true;
                     return None;
                 }
             }
@@ -107,7 +107,7 @@
         Some(version)
     }
 
-    pub(super) fn take_whole(
+    pub(super) fn receive_document(
         &mut self,
         now: Moment,
         from: NodeId,
@@ -115,19 +115,19 @@
         outputs: &mut Vec<Output>,
     ) {
         if self.is_newer(version.head()) {
-            self.trail.clear();
-            self.hold(now, version, Some(from), outputs);
+            self.history.clear();
+            self.replace_current(now, version, Some(from), outputs);
         }
     }
 
-    /// Turns to another source when one does not answer.
-    pub(super) fn run_want(&mut self, now: Moment, outputs: &mut Vec<Output>) {
-        let retry = self.settings.retry;
-        if let Some(want) = self.want.take_if(|want| want.at + retry <= now) {
+    /// Repeats an unanswered request, to another source if one is known.
+    pub(super) fn run_request(&mut self, now: Moment, outputs: &mut Vec<Output>) {
+        let timeout = self.settings.request_timeout;
+        if let Some(request) = self.request.take_if(|request| request.at + timeout <= now) {
             if self.sources.len() > 1 {
-                self.sources.remove(&want.from);
+                self.sources.remove(&request.from);
             }
-            self.request(now, outputs);
+            self.send_request(now, outputs);
         }
     }
 }
--- a/src/config/replicator/spread.rs
+++ b/src/config/replicator/spread.rs
@@ -1,4 +1,4 @@
-//! How a replicator passes on the version that it holds.
+//! Pushes, digests and answers that pass the version held on to peers.
 
 use std::time::Duration;
 
@@ -14,26 +14,27 @@
 
 use super::Replicator;
 
-/// Least time between two whole documents sent, so that a fleet that starts as a
-/// whole can't queue hundreds of megabytes at one process; who gets none asks
-/// another one, and there are twice as many after each second.
-const WHOLE_GAP: Duration = Duration::from_millis(250);
+/// Minimum time between two whole documents sent, so that a start of the whole fleet can't
+/// queue hundreds of megabytes at one process. A peer that gets none asks another process;
+/// the number of processes that hold the document doubles about every second.
+const MIN_DOCUMENT_INTERVAL: Duration = Duration::from_millis(250);
 
 impl Replicator {
-    /// Brings a peer up to date that was seen to be behind.
-    pub(super) fn bring(&self, to: NodeId, base: Option<Head>, outputs: &mut Vec<Output>) {
+    /// Sends the patches after `base` to a peer that is behind, or offers the version held
+    /// if they are too large or not known.
+    pub(super) fn send_update(&self, to: NodeId, base: Option<Head>, outputs: &mut Vec<Output>) {
         let Some(head) = self.head else { return };
-        let patches = base.and_then(|base| self.trail.since(base));
-        let small = patches.filter(|patches| self.is_small(patches));
-        let message = small.map_or(Message::Offer(head), Message::Patches);
+        let patches = base.and_then(|base| self.history.since(base));
+        let pushable = patches.filter(|patches| self.is_pushable(patches));
+        let message = pushable.map_or(Message::Offer(head), Message::Patches);
         outputs.push(Output::Send { message, to });
     }
 
-    pub(super) fn is_small(&self, patches: &[Patch]) -> bool {
-        patches.iter().map(Patch::size).sum::<usize>() <= self.settings.push_bytes
+    pub(super) fn is_pushable(&self, patches: &[Patch]) -> bool {
+        patches.iter().map(Patch::size).sum::<usize>() <= self.settings.max_push_bytes
     }
 
-    pub(super) fn serve(
+    pub(super) fn answer_want(
         &mut self,
         now: Moment,
         to: NodeId,
@@ -44,38 +45,38 @@
         if base >= self.head {
             return;
         }
-        if let Some(patches) = base.and_then(|base| self.trail.since(base)) {
+        if let Some(patches) = base.and_then(|base| self.history.since(base)) {
             outputs.push(Output::Send { message: Message::Patches(patches), to });
             return;
         }
-        if now < self.whole_at {
+        if now < self.next_document_at {
             return;
         }
-        self.whole_at = now + WHOLE_GAP;
+        self.next_document_at = now + MIN_DOCUMENT_INTERVAL;
         outputs.push(Output::Send { message: Message::Whole(version.clone()), to });
     }
 
     pub(super) fn run_push(&mut self, now: Moment, outputs: &mut Vec<Output>) {
         let Some(mut push) = self.push.take_if(|push| push.at <= now) else { return };
         let Some(head) = self.head else { return };
-        let count = push.left.min(self.settings.push_width);
+        let count = push.remaining.min(self.settings.push_batch);
         let others = self.peers.keys().filter(|id| !push.known.contains(*id));
         for to in others.cloned().choose_multiple(&mut self.random, count) {
             push.known.insert(to.clone());
-            let last = self.trail.last().filter(|patch| patch.head == head);
-            self.bring(to, last.map(|patch| patch.base), outputs);
+            let last = self.history.last().filter(|patch| patch.head == head);
+            self.send_update(to, last.map(|patch| patch.base), outputs);
         }
-        push.left -= count;
-        push.at = now + self.settings.push_gap;
-        self.push = Some(push).filter(|push| push.left > 0);
+        push.remaining -= count;
+        push.at = now + self.settings.push_interval;
+        self.push = Some(push).filter(|push| push.remaining > 0);
     }
 
     pub(super) fn run_digest(&mut self, now: Moment, outputs: &mut Vec<Output>) {
-        if self.digest_at > now {
+        if self.next_digest_at > now {
             return;
         }
         let period = self.settings.digest_period;
-        self.digest_at = now + period.mul_f64(self.random.random_range(0.5..1.5));
+        self.next_digest_at = now + period.mul_f64(self.random.random_range(0.5..1.5));
         if let Some(to) = self.peers.keys().choose(&mut self.random) {
             outputs.push(Output::Send { message: Message::Digest(self.head), to: to.clone() });
         }
--- a/src/config/replicator/start.rs
+++ b/src/config/replicator/start.rs
@@ -1,4 +1,4 @@
-//! When a replicator's process may take callers.
+//! Decision whether the process may serve callers.
 
 use rand::seq::IndexedRandom;
 
@@ -12,27 +12,31 @@
 
 use super::Replicator;
 
-/// Peers without a role in control that a starting process asks at a time.
-const ASKED: usize = 5;
+/// Peers other than control replicas that a starting process asks at a time.
+const PEERS_PER_ASK: usize = 5;
 
-/// What a peer answered.
+/// Content of a peer's [`Message::Answer`].
 pub(super) struct Answer {
     pub(super) head: Option<Head>,
-    pub(super) leads: bool,
+    pub(super) is_leader: bool,
     pub(super) standing: Standing,
 }
 
 impl Replicator {
-    pub(super) fn answer(&self, to: NodeId, ask: u64, outputs: &mut Vec<Output>) {
-        let message =
-            Message::Answer { ask, head: self.head, leads: self.leads, standing: self.standing };
+    pub(super) fn answer_ask(&self, to: NodeId, ask: u64, outputs: &mut Vec<Output>) {
+        let message = Message::Answer {
+            ask,
+            head: self.head,
+            leads: self.is_leader,
+            standing: self.standing,
+        };
         outputs.push(Output::Send { message, to });
     }
 
-    /// Notes an answer to this process's own question. The number of the question
-    /// keeps out an answer that was given before a restart, and may be older than
-    /// what the process held since.
-    pub(super) fn take_answer(
+    /// Records an answer to a [`Message::Ask`] of this process. An answer with another number
+    /// was meant for the process before a restart and may be older than what it held since,
+    /// so it is ignored.
+    pub(super) fn receive_answer(
         &mut self,
         now: Moment,
         from: NodeId,
@@ -40,59 +44,59 @@
         answer: Answer,
         outputs: &mut Vec<Output>,
     ) {
-        if ask != self.ask {
+        if ask != self.ask_id {
             return;
         }
         let domain = self.peers.get(&from).map(|peer| peer.domain.clone()).unwrap_or_default();
-        let Answer { head, leads, standing } = answer;
-        self.witnesses.insert(from.clone(), Witness { domain, head, leads, standing });
+        let Answer { head, is_leader, standing } = answer;
+        self.witnesses.insert(from.clone(), Witness { domain, head, is_leader, standing });
         if let Some(head) = head {
-            self.consider(now, from, head, outputs);
+            self.receive_offer(now, from, head, outputs);
         }
     }
 
     pub(super) fn run_ask(&mut self, now: Moment, outputs: &mut Vec<Output>) {
-        if self.ask_at > now || self.peers.is_empty() {
+        if self.next_ask_at > now || self.peers.is_empty() {
             return;
         }
-        self.ask_at = now + self.settings.retry;
+        self.next_ask_at = now + self.settings.request_timeout;
         let (control, others): (Vec<_>, Vec<_>) =
             self.peers.values().partition(|peer| peer.control);
-        let others = others.choose_multiple(&mut self.random, ASKED).copied();
+        let others = others.choose_multiple(&mut self.random, PEERS_PER_ASK).copied();
         for peer in control.into_iter().chain(others) {
-            outputs.push(Output::Send { message: Message::Ask(self.ask), to: peer.id.clone() });
+            outputs.push(Output::Send { message: Message::Ask(self.ask_id), to: peer.id.clone() });
         }
     }
 
-    pub(super) fn stand(&mut self, now: Moment, outputs: &mut Vec<Output>) {
-        let standing = self.judge(now);
+    pub(super) fn update_standing(&mut self, now: Moment, outputs: &mut Vec<Output>) {
+        let standing = self.next_standing(now);
         if standing != self.standing {
             self.standing = standing;
             outputs.push(Output::StandingChanged(standing));
         }
     }
 
-    pub(super) fn judge(&self, now: Moment) -> Standing {
+    pub(super) fn next_standing(&self, now: Moment) -> Standing {
         if self.standing == Standing::Starting && !self.is_confirmed(now) {
             return Standing::Starting;
         }
-        let silent = now.saturating_sub(self.heard_at) >= self.settings.alone_after;
-        if silent && !self.leads && !self.peers.is_empty() {
+        let is_isolated = now.saturating_sub(self.last_heard_at) >= self.settings.isolation_timeout;
+        if is_isolated && !self.is_leader && !self.peers.is_empty() {
             Standing::ServingAlone
         } else {
             Standing::Serving
         }
     }
 
-    /// Whether what is held can't be older than what this process held before it
-    /// started, as far as control or several peers can tell.
+    /// Whether control or several peers confirm that the version held is not older than the
+    /// one this process held before it started.
     ///
-    /// Without it, an entry that restarts beside a stale replica would take callers
-    /// by a version that it had already left. The leader of control knows all that
-    /// was accepted. Peers know what reached more than this process, since a change
-    /// is everywhere within `control_wait`.
+    /// Otherwise an entry that restarts next to a stale replica would serve callers by a
+    /// version that it had already replaced. The leader of control knows every accepted
+    /// version. Peers know every version that had spread beyond this process, because a
+    /// change reaches all processes within `control_wait`.
     pub(super) fn is_confirmed(&self, now: Moment) -> bool {
-        if self.leads {
+        if self.is_leader {
             return true;
         }
         if self.witnesses.is_empty() || self.witnesses.highest() > self.head {
@@ -102,9 +106,9 @@
             return true;
         }
         let waited = now.saturating_sub(self.started_at);
-        let known = self.head.is_some();
+        let has_version = self.head.is_some();
         let by_peers =
-            waited >= self.settings.control_wait && self.witnesses.suffice(&self.settings);
-        known && (by_peers || waited >= self.settings.cold_wait)
+            waited >= self.settings.control_wait && self.witnesses.are_sufficient(&self.settings);
+        has_version && (by_peers || waited >= self.settings.cold_start_wait)
     }
 }
--- a/src/config/reply.rs
+++ b/src/config/reply.rs
@@ -1,4 +1,4 @@
-//! What an operator is told about a submission.
+//! Replies to submissions.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -8,21 +8,22 @@
 
 use super::Head;
 
-/// Answer to one command.
+/// Result of applying one command.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Reply {
-    /// In force from now on, or was when the same submission came first.
+    /// Accepted, now or when the same submission was first received.
     Accepted(Head),
-    /// The patch could not be applied; the proposer sends the whole document.
-    /// An operator never sees this one.
+    /// The patch can't be applied, so the proposer has to send the whole document.
+    /// Operators never receive this reply.
     Rebase,
-    /// Not accepted: the number is not above the one in force.
+    /// Refused because the number is not above the one in force.
     Refused {
         /// Number in force.
         number: ConfigNumber,
-        /// Submission that brought it.
+        /// Submission in force.
         submission: SubmissionId,
     },
-    /// Not accepted: the submission id stands for another number or document.
+    /// Refused because the submission id was accepted before with this other number or
+    /// document.
     Reused(Head),
 }
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,50 +1,54 @@
-//! Figures of the spread of configuration.
+//! Parameters of the replication of configuration.
 
 use std::time::Duration;
 
-/// Figures of a replicator; the defaults are for 520 processes and 3 KB a second each.
+/// Parameters of a replicator. The defaults suit 520 processes with a budget of 3 KB a
+/// second each.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Settings {
-    /// Time without any message after which a process counts itself as alone:
-    /// twelve digest periods, so that losses of 5% can't look like a cut.
-    pub alone_after: Duration,
-    /// How long a starting process insists on witnesses that serve, before a
-    /// single answer will do: a fleet that starts as a whole has none.
-    pub cold_wait: Duration,
-    /// How long a starting process waits for control before peers will do; longer
-    /// than a change needs to reach all, so that the peers know what it knew.
+    /// Time without any message after which a process considers itself isolated. The default
+    /// is twelve digest periods, so that 5% message loss is not mistaken for a partition.
+    pub isolation_timeout: Duration,
+    /// Time for which a starting process requires answers from witnesses that serve callers.
+    /// After it one answer is enough, because no process serves when the whole fleet starts.
+    pub cold_start_wait: Duration,
+    /// Time for which a starting process waits for control before it accepts the answers of
+    /// other peers. It is longer than a change takes to reach all processes, so that the
+    /// peers hold whatever this process held before its restart.
     pub control_wait: Duration,
-    /// Mean time between digests: 60 bytes each are 12 bytes a second.
+    /// Mean time between digests. At the default, 60 bytes each make 12 bytes a second.
     pub digest_period: Duration,
-    /// Processes that get a new version pushed by each one that learned it.
+    /// Number of peers to which each process that receives a new version pushes it.
     pub fanout: usize,
-    /// Patches up to this size are pushed unasked; larger ones are offered.
-    pub push_bytes: usize,
-    /// Time between the parts of a push, so that those who have it by then are
-    /// left out.
-    pub push_gap: Duration,
-    /// Processes in one part of a push.
-    pub push_width: usize,
-    /// Time after which an unanswered request is made again.
-    pub retry: Duration,
-    /// Peers that must have answered a starting process without control.
+    /// Largest total size of patches, in bytes, that is pushed unrequested. Larger ones are
+    /// offered.
+    pub max_push_bytes: usize,
+    /// Time between the batches of a push. Peers that are known to have the version by then
+    /// are skipped.
+    pub push_interval: Duration,
+    /// Number of peers in one batch of a push.
+    pub push_batch: usize,
+    /// Time after which an unanswered request is sent again.
+    pub request_timeout: Duration,
+    /// Number of serving peers that must have answered before a process starts without
+    /// control.
     pub witnesses: usize,
-    /// Failure domains that those peers must come from.
+    /// Number of failure domains that those peers must be in.
     pub witness_domains: usize,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            alone_after: Duration::from_secs(60),
-            cold_wait: Duration::from_secs(30),
+            isolation_timeout: Duration::from_secs(60),
+            cold_start_wait: Duration::from_secs(30),
             control_wait: Duration::from_secs(3),
             digest_period: Duration::from_secs(5),
             fanout: 8,
-            push_bytes: 1024,
-            push_gap: Duration::from_millis(200),
-            push_width: 3,
-            retry: Duration::from_secs(1),
+            max_push_bytes: 1024,
+            push_interval: Duration::from_millis(200),
+            push_batch: 3,
+            request_timeout: Duration::from_secs(1),
             witnesses: 3,
             witness_domains: 2,
         }
--- a/src/config/standing.rs
+++ b/src/config/standing.rs
@@ -1,23 +1,23 @@
-//! What a process may do with callers.
+//! Whether a process may serve callers.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What a process may do with callers, as far as configuration goes.
+/// Whether a process may serve callers, judged by its configuration.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum Standing {
-    /// Takes no callers: it can't yet know that what it holds isn't older than
-    /// what it held before its restart.
+    /// Serves no callers: the process can't yet tell whether its version is older than the
+    /// one it held before a restart.
     Starting,
-    /// Takes callers by the version that it holds.
+    /// Serves callers by the version that it holds.
     Serving,
-    /// Takes callers by the version that it holds, but has heard from no other
-    /// process for a while, so a newer one may be in force elsewhere.
+    /// Serves callers by the version that it holds, but has received no message for a while,
+    /// so a newer version may be in force elsewhere.
     ServingAlone,
 }
 
 impl Standing {
-    /// Whether callers are taken.
+    /// Whether callers are served.
     pub fn serves(self) -> bool {
         self != Self::Starting
     }
--- a/src/config/submissions.rs
+++ b/src/config/submissions.rs
@@ -1,4 +1,4 @@
-//! Replicated state: the configuration in force and the answers kept for resends.
+//! Replicated state: the configuration in force and the answers to earlier submissions.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -16,20 +16,20 @@
 use super::Reply;
 use super::Version;
 
-/// How long the answer to an accepted submission is kept: an operator who lost it
-/// may resend after two weeks of absence.
-const KEPT_AGE: Duration = Duration::from_secs(14 * 24 * 3600);
-/// How many answers are kept: 14 days of 1,400 changes are 19,600, about 2 MB.
-const KEPT_COUNT: usize = 20_000;
+/// Time for which the answer to an accepted submission is kept, so that an operator who
+/// lost it can resend after an absence of two weeks.
+const ANSWER_MAX_AGE: Duration = Duration::from_secs(14 * 24 * 3600);
+/// Answers kept at most: 1,400 changes a day make 19,600 in 14 days, about 2 MB.
+const ANSWER_MAX_COUNT: usize = 20_000;
 
-/// What operators had accepted; the same on every control VM after the same
-/// commands.
+/// Accepted submissions and the version in force; equal on every control VM that has
+/// applied the same commands.
 ///
-/// Operators race with equal numbers and resend after lost answers. Without the
-/// kept answers, the resend of an accepted submission would be refused by its own
-/// number, and the operator would submit the same change once more. Only accepted
-/// submissions are kept: a refused one stays refused since numbers only grow, so
-/// refusals can't push out what was accepted.
+/// Operators submit equal numbers concurrently and resend when an answer is lost. If
+/// answers were not kept, the resend of an accepted submission would be refused because
+/// its own number is already in force, and the operator would submit the same change
+/// again. Answers to refused submissions are not kept: numbers only grow, so such a
+/// submission is refused again, and refusals can't evict answers to accepted ones.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Submissions {
     clock: Epoch,
@@ -41,50 +41,50 @@
 impl Submissions {
     /// Applies a committed command.
     ///
-    /// `at` is the proposer's wall clock as written into the log; a clock that
-    /// jumps back is held at the latest time seen.
+    /// `at` is the proposer's wall clock as recorded in the log. When it is earlier than
+    /// that of a previous command, the latest time seen is used.
     pub fn apply(&mut self, at: Epoch, command: Command) -> Reply {
         self.clock = self.clock.max(at);
-        self.forget();
-        if let Some(reply) = self.answered(&command) {
+        self.evict_answers();
+        if let Some(reply) = self.answer_to_resend(&command) {
             return reply;
         }
-        if let Some(reply) = self.refused(&command) {
+        if let Some(reply) = self.refusal(&command) {
             return reply;
         }
-        let Some(version) = self.version(command) else { return Reply::Rebase };
+        let Some(version) = self.resolve(command) else { return Reply::Rebase };
         self.accept(version)
     }
 
-    /// The version in force, if any was ever accepted.
+    /// The version in force, or `None` if no submission has been accepted yet.
     pub fn in_force(&self) -> Option<&Version> {
         self.in_force.as_ref()
     }
 
-    /// Number of answers kept for resends.
-    pub fn kept(&self) -> usize {
+    /// Number of answers kept for resent submissions.
+    pub fn answer_count(&self) -> usize {
         self.kept.len()
     }
 
-    /// Encoded form for a snapshot.
+    /// Encodes the state for a snapshot.
     ///
     /// # Errors
     ///
-    /// [`Error::Snapshot`] when the codec refuses.
+    /// [`Error::Snapshot`] when encoding fails.
     pub fn encode(&self) -> Result<Vec<u8>, Error> {
         postcard::to_stdvec(self).map_err(snapshot_error)
     }
 
-    /// State from a snapshot.
+    /// Decodes the state from a snapshot.
     ///
     /// # Errors
     ///
-    /// [`Error::Snapshot`] for bytes that are no snapshot.
+    /// [`Error::Snapshot`] when the bytes are not a valid snapshot.
     pub fn decode(bytes: &[u8]) -> Result<Self, Error> {
         postcard::from_bytes(bytes).map_err(snapshot_error)
     }
 
-    fn answered(&self, command: &Command) -> Option<Reply> {
+    fn answer_to_resend(&self, command: &Command) -> Option<Reply> {
         let kept = self.kept.get(command.submission())?;
         let head = match command {
             Command::Amend(patch) => patch.head,
@@ -93,7 +93,7 @@
         Some(if head == *kept { Reply::Accepted(head) } else { Reply::Reused(*kept) })
     }
 
-    fn refused(&self, command: &Command) -> Option<Reply> {
+    fn refusal(&self, command: &Command) -> Option<Reply> {
         let current = self.in_force.as_ref()?;
         if command.number() > current.number {
             return None;
@@ -101,7 +101,7 @@
         Some(Reply::Refused { number: current.number, submission: current.submission.clone() })
     }
 
-    fn version(&self, command: Command) -> Option<Version> {
+    fn resolve(&self, command: Command) -> Option<Version> {
         match command {
             Command::Amend(patch) => patch.apply(self.in_force.as_ref()?).ok(),
             Command::Submit(version) => Some(version),
@@ -116,18 +116,18 @@
         Reply::Accepted(head)
     }
 
-    /// Drops answers out of the window, but never that of the version in force.
-    fn forget(&mut self) {
-        while self.order.len() > 1 && self.first_is_over() {
+    /// Drops answers beyond the age or count limit, but never that to the version in force.
+    fn evict_answers(&mut self) {
+        while self.order.len() > 1 && self.is_oldest_evictable() {
             if let Some((_, submission)) = self.order.pop_front() {
                 self.kept.remove(&submission);
             }
         }
     }
 
-    fn first_is_over(&self) -> bool {
+    fn is_oldest_evictable(&self) -> bool {
         let Some((at, _)) = self.order.front() else { return false };
-        self.order.len() >= KEPT_COUNT || self.clock.saturating_sub(*at) > KEPT_AGE
+        self.order.len() >= ANSWER_MAX_COUNT || self.clock.saturating_sub(*at) > ANSWER_MAX_AGE
     }
 }
 
--- a/src/config/witness.rs
+++ b/src/config/witness.rs
@@ -1,4 +1,4 @@
-//! What a starting process was told about the version in force.
+//! Answers to a starting process about the version in force.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -10,49 +10,49 @@
 use super::Settings;
 use super::Standing;
 
-/// Latest answer of one process.
+/// A process that told this one, at its start, which version it holds.
 #[derive(Clone, Debug)]
 pub(super) struct Witness {
     /// Its failure domain.
     pub(super) domain: DomainId,
-    /// What it held.
+    /// Version that it held when it answered.
     pub(super) head: Option<Head>,
-    /// Whether it led control.
-    pub(super) leads: bool,
-    /// What it did with callers.
+    /// Whether it led control when it answered.
+    pub(super) is_leader: bool,
+    /// Whether it served callers when it answered.
     pub(super) standing: Standing,
 }
 
-/// Answers collected since the start.
+/// Latest answer of each process since the start.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Witnesses {
     answers: BTreeMap<NodeId, Witness>,
 }
 
 impl Witnesses {
-    /// Notes an answer.
+    /// Records an answer, in place of an earlier one of the same process.
     pub(super) fn insert(&mut self, from: NodeId, witness: Witness) {
         self.answers.insert(from, witness);
     }
 
-    /// Highest version that any of them holds.
+    /// Highest version that any witness holds.
     pub(super) fn highest(&self) -> Option<Head> {
         self.answers.values().filter_map(|witness| witness.head).max()
     }
 
-    /// Whether the leader of control answered.
+    /// Whether the leader of control has answered.
     pub(super) fn has_leader(&self) -> bool {
-        self.answers.values().any(|witness| witness.leads)
+        self.answers.values().any(|witness| witness.is_leader)
     }
 
-    /// Whether enough serving processes in enough failure domains answered.
-    pub(super) fn suffice(&self, settings: &Settings) -> bool {
+    /// Whether enough serving processes in enough failure domains have answered.
+    pub(super) fn are_sufficient(&self, settings: &Settings) -> bool {
         let serving = || self.answers.values().filter(|witness| witness.standing.serves());
         let domains = serving().map(|witness| &witness.domain).collect::<BTreeSet<_>>();
         serving().count() >= settings.witnesses && domains.len() >= settings.witness_domains
     }
 
-    /// Whether nobody answered.
+    /// Whether no process has answered.
     pub(super) fn is_empty(&self) -> bool {
         self.answers.is_empty()
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,6 +1,6 @@
 //! Checked settings of one process.
 //!
-//! A file is read into a yaml that knows the line of every value, and is
+//! A file is read into a tree that knows the line of every value, and is
 //! then checked field by field, so that one run reports every mistake. A
 //! derived decoder would stop at the first. Unknown fields are mistakes.
 
--- a/tests/suite/config/replicator.rs
+++ b/tests/suite/config/replicator.rs
@@ -169,7 +169,7 @@
     let other = hemlockfield::config::Version::new(1, "x".into(), "other");
     site.input(1, Input::Receive { from: Site::id(0), message: Message::Whole(other) });
     assert_eq!(site.replicators[&Site::id(1)].current().unwrap().document, version(1).document);
-    assert_eq!(site.replicators[&Site::id(1)].splits(), 1);
+    assert_eq!(site.replicators[&Site::id(1)].hash_conflicts(), 1);
 }
 
 /// Twenty seeds of restarts, cuts and changes: no process goes back, which the
--- a/tests/suite/config/submissions.rs
+++ b/tests/suite/config/submissions.rs
@@ -74,7 +74,7 @@
     for number in 1..=20_100 {
         submissions.apply(DAY, submit(number, &format!("s{number}"), "a"));
     }
-    assert_eq!(submissions.kept(), 20_000);
+    assert_eq!(submissions.answer_count(), 20_000);
     assert_eq!(submissions.apply(DAY, submit(1, "s1", "a")), refused(20_100, "s20100"));
     assert_eq!(submissions.apply(DAY, submit(200, "s200", "a")), accepted(200, "a"));
 }
