--- a/tests/suite/config.rs
+++ b/tests/suite/config.rs
@@ -3,6 +3,6 @@
 
 mod patch;
 mod replicator;
-mod site;
+mod simulation;
 mod spread;
 mod submissions;
--- a/tests/suite/config/patch.rs
+++ b/tests/suite/config/patch.rs
@@ -1,4 +1,4 @@
-//! Differences between versions.
+//! Patches between versions.
 
 use hemlockfield::config::Error;
 use hemlockfield::config::Patch;
@@ -15,7 +15,7 @@
 
 proptest! {
     #[test]
-    fn patch_any_documents(
+    fn between_any_documents(
         base in prop::collection::vec("[a-c]{0,2}\n?", 0..30),
         next in prop::collection::vec("[a-c]{0,2}\n?", 0..30),
     ) {
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn patch_size_of_one_line() {
+fn size_one_line() {
     let lines = (0..10_000).map(|line| format!("route {line}: team-{line}\n")).collect::<Vec<_>>();
     let base = version(1, &lines.concat());
     let mut changed = lines;
@@ -38,10 +38,10 @@
 }
 
 #[rstest]
-#[case::outside(Step::Copy { offset: 3, length: 9 }, Error::Step { number: 2 })]
-#[case::overflow(Step::Copy { offset: u64::MAX, length: 9 }, Error::Step { number: 2 })]
-#[case::within_a_letter(Step::Copy { offset: 1, length: 1 }, Error::Step { number: 2 })]
-#[case::other_text(Step::Insert("x".into()), Error::Hash { number: 2 })]
+#[case::outside_base(Step::Copy { offset: 3, length: 9 }, Error::Step { number: 2 })]
+#[case::offset_overflow(Step::Copy { offset: u64::MAX, length: 9 }, Error::Step { number: 2 })]
+#[case::inside_character(Step::Copy { offset: 1, length: 1 }, Error::Step { number: 2 })]
+#[case::wrong_text(Step::Insert("x".into()), Error::Hash { number: 2 })]
 fn apply_damaged_patch(#[case] step: Step, #[case] error: Error) {
     let base = version(1, "é\n");
     let mut patch = Patch::between(&base, &version(2, "b\n"));
--- a/tests/suite/config/site.rs
+++ b/tests/suite/config/simulation.rs
@@ -1,4 +1,4 @@
-//! Replicators on the fake network.
+//! Replicators on a simulated network.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -26,8 +26,8 @@
     Version::new(number, format!("s{number}").into(), &format!("limit: 4\nnumber: {number}\n"))
 }
 
-/// Replicators, of which the first is a control replica.
-pub(super) struct Site {
+/// A set of replicators, of which the first is a control replica that leads.
+pub(super) struct Simulation {
     pub(super) replicators: BTreeMap<NodeId, Replicator>,
     pub(super) net: Net,
     pub(super) now: Moment,
@@ -36,10 +36,10 @@
     served: BTreeMap<NodeId, u64>,
 }
 
-impl Site {
-    /// `count` replicators that serve version 1, or have not heard anything yet.
+impl Simulation {
+    /// Starts `count` replicators, commits version 1 and runs for 5 s.
     pub(super) fn new(seed: u64, count: usize, weather: Weather) -> Self {
-        let mut site = Self {
+        let mut simulation = Self {
             replicators: BTreeMap::new(),
             net: Net::new(seed, weather),
             now: Duration::ZERO,
@@ -48,12 +48,12 @@
             served: BTreeMap::new(),
         };
         for index in 0..count {
-            site.start(index, None);
+            simulation.start(index, None);
         }
-        site.input(0, Input::Leads(true));
-        site.commit(1);
-        site.run(ms(5_000));
-        site
+        simulation.input(0, Input::Leads(true));
+        simulation.commit(1);
+        simulation.run(ms(5_000));
+        simulation
     }
 
     pub(super) fn id(index: usize) -> NodeId {
@@ -69,7 +69,7 @@
         (0..self.count).map(peer).collect()
     }
 
-    /// Starts or restarts a replicator; `kept` is what its disk holds.
+    /// Starts or restarts a replicator. `kept` is the version on its disk.
     pub(super) fn start(&mut self, index: usize, kept: Option<Version>) {
         self.seed += 1;
         let random = ChaCha8Rng::seed_from_u64(self.seed);
@@ -96,12 +96,12 @@
         self.replicators[&Self::id(index)].standing()
     }
 
-    /// Whether all hold this number.
+    /// Whether all replicators hold this number.
     pub(super) fn all_hold(&self, number: u64) -> bool {
         (0..self.count).all(|index| self.number(index) == Some(number))
     }
 
-    /// Cuts a replicator off from all others, both ways.
+    /// Cuts the links between a replicator and all others, in both directions.
     pub(super) fn isolate(&mut self, index: usize) {
         for other in (0..self.count).filter(|other| *other != index) {
             self.net.cut_both(&Self::id(index), &Self::id(other));
@@ -140,8 +140,8 @@
         self.check(id);
     }
 
-    /// A process that takes callers never does so by an older version than it, or
-    /// an earlier process of its name, did before.
+    /// Asserts that a process that serves callers has no older version than the one by which
+    /// it, or an earlier process of the same name, served before.
     fn check(&mut self, id: &NodeId) {
         let replicator = &self.replicators[id];
         if !replicator.standing().serves() {
--- a/tests/suite/config/spread.rs
+++ b/tests/suite/config/spread.rs
@@ -1,22 +1,22 @@
-//! Spread over many replicators.
+//! Replication to many processes.
 
 use std::time::Duration;
 
 use hemlockfield::fake::Weather;
 
-use super::site::Site;
-use super::site::ms;
+use super::simulation::Simulation;
+use super::simulation::ms;
 
-/// A change is committed while one message in five is lost. All 44 entries have
-/// it within seconds: pushes reach nearly all, digests mend the rest.
+/// Changes are committed while one message in five is lost. All 44 processes must hold each
+/// one within 13 s: pushes reach most of them, digests repair the rest.
 #[test]
-fn spread_heavy_loss() {
+fn replicate_heavy_loss() {
     let weather = Weather { loss: 0.2, duplication: 0.0, delay_min: ms(1), delay_max: ms(30) };
-    let mut site = Site::new(1, 44, weather);
-    site.run(Duration::from_secs(30));
+    let mut simulation = Simulation::new(1, 44, weather);
+    simulation.run(Duration::from_secs(30));
     for number in 2..12 {
-        site.commit(number);
-        site.run(Duration::from_secs(13));
-        assert!(site.all_hold(number), "{number}");
+        simulation.commit(number);
+        simulation.run(Duration::from_secs(13));
+        assert!(simulation.all_hold(number), "{number}");
     }
 }
--- a/tests/suite/config/submissions.rs
+++ b/tests/suite/config/submissions.rs
@@ -1,4 +1,4 @@
-//! Submissions of operators.
+//! Submissions and the answers to resends.
 
 use std::time::Duration;
 
@@ -27,9 +27,9 @@
     Reply::Refused { number, submission: submission.into() }
 }
 
-/// Two operators submit number 2 at once. One sees "accepted", the other is
-/// refused and told the number and the submission in force. The log orders them,
-/// and every replica applies them in that order; so the loser can't overwrite.
+/// Two operators submit number 2 concurrently. The first in the log must be accepted. The
+/// second must be refused with the number and submission in force and must not overwrite
+/// the first.
 #[test]
 fn apply_equal_numbers() {
     let mut submissions = Submissions::default();
@@ -40,10 +40,9 @@
     assert_eq!(submissions.in_force().unwrap().document.as_ref(), "b");
 }
 
-/// An operator loses the answer to an accepted change and resends it, while a
-/// colleague has changed more since. The resend gets the first answer, and does
-/// not bring the old document back: the answer is kept by submission id, also
-/// over a snapshot, and for 13 days.
+/// An operator resends an accepted submission whose answer was lost, after another one was
+/// accepted. The resend must get the first answer, also from a restored snapshot and 13 days
+/// later, and must not put the old document in force again.
 #[rstest]
 #[case::at_once(DAY)]
 #[case::days_later(DAY * 14)]
@@ -57,8 +56,8 @@
     assert_eq!(submissions.in_force().unwrap().number, 2);
 }
 
-/// A resend after the window is refused, never accepted twice: its number is not
-/// above the one in force, which is never forgotten.
+/// A resend whose answer is no longer kept must be refused, because its number is not above
+/// the one in force. The answer to the version in force is kept for any time.
 #[test]
 fn apply_resend_after_window() {
     let mut submissions = Submissions::default();
@@ -69,7 +68,7 @@
 }
 
 #[test]
-fn apply_count_bound() {
+fn apply_beyond_answer_limit() {
     let mut submissions = Submissions::default();
     for number in 1..=20_100 {
         submissions.apply(DAY, submit(number, &format!("s{number}"), "a"));
@@ -89,7 +88,7 @@
 }
 
 #[test]
-fn apply_amend_of_other_base() {
+fn apply_amend_other_base() {
     let mut submissions = Submissions::default();
     let (one, two) = (Version::new(1, "a".into(), "x"), Version::new(2, "b".into(), "y"));
     let three = Version::new(3, "c".into(), "z");
