--- a/src/catalog.rs
+++ b/src/catalog.rs
@@ -1,8 +1,8 @@
-//! The replicated table of upstreams.
+//! Replicated table of upstreams.
 //!
-//! Where upstreams announce themselves to controls, what they say goes through the quorum's
-//! log: an acknowledged drain is then known to a majority, whichever control took it and
-//! whatever becomes of that one. Renewals that change nothing never reach the log.
+//! Where upstreams announce themselves to controls, announcements go through the quorum log.
+//! An acknowledged drain is then known to a majority, even if the control that received it
+//! fails. Renewals that change nothing are not written to the log.
 
 mod action;
 mod change;
--- a/src/catalog/action.rs
+++ b/src/catalog/action.rs
@@ -1,4 +1,4 @@
-//! What the log says about upstreams.
+//! Log entries about upstreams.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,11 +6,11 @@
 use super::Change;
 use crate::id::UpstreamId;
 
-/// One entry of the log about an upstream.
+/// Log entry about one upstream.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Action {
-    /// It said how it is.
+    /// The upstream announced its state.
     Announce(Change),
-    /// It said that it is gone.
+    /// The upstream reported that it is leaving.
     Leave(UpstreamId),
 }
--- a/src/catalog/change.rs
+++ b/src/catalog/change.rs
@@ -1,15 +1,15 @@
-//! What an upstream says of itself.
+//! Announcement of an upstream, with its sequence number.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use crate::registry::Announcement;
 
-/// What an upstream says of itself, and when in its own order.
+/// An announcement of an upstream and its position among those of the same upstream.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Change {
-    /// What it says.
+    /// Content of the announcement.
     pub announcement: Announcement,
-    /// Counts its announcements up: a late one is known by its lower number.
+    /// Number that grows with each announcement, by which a late one is recognised.
     pub sequence: u64,
 }
--- a/src/catalog/delta.rs
+++ b/src/catalog/delta.rs
@@ -1,4 +1,4 @@
-//! What changed in the table since somebody last looked.
+//! Changes of the table since an index of the log.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,19 +6,20 @@
 use crate::id::UpstreamId;
 use crate::registry::Announcement;
 
-/// What changed in the table.
+/// Changes of the table since an index of the log.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Delta {
-    /// Upstreams that are gone.
+    /// Upstreams that were removed.
     pub gone: Vec<UpstreamId>,
-    /// Upstreams that are new or changed.
+    /// Upstreams that were added or changed.
     pub upstreams: Vec<Announcement>,
-    /// Whether all others are gone too: the table no longer tells what went since.
+    /// Whether `upstreams` holds the whole table, so that all other upstreams are gone. This is
+    /// so when the table no longer knows all removals since the index.
     pub whole: bool,
 }
 
 impl Delta {
-    /// Whether it says nothing.
+    /// Whether nothing changed.
     pub fn is_empty(&self) -> bool {
         !self.whole && self.gone.is_empty() && self.upstreams.is_empty()
     }
--- a/src/catalog/table.rs
+++ b/src/catalog/table.rs
@@ -1,4 +1,4 @@
-//! The table and its rules of precedence.
+//! The table and its rules of precedence among announcements.
 
 use std::collections::BTreeMap;
 
@@ -14,15 +14,15 @@
 use crate::registry::Announcement;
 use crate::registry::State;
 
-/// Upstreams that are gone and still remembered, so that a late announcement does not bring
-/// them back: days of restarts at the size planned for.
-const GONE_MAX: usize = 10_000;
+/// Tombstones kept at most, so that a late announcement does not add a removed upstream
+/// again. At the planned size of the fleet they cover several days of restarts.
+const MAX_TOMBSTONES: usize = 10_000;
 
 /// All upstreams that have announced themselves, as of one index of the log.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Catalog {
     floor: Index,
-    gone: BTreeMap<UpstreamId, Gone>,
+    gone: BTreeMap<UpstreamId, Tombstone>,
     upstreams: BTreeMap<UpstreamId, Entry>,
 }
 
@@ -32,16 +32,16 @@
     changed: Index,
 }
 
-/// An upstream that is gone.
+/// Record of a removed upstream.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-struct Gone {
-    /// The last of its starts that is known: a later one brings it back.
+struct Tombstone {
+    /// Its last known incarnation. Only a later one adds the upstream again.
     incarnation: Incarnation,
     index: Index,
 }
 
 impl Catalog {
-    /// Takes an entry of the log; whether it changed anything.
+    /// Applies a log entry and returns whether it changed the table.
     pub fn apply(&mut self, index: Index, action: &Action) -> bool {
         if !self.would_change(action) {
             return false;
@@ -50,22 +50,23 @@
             Action::Announce(change) => {
                 let id = change.announcement.upstream.clone();
                 self.gone.remove(&id);
-                if self.has_started(&change.announcement) {
-                    self.replace_at(&change.announcement, index);
+                if self.is_new_incarnation(&change.announcement) {
+                    self.remove_at_address_of(&change.announcement, index);
                 }
                 let entry = Entry { change: change.clone(), changed: index };
                 self.upstreams.insert(id, entry);
             }
             Action::Leave(id) => {
-                self.lose(id, index);
-                self.forget();
+                self.remove(id, index);
+                self.evict_tombstones();
             }
         }
         true
     }
 
-    /// Whether an action says anything that the table doesn't. Late announcements don't: one
-    /// of an upstream that is gone or draining would send it work that it can't finish.
+    /// Whether applying `action` would change the table. Late announcements would not: if one
+    /// of a removed or draining upstream did, the upstream would get requests that it can't
+    /// finish.
     pub fn would_change(&self, action: &Action) -> bool {
         match action {
             Action::Announce(change) => self.is_newer(change),
@@ -73,7 +74,7 @@
         }
     }
 
-    /// What changed after `base`.
+    /// Changes after the index `base`.
     pub fn since(&self, base: Index) -> Delta {
         let whole = base < self.floor;
         let changed = self.upstreams.values().filter(|entry| whole || entry.changed > base);
@@ -85,65 +86,68 @@
         }
     }
 
-    /// An upstream that is not gone.
+    /// Announcement of an upstream, unless it was removed.
     pub fn get(&self, id: &UpstreamId) -> Option<&Announcement> {
         self.upstreams.get(id).map(|entry| &entry.change.announcement)
     }
 
-    /// Upstreams that are not gone.
+    /// Announcements of all upstreams that were not removed.
     pub fn upstreams(&self) -> impl Iterator<Item = &Announcement> {
         self.upstreams.values().map(|entry| &entry.change.announcement)
     }
 
     fn is_newer(&self, change: &Change) -> bool {
-        let said = &change.announcement;
-        if let Some(gone) = self.gone.get(&said.upstream) {
-            return said.incarnation > gone.incarnation;
+        let announced = &change.announcement;
+        if let Some(gone) = self.gone.get(&announced.upstream) {
+            return announced.incarnation > gone.incarnation;
         }
-        let Some(known) = self.upstreams.get(&said.upstream) else { return true };
+        let Some(known) = self.upstreams.get(&announced.upstream) else { return true };
         let old = &known.change.announcement;
-        // Started again, it counts from the beginning and takes work, also where it drained.
-        if said.incarnation != old.incarnation {
-            return said.incarnation > old.incarnation;
+        // After a restart the upstream numbers its announcements from the beginning and takes
+        // requests, even if it was draining before.
+        if announced.incarnation != old.incarnation {
+            return announced.incarnation > old.incarnation;
         }
         if change.sequence <= known.change.sequence || old.state == State::Draining {
             return false;
         }
-        let same = Announcement { lease: old.lease, warm_up: old.warm_up, ..said.clone() } == *old;
-        !same
+        let is_unchanged =
+            Announcement { lease: old.lease, warm_up: old.warm_up, ..announced.clone() } == *old;
+        !is_unchanged
     }
 
-    /// Whether an upstream is new, or has started again.
-    fn has_started(&self, said: &Announcement) -> bool {
-        self.get(&said.upstream).is_none_or(|old| said.incarnation > old.incarnation)
+    /// Whether an upstream is new or has restarted.
+    fn is_new_incarnation(&self, announced: &Announcement) -> bool {
+        self.get(&announced.upstream).is_none_or(|old| announced.incarnation > old.incarnation)
     }
 
-    fn lose(&mut self, id: &UpstreamId, index: Index) {
-        let lost = self.upstreams.remove(id);
-        // Of one that was never known, a late first word must not bring it to life.
+    fn remove(&mut self, id: &UpstreamId, index: Index) {
+        let removed = self.upstreams.remove(id);
+        // If the upstream was never known, none of its announcements is accepted any more,
+        // because a late first one must not add it.
         let incarnation =
-            lost.map_or(Incarnation::MAX, |entry| entry.change.announcement.incarnation);
-        self.gone.insert(id.clone(), Gone { incarnation, index });
+            removed.map_or(Incarnation::MAX, |entry| entry.change.announcement.incarnation);
+        self.gone.insert(id.clone(), Tombstone { incarnation, index });
     }
 
-    /// Whoever was at the address of a new upstream is gone, also where it could not say so.
-    /// Without it, all that is sent there for the old one is turned away by the new one: half
-    /// of what reached one service on a day on which addresses were used again.
-    fn replace_at(&mut self, new: &Announcement, index: Index) {
-        let is_there = |entry: &Entry| {
+    /// Removes upstreams at the address of a new one, as they are gone even if they could not
+    /// report it. Otherwise the new upstream refuses every request that is sent there for the
+    /// old one; when addresses were reused, this affected half the requests of one service.
+    fn remove_at_address_of(&mut self, new: &Announcement, index: Index) {
+        let was_replaced = |entry: &Entry| {
             let old = &entry.change.announcement;
             old.address == new.address && old.upstream != new.upstream
         };
-        let old = self.upstreams.iter().filter(|(_, entry)| is_there(entry));
+        let old = self.upstreams.iter().filter(|(_, entry)| was_replaced(entry));
         let old: Vec<UpstreamId> = old.map(|(id, _)| id.clone()).collect();
         for id in old {
-            self.lose(&id, index);
+            self.remove(&id, index);
         }
-        self.forget();
+        self.evict_tombstones();
     }
 
-    fn forget(&mut self) {
-        while self.gone.len() > GONE_MAX {
+    fn evict_tombstones(&mut self) {
+        while self.gone.len() > MAX_TOMBSTONES {
             let oldest = self.gone.iter().min_by_key(|(_, gone)| gone.index);
             let Some((id, index)) = oldest.map(|(id, gone)| (id.clone(), gone.index)) else {
                 return;
--- a/tests/suite/catalog.rs
+++ b/tests/suite/catalog.rs
@@ -1,4 +1,4 @@
-//! The replicated table of upstreams.
+//! Tests of `hemlockfield::catalog`.
 
 use std::time::Duration;
 
@@ -29,14 +29,14 @@
 }
 
 fn ids(catalog: &Catalog) -> Vec<&str> {
-    catalog.upstreams().map(|said| said.upstream.as_str()).collect()
+    catalog.upstreams().map(|announcement| announcement.upstream.as_str()).collect()
 }
 
-// An upstream crashes and can't say that it is gone; its address goes to one of another
-// service. Callers of the first service must not be sent there: each would be turned away.
-// A late word of the crashed one does not bring it back, nor push the new one out.
+// An upstream crashes without reporting it, and an upstream of another service gets its
+// address. The first must be removed, since requests for its service would be refused there.
+// A late announcement of the first must neither add it again nor remove the second.
 #[test]
-fn apply_address_used_again() {
+fn apply_reused_address() {
     let mut catalog = Catalog::default();
     catalog.apply(1, &ready("i-1", "hull", "10.0.0.1:80", 1));
     assert!(catalog.apply(2, &ready("i-2", "cert", "10.0.0.1:80", 1)));
@@ -46,8 +46,8 @@
     assert_eq!(ids(&catalog), ["i-2"]);
 }
 
-// Announcements come out of order. An older one changes nothing, and an upstream that drains
-// does not take work again by a late word from before.
+// Announcements arrive out of order. An older one must change nothing, and a draining
+// upstream must not become ready again.
 #[test]
 fn apply_late_announcement() {
     let mut catalog = Catalog::default();
@@ -59,7 +59,7 @@
     assert_eq!(catalog.get(&"i-1".into()).unwrap().state, State::Draining);
 }
 
-// An upstream says that it is gone; a late announcement from before does not bring it back.
+// A late announcement must not add an upstream again that has left.
 #[test]
 fn apply_late_after_leave() {
     let mut catalog = Catalog::default();
@@ -69,7 +69,7 @@
     assert!(ids(&catalog).is_empty());
 }
 
-// An entry asks what changed since an index, and gets that alone.
+// An entry that asks for the changes since an index must get no others.
 #[test]
 fn since_changed() {
     let mut catalog = Catalog::default();
@@ -83,45 +83,47 @@
     assert!(catalog.since(3).is_empty());
 }
 
-/// The same announcement by another start of the upstream.
-fn started(incarnation: u64, change: Change) -> Action {
+/// The same announcement from the given incarnation of the upstream.
+fn announce_from(incarnation: u64, change: Change) -> Action {
     let announcement = Announcement { incarnation, ..change.announcement };
     Action::Announce(Change { announcement, ..change })
 }
 
-// An upstream crashes and starts again under the id that it had, at another address, and counts
-// its announcements from one. Callers must be sent to the new address: told from the numbers
-// alone it is late, and each request goes to where nobody is. A late word of the first start
-// changes nothing.
+// An upstream crashes, restarts with the same id at another address and numbers its
+// announcements from one. The new address must replace the old one: by sequence numbers alone
+// the announcement would be late, and requests would go to an unused address. A late
+// announcement of the first incarnation must change nothing.
 #[test]
-fn apply_started_again() {
+fn apply_restart() {
     let mut catalog = Catalog::default();
     let first = change("i-1", "hull", "10.0.0.1:80", 40, State::Ready);
-    catalog.apply(1, &started(1_000, first.clone()));
+    catalog.apply(1, &announce_from(1_000, first.clone()));
     let second = change("i-1", "hull", "10.0.0.2:80", 1, State::Ready);
-    assert!(catalog.apply(2, &started(2_000, second)));
+    assert!(catalog.apply(2, &announce_from(2_000, second)));
     assert_eq!(catalog.get(&"i-1".into()).unwrap().address, "10.0.0.2:80".parse().unwrap());
     let late = Change { sequence: 41, ..first };
-    assert!(!catalog.apply(3, &started(1_000, late)));
+    assert!(!catalog.apply(3, &announce_from(1_000, late)));
     assert_eq!(catalog.get(&"i-1".into()).unwrap().address, "10.0.0.2:80".parse().unwrap());
 }
 
-// An upstream leaves, or drains, and starts again under its id. It takes work again; what the
-// one before said last does not end it.
+// An upstream restarts with the same id after it drained or left. It must become ready again,
+// whatever the previous incarnation announced last.
 #[test]
-fn apply_started_again_after_leaving() {
+fn apply_restart_after_leave() {
     let mut catalog = Catalog::default();
     let first = change("i-1", "hull", "10.0.0.1:80", 9, State::Draining);
-    catalog.apply(1, &started(1_000, first.clone()));
+    catalog.apply(1, &announce_from(1_000, first.clone()));
     let second = change("i-1", "hull", "10.0.0.1:80", 1, State::Ready);
-    assert!(catalog.apply(2, &started(2_000, second)));
+    assert!(catalog.apply(2, &announce_from(2_000, second)));
     assert_eq!(catalog.get(&"i-1".into()).unwrap().state, State::Ready);
     catalog.apply(3, &Action::Leave("i-1".into()));
     assert!(
-        !catalog.apply(4, &started(2_000, change("i-1", "hull", "10.0.0.1:80", 5, State::Ready)))
+        !catalog
+            .apply(4, &announce_from(2_000, change("i-1", "hull", "10.0.0.1:80", 5, State::Ready)))
     );
     assert!(
-        catalog.apply(5, &started(3_000, change("i-1", "hull", "10.0.0.1:80", 1, State::Ready)))
+        catalog
+            .apply(5, &announce_from(3_000, change("i-1", "hull", "10.0.0.1:80", 1, State::Ready)))
     );
     assert_eq!(ids(&catalog), ["i-1"]);
     assert_eq!(catalog.since(3).gone, Vec::<&str>::new());
