--- a/src/team.rs
+++ b/src/team.rs
@@ -1,8 +1,8 @@
-//! Who asks: teams, their API keys, and how much each may ask.
+//! Teams, their API keys and their rate limits.
 //!
-//! A caller proves its team by a key. Keys are kept as digests, and looked up by digest: a
-//! process that is read out gives none away, and the time of a lookup tells nothing of how much
-//! of a guessed key is right. One lookup a request, however many keys there are.
+//! A caller proves by a key to which team it belongs. Keys are stored and looked up as digests,
+//! so that a memory dump reveals none and the time of a lookup does not depend on how much of
+//! a guessed key is right. Each request costs one lookup, however many keys there are.
 
 mod digest;
 mod limit;
--- a/src/team/digest.rs
+++ b/src/team/digest.rs
@@ -3,9 +3,9 @@
 
 use ring::digest;
 
-/// Bytes of a digest.
+/// Length of a digest in bytes.
 const LENGTH: usize = 32;
-/// Before the digits of a digest in a document.
+/// Prefix of a digest in a configuration document.
 const PREFIX: &str = "sha256:";
 
 /// SHA-256 of an API key.
@@ -13,7 +13,7 @@
 pub struct Digest([u8; LENGTH]);
 
 impl Digest {
-    /// That of a key.
+    /// Digest of a key.
     pub fn of(key: &str) -> Self {
         let digest = digest::digest(&digest::SHA256, key.as_bytes());
         let mut bytes = [0; LENGTH];
@@ -21,15 +21,15 @@
         Self(bytes)
     }
 
-    /// Reads `sha256:` and 64 hexadecimal digits; `None` where it is something else.
+    /// Parses `sha256:` followed by 64 hexadecimal digits; `None` for anything else.
     pub fn parse(text: &str) -> Option<Self> {
         let digits = text.strip_prefix(PREFIX)?;
         if digits.len() != LENGTH * 2 || !digits.bytes().all(|digit| digit.is_ascii_hexdigit()) {
             return None;
         }
         let mut bytes = [0; LENGTH];
-        for (place, byte) in bytes.iter_mut().enumerate() {
-            *byte = u8::from_str_radix(&digits[place * 2..place * 2 + 2], 16).ok()?;
+        for (index, byte) in bytes.iter_mut().enumerate() {
+            *byte = u8::from_str_radix(&digits[index * 2..index * 2 + 2], 16).ok()?;
         }
         Some(Self(bytes))
     }
--- a/src/team/limit.rs
+++ b/src/team/limit.rs
@@ -1,8 +1,8 @@
-/// How much a team may ask of all entries together.
+/// Rate limit of a team over all entries together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limit {
-    /// Requests beyond the rate that may come at once.
+    /// Requests that may arrive at once beyond the rate.
     pub burst: f64,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
 }
--- a/src/team/secret.rs
+++ b/src/team/secret.rs
@@ -5,17 +5,17 @@
 
 use super::Digest;
 
-/// An API key as a caller sent it. It shows itself nowhere: not in logs, and not in metrics.
+/// An API key as sent by a caller. Its `Debug` form hides the key from logs and metrics.
 #[derive(Clone, Eq, PartialEq)]
 pub struct Secret(CompactString);
 
 impl Secret {
-    /// A caller's key.
+    /// Wraps a key.
     pub fn new(text: &str) -> Self {
         Self(text.into())
     }
 
-    /// What it is looked up by.
+    /// Digest by which the key is looked up.
     pub fn digest(&self) -> Digest {
         Digest::of(&self.0)
     }
--- a/src/team/team.rs
+++ b/src/team/team.rs
@@ -3,13 +3,13 @@
 
 use super::Limit;
 
-/// A team, as a configuration describes it.
+/// A team as described by a configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Team {
-    /// Class of its requests, where that goes before the class that rules give them.
+    /// Class of its requests, which takes precedence over the class that rules assign.
     pub class: Option<ClassId>,
-    /// How much it may ask; unset: as much as it wants.
+    /// Rate limit; unlimited if unset.
     pub limit: Option<Limit>,
-    /// Its name.
+    /// Name of the team.
     pub name: TeamId,
 }
--- a/src/team/teams.rs
+++ b/src/team/teams.rs
@@ -8,34 +8,34 @@
 use crate::id::CallerId;
 use crate::id::TeamId;
 
-type Map<K> = HashMap<K, u32, Xxh3DefaultBuilder>;
+type Lookup<K> = HashMap<K, u32, Xxh3DefaultBuilder>;
 
-/// All teams of a configuration.
+/// All teams of a configuration, with their callers and keys.
 #[derive(Clone, Debug, Default)]
 pub struct Teams {
-    callers: Map<CallerId>,
-    keys: Map<Digest>,
+    callers: Lookup<CallerId>,
+    keys: Lookup<Digest>,
     teams: Vec<Team>,
 }
 
-/// Whose request it is, by the key that came with it.
+/// Sender of a request, as identified by its API key.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Requester<'a> {
-    /// This team's.
+    /// The team that the key belongs to.
     Known(&'a Team),
-    /// Nobody's: no key came, or none that counts.
+    /// No team: the request has no key, or an unknown one.
     Unknown,
 }
 
-/// A key or a caller that belongs to another team already.
+/// A key or a caller was added that belongs to another team.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Conflict {
-    /// The other team.
+    /// Team that it belongs to.
     pub by: TeamId,
 }
 
 impl Teams {
-    /// Adds a team, and says its number.
+    /// Adds a team and returns its number.
     pub fn add(&mut self, team: Team) -> u32 {
         self.teams.push(team);
         self.teams.len() as u32 - 1
@@ -45,45 +45,45 @@
     ///
     /// # Errors
     ///
-    /// Where it belongs to another one.
+    /// [`Conflict`] when the caller belongs to another team.
     pub fn add_caller(&mut self, team: u32, caller: CallerId) -> Result<(), Conflict> {
-        let before = self.callers.insert(caller, team);
-        self.check(team, before)
+        let previous = self.callers.insert(caller, team);
+        self.check_conflict(team, previous)
     }
 
     /// Adds a key to a team.
     ///
     /// # Errors
     ///
-    /// Where it belongs to another one.
+    /// [`Conflict`] when the key belongs to another team.
     pub fn add_key(&mut self, team: u32, key: Digest) -> Result<(), Conflict> {
-        let before = self.keys.insert(key, team);
-        self.check(team, before)
+        let previous = self.keys.insert(key, team);
+        self.check_conflict(team, previous)
     }
 
-    /// All of them, in the order of the configuration.
+    /// All teams, in the order of the configuration.
     pub fn all(&self) -> &[Team] {
         &self.teams
     }
 
-    /// Whether callers have to prove by a key who they are.
+    /// Whether any team has a key, so that callers have to present one.
     pub fn has_keys(&self) -> bool {
         !self.keys.is_empty()
     }
 
-    /// Whose request it is that came with this key.
+    /// Identifies the sender of a request by its key.
     pub fn identify(&self, key: Option<&Secret>) -> Requester<'_> {
         let known = key.and_then(|key| self.keys.get(&key.digest()));
         known.map_or(Requester::Unknown, |team| Requester::Known(&self.teams[*team as usize]))
     }
 
-    /// Team of a caller.
+    /// Team that a caller was added to.
     pub fn of_caller(&self, caller: &str) -> Option<&Team> {
         self.callers.get(caller).map(|team| &self.teams[*team as usize])
     }
 
-    fn check(&self, team: u32, before: Option<u32>) -> Result<(), Conflict> {
-        match before {
+    fn check_conflict(&self, team: u32, previous: Option<u32>) -> Result<(), Conflict> {
+        match previous {
             Some(other) if other != team => {
                 Err(Conflict { by: self.teams[other as usize].name.clone() })
             }
@@ -93,7 +93,7 @@
 }
 
 impl<'a> Requester<'a> {
-    /// The team, where it is known.
+    /// The team, if it is known.
     pub fn team(self) -> Option<&'a Team> {
         match self {
             Self::Known(team) => Some(team),
