--- a/src/node/core.rs
+++ b/src/node/core.rs
@@ -55,148 +55,147 @@
 use super::judges::Judges;
 use super::office;
 
-/// What a process is, and what it still knows, at its start.
+/// Identity of a process and the state it recovered at its start.
 #[derive(Debug)]
 pub struct Setup {
-    /// Controls of the settings.
+    /// Controls named in the settings.
     pub controls: Vec<NodeId>,
-    /// Version that the disk holds.
+    /// Configuration recovered from disk.
     pub kept: Option<Version>,
-    /// Itself, as it tells the others.
+    /// Record of this process that it announces to the fleet.
     pub me: fleet::Record,
-    /// Control's part, where the process has one.
+    /// State of the replicated log, on a control.
     pub office: Option<Office>,
-    /// Recording of the judges' inputs.
+    /// Records the inputs of the health monitors for replay.
     pub recorder: Recorder,
-    /// Processes to ask for membership.
+    /// Processes to join the fleet through.
     pub seeds: Vec<Seed>,
-    /// Seed of every random choice.
+    /// Seed of the random number generators.
     pub seed: u64,
 }
 
-/// What happens to a process.
+/// Input of a [`Core`].
 #[derive(Debug)]
 pub enum Input {
-    /// An upstream announced itself here.
+    /// An upstream announced itself to this entry.
     Announce(u64, registry::Announcement),
-    /// So many requests came from callers, and so many bytes went through.
+    /// Requests received from callers and bytes relayed since the last such input.
     Carried(u32, u64),
-    /// What an upstream says of itself to a control, for the log.
+    /// Announcement by an upstream to a control, to be replicated in the log.
     Catalog(u64, catalog::Action),
-    /// Change of the controls' membership.
+    /// Change of the quorum's membership.
     Change(u64, quorum::Change),
-    /// A request wants its claim by the moment given.
+    /// A request needs a claim on its idempotency key, by the deadline given.
     Claim(claim::Ticket, claim::Request, Moment),
-    /// What became of a granted claim; `None` where it is proved not to have run.
+    /// Outcome of a request whose claim was granted; `None` if it certainly did not run.
     ClaimEnd(claim::Ticket, Option<claim::Outcome>),
-    /// Leave the callers' lists.
+    /// Withdraw this entry from the lists given to callers.
     Drain,
-    /// A frame arrived.
+    /// A frame arrived from another process.
     Frame(NodeId, Frame),
-    /// A request to an upstream ended.
+    /// Result and latency of a request to an upstream.
     Outcome(ServiceId, UpstreamId, health::Kind, Duration),
-    /// Requests that wait unusually long.
+    /// Ages of the requests that an upstream has left unanswered for unusually long.
     Overdue(ServiceId, UpstreamId, Vec<Duration>),
-    /// An upstream's own report: draining, where it told, and healthy.
+    /// Result of a probe: whether the upstream is draining, `None` without an answer, and
+    /// whether it is healthy.
     Probed(ServiceId, UpstreamId, Option<bool>, bool),
-    /// This entry wants other parts of allowances.
+    /// Quota that this entry requests.
     Quota(u64, quota::Demand),
-    /// Somebody asks for the newest configuration.
+    /// Request for the newest configuration.
     Read(u64),
-    /// The seeds were exchanged.
+    /// The settings were reloaded with these seeds.
     Seeds(Vec<NodeId>),
-    /// The process ends: tell the others.
+    /// The process stops and announces that it leaves the fleet.
     Stop,
-    /// An operator's submission.
+    /// Configuration submitted by an operator.
     Submit(u64, Version),
-    /// Records up to this number are on disk.
+    /// Records up to this number are synced to disk.
     Synced(u64),
     /// Time has passed.
     Tick,
-    /// How a trial of an upstream ended.
+    /// Result of a trial request to an upstream.
     Tried {
-        /// Whether its request could be sent again elsewhere.
+        /// Whether the request may be sent to another upstream as well.
         is_repeatable: bool,
-        /// How it ended.
+        /// Result of the request.
         kind: health::Kind,
-        /// Until the answer, or until it was given up.
+        /// Time until the answer, or until the request was given up.
         latency: Duration,
-        /// Its service.
+        /// Service of the upstream.
         service: ServiceId,
-        /// The upstream.
+        /// Upstream under trial.
         upstream: UpstreamId,
     },
 }
 
-/// What a process does, in this order.
+/// Output of a [`Core`]. Outputs are carried out in the order returned.
 #[derive(Debug)]
 pub enum Output {
     /// Answer to an announcement.
     Announced(u64, Result<(), String>),
-    /// A configuration is in force here; to be kept on the disk.
+    /// Configuration now in force, to be stored on disk.
     Apply(Version),
-    /// Answer to a change of the controls' membership.
+    /// Answer to a change of the quorum's membership.
     Changed(u64, Result<u64, String>),
-    /// Answer to a claim.
+    /// Answer to a claim request.
     Claimed(claim::Ticket, Claimed),
-    /// Event for the time line; its stamp is yet to be set.
+    /// Event for the time line, without its stamp.
     Event(Event),
-    /// What this entry holds of allowances from now on.
+    /// Quota that this entry holds from now on.
     Granted(u64, quota::Grant),
-    /// Records to write and sync; then comes [`Input::Synced`].
+    /// Records to write and sync; answered by [`Input::Synced`].
     Persist(u64, Vec<Record>),
-    /// Upstream to be asked for its own report; then comes [`Input::Probed`].
+    /// Probe to send to an upstream; answered by [`Input::Probed`].
     Probe {
-        /// Where it takes requests.
+        /// Address of the upstream.
         address: SocketAddr,
-        /// Path of the report.
+        /// Path of the health report.
         path: CompactString,
-        /// Its service.
+        /// Service of the upstream.
         service: ServiceId,
-        /// The upstream.
+        /// Upstream to probe.
         upstream: UpstreamId,
     },
-    /// Frame to send, with the receiver's address where it is known.
-    /// The newest configuration; `None` where it can't be told which that is.
+    /// Answer to [`Input::Read`]; the outer `None` if the newest configuration can't be
+    /// determined, the inner one if there is no configuration.
     Read(u64, Option<Option<Version>>),
-    /// Message to another process, and its address where it is known.
+    /// Frame for another process, with its address if known.
     Send(NodeId, Option<SocketAddr>, Frame),
-    /// Answer to a submission.
+    /// Answer to a submitted configuration.
     Verdict(u64, Verdict),
 }
 
-/// All control state of a process.
+/// Control state of a process, as a state machine without IO.
 #[derive(Debug)]
 pub struct Core {
     agent: Agent,
-    /// Ticket of the announcement being taken.
-    announcing: Option<u64>,
-    /// Services where an upstream stays in use only because of the floor.
+    /// Ticket of the announcement that the registry is handling.
+    pending_announcement: Option<u64>,
     clerk: Clerk,
     controls: Vec<NodeId>,
-    dirty: bool,
+    is_view_stale: bool,
     holder: Holder,
-    /// Whether the slices know who there is.
-    introduced: bool,
+    has_published_members: bool,
     judges: Judges,
-    leaving: bool,
+    is_leaving: bool,
     me: fleet::Record,
     member: Member,
     office: Option<Office>,
-    /// When this process last asked an upstream for its own report.
+    /// Time of the last probe of each upstream.
     probed_at: BTreeMap<UpstreamId, Moment>,
     registry: Registry,
     rules: Option<Arc<Rules>>,
-    /// When evidence on the upstreams of a service was last sent to others.
-    shared_at: BTreeMap<ServiceId, Moment>,
-    /// Why control stopped here, if it did.
-    stopped: Option<String>,
-    version: u64,
-    wall: Epoch,
+    /// Time at which evidence on a service was last sent to the neighbours.
+    digest_sent_at: BTreeMap<ServiceId, Moment>,
+    /// Reason why the replicated log stopped on this control.
+    stop_reason: Option<String>,
+    view_version: u64,
+    wall_clock: Epoch,
 }
 
 impl Core {
-    /// A process that starts at `now`.
+    /// Creates the state of a process that starts at `now`.
     pub fn new(now: Moment, setup: Setup) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(setup.seed);
         let mut draw = || ChaCha8Rng::seed_from_u64(random.next_u64());
@@ -208,83 +207,83 @@
         let judges = Judges::new(now, me.id.clone(), setup.recorder, draw());
         let mut core = Self {
             agent: Agent::new(now, me.id.clone(), me.incarnation),
-            announcing: None,
+            pending_announcement: None,
             clerk: Clerk::default(),
             controls: setup.controls,
-            dirty: true,
+            is_view_stale: true,
             holder,
-            introduced: false,
+            has_published_members: false,
             judges,
-            leaving: false,
+            is_leaving: false,
             me,
             member,
             office: setup.office,
             probed_at: BTreeMap::new(),
             registry,
             rules: None,
-            shared_at: BTreeMap::new(),
-            stopped: None,
-            version: 0,
-            wall: Epoch::ZERO,
+            digest_sent_at: BTreeMap::new(),
+            stop_reason: None,
+            view_version: 0,
+            wall_clock: Epoch::ZERO,
         };
         if let Some(version) = core.holder.current().cloned() {
-            core.resume(now, &version);
+            core.restore(now, &version);
         }
         core
     }
 
-    /// Takes one input; `wall` is the wall clock, for what outlives the process.
+    /// Handles one input. `wall` is the wall clock, which stamps state that outlives the process.
     pub fn handle(&mut self, now: Moment, wall: Epoch, input: Input) -> Vec<Output> {
-        self.wall = wall;
+        self.wall_clock = wall;
         let mut outputs = Vec::new();
         match input {
             Input::Announce(ticket, announcement) => {
-                self.announce(now, ticket, announcement, &mut outputs);
+                self.handle_announcement(now, ticket, announcement, &mut outputs);
             }
             Input::Catalog(ticket, _) => {
                 let text = "upstreams announce themselves to entries here".to_owned();
                 outputs.push(Output::Announced(ticket, Err(text)));
             }
-            Input::Change(ticket, change) => self.change(now, ticket, change, &mut outputs),
+            Input::Change(ticket, change) => self.change_members(now, ticket, change, &mut outputs),
             Input::Claim(ticket, request, deadline) => {
                 let input = claim::Input::Begin { deadline, request, ticket };
-                self.tell_agent(now, input, &mut outputs);
+                self.step_agent(now, input, &mut outputs);
             }
             Input::ClaimEnd(ticket, outcome) => self.end_claim(now, ticket, outcome, &mut outputs),
             Input::Drain => self.drain(now, &mut outputs),
             Input::Frame(from, frame) => self.receive(now, from, frame, &mut outputs),
             Input::Outcome(service, upstream, kind, latency)
             | Input::Tried { kind, latency, service, upstream, .. } => {
-                self.outcome(now, service, upstream, kind, latency, &mut outputs);
+                self.handle_outcome(now, service, upstream, kind, latency, &mut outputs);
             }
             Input::Overdue(service, upstream, ages) => {
                 let input = health::Input::Pending { ages, upstream };
-                self.tell_judge(now, &service, input, &mut outputs);
+                self.step_monitor(now, &service, input, &mut outputs);
             }
             Input::Probed(service, upstream, draining, healthy) => {
-                self.probed(now, service, upstream, draining, healthy, &mut outputs);
+                self.handle_probe(now, service, upstream, draining, healthy, &mut outputs);
             }
             Input::Quota(ticket, ask) => {
                 let order = Order::Quota(ask);
                 let done = self.clerk.ask(now, ticket, order, quota::Limiter::RESEND_INTERVAL);
-                self.carry_out(now, done, &mut outputs);
+                self.handle_clerk_outputs(now, done, &mut outputs);
             }
             Input::Read(ticket) => outputs.push(Output::Read(ticket, None)),
             Input::Carried(..) | Input::Seeds(_) => (),
-            Input::Stop => self.tell_member(now, fleet::Input::Leave, &mut outputs),
+            Input::Stop => self.step_member(now, fleet::Input::Leave, &mut outputs),
             Input::Submit(ticket, version) => {
                 let done = self.clerk.submit(now, ticket, version);
-                self.carry_out(now, done, &mut outputs);
+                self.handle_clerk_outputs(now, done, &mut outputs);
             }
             Input::Synced(number) => {
-                self.tell_office(now, office::Input::Synced(number), &mut outputs);
+                self.step_office(now, office::Input::Synced(number), &mut outputs);
             }
             Input::Tick => self.tick(now, &mut outputs),
         }
         outputs
     }
 
-    /// When the next [`Input::Tick`] is due, at the latest.
+    /// Latest time for the next [`Input::Tick`].
     pub fn wake(&self) -> Moment {
         let mut wake = self.holder.next_at();
         if let Some(at) = self.agent.next_at() {
@@ -296,98 +295,98 @@
         wake
     }
 
-    /// What is in force here.
+    /// Configuration in force.
     pub fn version(&self) -> Option<&Version> {
         self.holder.current()
     }
 
-    /// What this process may do with callers.
+    /// Whether this process may serve callers.
     pub fn standing(&self) -> Standing {
         self.holder.standing()
     }
 
-    /// Claims that control has not confirmed yet, beside the note of this start.
+    /// Claims that control has not confirmed yet, without the one that stands for this start.
     pub fn open_claims(&self) -> usize {
         self.agent.pending()
     }
 
-    /// Processes that this one holds links to.
+    /// Processes to keep links open to.
     pub fn neighbours(&self) -> Vec<NodeId> {
         self.member.neighbours().iter().cloned().collect()
     }
 
-    /// Membership as this process sees it.
+    /// Membership of the fleet, as known here.
     pub fn member(&self) -> &Member {
         &self.member
     }
 
-    /// Announced upstreams as this process sees them.
+    /// Announced upstreams, as known here.
     pub fn registry(&self) -> &Registry {
         &self.registry
     }
 
-    /// Control's part.
+    /// State of the replicated log, on a control.
     pub fn office(&self) -> Option<&Office> {
         self.office.as_ref()
     }
 
-    /// Verdicts on the upstreams of each service.
+    /// Health monitor of each service.
     pub fn judges(&self) -> impl Iterator<Item = (&ServiceId, &health::Monitor)> {
         self.judges.iter()
     }
 
     fn tick(&mut self, now: Moment, outputs: &mut Vec<Output>) {
-        if !self.introduced {
-            // A process that never meets another one still knows itself, and its controls.
-            self.introduced = true;
-            self.members_moved(now, outputs);
+        if !self.has_published_members {
+            // A process that reaches no other still has itself and its settings' controls.
+            self.has_published_members = true;
+            self.publish_members(now, outputs);
         }
-        self.tell_member(now, fleet::Input::Tick, outputs);
-        self.tell_office(now, office::Input::Tick, outputs);
-        self.tell_holder(now, config::Input::Tick, outputs);
-        self.tell_agent(now, claim::Input::Tick, outputs);
+        self.step_member(now, fleet::Input::Tick, outputs);
+        self.step_office(now, office::Input::Tick, outputs);
+        self.step_holder(now, config::Input::Tick, outputs);
+        self.step_agent(now, claim::Input::Tick, outputs);
         self.tick_registry(now, outputs);
-        self.probe_own(now, outputs);
-        self.tick_judges(now, outputs);
+        self.probe_homed_upstreams(now, outputs);
+        self.tick_monitors(now, outputs);
         let done = self.clerk.tick(now);
-        self.carry_out(now, done, outputs);
+        self.handle_clerk_outputs(now, done, outputs);
     }
 
     fn receive(&mut self, now: Moment, from: NodeId, frame: Frame, outputs: &mut Vec<Output>) {
         match frame {
-            Frame::Claim(message) => self.claim_message(now, from, message, outputs),
+            Frame::Claim(message) => self.receive_claim(now, from, message, outputs),
             Frame::Config(message) => {
-                self.tell_holder(now, config::Input::Receive { from, message }, outputs);
+                self.step_holder(now, config::Input::Receive { from, message }, outputs);
             }
             Frame::Order { ticket, order: Order::Quota(ask) } => {
-                self.tell_office(now, office::Input::Quota(from, ticket, ask), outputs);
+                self.step_office(now, office::Input::Quota(from, ticket, ask), outputs);
             }
             Frame::Feed(_) | Frame::Order { .. } => {
-                tracing::warn!(target: "hemlockfield::link", peer = %from, "frame of another kind of fleet");
+                tracing::warn!(target: "hemlockfield::link", peer = %from, "frame kind is not used here");
             }
             Frame::Fleet(message) => {
-                self.tell_member(now, fleet::Input::Receive { from, message }, outputs);
+                self.step_member(now, fleet::Input::Receive { from, message }, outputs);
             }
             Frame::Health { digest, service } => {
-                self.tell_judge(now, &service, health::Input::Digest(digest), outputs);
+                self.step_monitor(now, &service, health::Input::Digest(digest), outputs);
             }
             Frame::Quorum(message) => {
-                self.tell_office(now, office::Input::Receive(from, message), outputs);
+                self.step_office(now, office::Input::Receive(from, message), outputs);
             }
             Frame::Registry(message) => {
-                self.tell_registry(now, registry::Input::Receive { from, message }, outputs);
+                self.step_registry(now, registry::Input::Receive { from, message }, outputs);
             }
             Frame::Submit { ticket, version } => {
-                self.tell_office(now, office::Input::Submit(from, ticket, version), outputs);
+                self.step_office(now, office::Input::Submit(from, ticket, version), outputs);
             }
             Frame::Verdict { ticket, verdict } => {
                 let done = self.clerk.verdict(now, ticket, verdict);
-                self.carry_out(now, done, outputs);
+                self.handle_clerk_outputs(now, done, outputs);
             }
         }
     }
 
-    /// Sends a frame; one to this process itself is taken at once.
+    /// Sends a frame; one addressed to this process is handled at once.
     fn send(&mut self, now: Moment, to: NodeId, frame: Frame, outputs: &mut Vec<Output>) {
         if to == self.me.id {
             self.receive(now, to, frame, outputs);
@@ -397,12 +396,12 @@
         outputs.push(Output::Send(to, address, frame));
     }
 
-    fn event(&self, kind: Kind) -> Event {
+    fn new_event(&self, kind: Kind) -> Event {
         Event::new(Stamp::default(), self.me.id.clone(), kind)
     }
 
-    /// Entries that callers may be told of.
-    fn entries(&self) -> Vec<directory::Entry> {
+    /// Entries that may be listed to callers.
+    fn directory_entries(&self) -> Vec<directory::Entry> {
         directory::Entry::all(&self.member)
     }
 }
--- a/src/node/core/claims.rs
+++ b/src/node/core/claims.rs
@@ -8,7 +8,7 @@
 use crate::wire::Frame;
 
 impl Core {
-    pub(super) fn tell_agent(
+    pub(super) fn step_agent(
         &mut self,
         now: Moment,
         input: claim::Input,
@@ -43,10 +43,10 @@
             Some(outcome) => claim::Input::Finish { outcome, ticket },
             None => claim::Input::Abandon(ticket),
         };
-        self.tell_agent(now, input, outputs);
+        self.step_agent(now, input, outputs);
     }
 
-    pub(super) fn claim_message(
+    pub(super) fn receive_claim(
         &mut self,
         now: Moment,
         from: NodeId,
@@ -55,9 +55,9 @@
     ) {
         match message {
             claim::Message::Submit(actions) => {
-                self.tell_office(now, office::Input::Claims(from, actions), outputs);
+                self.step_office(now, office::Input::Claims(from, actions), outputs);
             }
-            message => self.tell_agent(now, claim::Input::Receive { from, message }, outputs),
+            message => self.step_agent(now, claim::Input::Receive { from, message }, outputs),
         }
     }
 }
--- a/src/node/core/configuration.rs
+++ b/src/node/core/configuration.rs
@@ -15,46 +15,46 @@
 use crate::wire::Verdict;
 
 impl Core {
-    pub(super) fn tell_office(
+    pub(super) fn step_office(
         &mut self,
         now: Moment,
         input: office::Input,
         outputs: &mut Vec<Output>,
     ) {
         let Some(office) = &mut self.office else { return };
-        for output in office.handle(now, self.wall, input) {
+        for output in office.handle(now, self.wall_clock, input) {
             match output {
                 office::Output::Changed(ticket, result) => {
                     outputs.push(Output::Changed(ticket, result));
                 }
                 office::Output::Committed(version) => {
                     let number = version.number;
-                    let event = self.event(Kind::ConfigurationAccepted).configuration(number);
+                    let event = self.new_event(Kind::ConfigurationAccepted).configuration(number);
                     outputs.push(Output::Event(event));
-                    self.tell_holder(now, config::Input::Committed(version), outputs);
+                    self.step_holder(now, config::Input::Committed(version), outputs);
                 }
                 office::Output::Installed | office::Output::Upstream(_) => {
                     tracing::warn!(
                         target: "hemlockfield::registry",
-                        "the log speaks of upstreams, which announce themselves to entries here"
+                        "ignored an upstream in the log: upstreams announce themselves to entries here"
                     );
                 }
                 office::Output::Leads(leads) => {
-                    self.tell_holder(now, config::Input::Leads(leads), outputs);
+                    self.step_holder(now, config::Input::Leads(leads), outputs);
                 }
                 office::Output::Persist(number, records) => {
                     outputs.push(Output::Persist(number, records));
                 }
                 office::Output::Send(to, frame) => self.send(now, to, *frame, outputs),
                 office::Output::Term(role, term) => {
-                    let event = self.event(Kind::Election).term(term);
+                    let event = self.new_event(Kind::Election).term(term);
                     outputs.push(Output::Event(event.detail("role", format!("{role:?}"))));
                 }
             }
         }
     }
 
-    pub(super) fn change(
+    pub(super) fn change_members(
         &mut self,
         now: Moment,
         ticket: u64,
@@ -66,10 +66,10 @@
             outputs.push(Output::Changed(ticket, Err(text)));
             return;
         }
-        self.tell_office(now, office::Input::Change(ticket, change), outputs);
+        self.step_office(now, office::Input::Change(ticket, change), outputs);
     }
 
-    pub(super) fn tell_holder(
+    pub(super) fn step_holder(
         &mut self,
         now: Moment,
         input: config::Input,
@@ -82,54 +82,58 @@
                     self.send(now, to, Frame::Config(message), outputs);
                 }
                 config::Output::Stand(standing) => {
-                    self.dirty = true;
-                    self.describe(now, outputs);
-                    let event = self.event(Kind::Other("standing".into()));
+                    self.is_view_stale = true;
+                    self.announce_own_state(now, outputs);
+                    let event = self.new_event(Kind::Other("standing".into()));
                     outputs.push(Output::Event(event.detail("is", format!("{standing:?}"))));
                 }
             }
         }
     }
 
-    /// Puts a version in force here. It was checked before it was proposed; one that
-    /// this build can't read leaves the rules as they are and is told in the log.
+    /// Puts a configuration in force. It was validated before it was proposed; if this build
+    /// can't parse it, the rules stay as they are and an error is logged.
     ///
-    /// The others are told that this process serves, if it does now: an entry that was
-    /// confirmed before the first configuration came would else stay off the callers'
-    /// lists, and be home of no upstream, until its next restart.
+    /// Announces to the fleet if this process can serve now. Otherwise an entry that was
+    /// confirmed before the first configuration arrived would stay off the callers' lists,
+    /// and be home of no upstream, until its next restart.
     fn apply(&mut self, now: Moment, version: Version, outputs: &mut Vec<Output>) {
-        let event = self.event(Kind::ConfigurationApplied).configuration(version.number);
+        let event = self.new_event(Kind::ConfigurationApplied).configuration(version.number);
         outputs.push(Output::Event(event));
-        self.take_rules(&version);
-        self.describe(now, outputs);
-        self.tell_member(now, fleet::Input::Configuration(version.number), outputs);
-        self.set_judges(now, outputs);
-        self.describe(now, outputs);
+        self.load_rules(&version);
+        self.announce_own_state(now, outputs);
+        self.step_member(now, fleet::Input::Configuration(version.number), outputs);
+        self.update_monitors(now, outputs);
+        self.announce_own_state(now, outputs);
         outputs.push(Output::Apply(version));
     }
 
-    /// Goes on by the version that the disk holds. Without the judges, a restarted entry
-    /// would pick failing upstreams until the next change of configuration, perhaps for
-    /// hours. There is nobody to tell of anything yet, so that outputs are left out.
-    pub(super) fn resume(&mut self, now: Moment, version: &Version) {
-        let mut unheard = Vec::new();
-        self.take_rules(version);
-        self.tell_member(now, fleet::Input::Configuration(version.number), &mut unheard);
-        self.set_judges(now, &mut unheard);
+    /// Restores the configuration recovered from disk. Creates the health monitors as well:
+    /// without them a restarted entry would pick failing upstreams until the next change of
+    /// configuration, possibly for hours. Outputs are dropped, as there is no peer yet.
+    pub(super) fn restore(&mut self, now: Moment, version: &Version) {
+        let mut dropped = Vec::new();
+        self.load_rules(version);
+        self.step_member(now, fleet::Input::Configuration(version.number), &mut dropped);
+        self.update_monitors(now, &mut dropped);
     }
 
-    fn take_rules(&mut self, version: &Version) {
+    fn load_rules(&mut self, version: &Version) {
         match Rules::parse(&version.document) {
             Ok(rules) => self.rules = Some(Arc::new(rules)),
             Err(error) => {
                 let number = version.number;
-                tracing::error!(target: "hemlockfield::config", number, "can't be read: {error}");
+                tracing::error!(
+                    target: "hemlockfield::config",
+                    number,
+                    "configuration can't be parsed: {error}"
+                );
             }
         }
-        self.dirty = true;
+        self.is_view_stale = true;
     }
 
-    pub(super) fn carry_out(
+    pub(super) fn handle_clerk_outputs(
         &mut self,
         now: Moment,
         done: Vec<clerk::Output>,
--- a/src/node/core/machine.rs
+++ b/src/node/core/machine.rs
@@ -1,4 +1,4 @@
-//! The core as the driver sees it.
+//! Implements the interface of the control thread.
 
 use crate::clock::Epoch;
 use crate::clock::Moment;
--- a/src/node/core/membership.rs
+++ b/src/node/core/membership.rs
@@ -11,7 +11,7 @@
 use crate::wire::Frame;
 
 impl Core {
-    pub(super) fn tell_member(
+    pub(super) fn step_member(
         &mut self,
         now: Moment,
         input: fleet::Input,
@@ -30,27 +30,27 @@
                 fleet::Output::Left(id) => (Kind::MemberLeft, id),
                 fleet::Output::Suspected(id) => (Kind::MemberSuspected, id),
             };
-            // Also on suspicion: a home that is suspected vouches for no upstream.
+            // A suspicion counts too: a suspected home can't confirm its upstreams.
             moved = true;
-            outputs.push(Output::Event(self.event(kind).peer(id)));
+            outputs.push(Output::Event(self.new_event(kind).peer(id)));
         }
         if moved {
-            self.members_moved(now, outputs);
+            self.publish_members(now, outputs);
         }
     }
 
-    /// Tells the other slices who there is.
-    pub(super) fn members_moved(&mut self, now: Moment, outputs: &mut Vec<Output>) {
-        self.dirty = true;
+    /// Passes the members to the parts of the state that depend on them.
+    pub(super) fn publish_members(&mut self, now: Moment, outputs: &mut Vec<Output>) {
+        self.is_view_stale = true;
         let controls = self.all_controls();
         self.clerk.set_controls(controls.clone());
-        self.tell_agent(now, claim::Input::Controls(controls.clone()), outputs);
+        self.step_agent(now, claim::Input::Controls(controls.clone()), outputs);
         let peers = self.config_peers(&controls);
-        self.tell_holder(now, config::Input::Peers(peers), outputs);
-        self.tell_entries(now, outputs);
+        self.step_holder(now, config::Input::Peers(peers), outputs);
+        self.publish_entries(now, outputs);
     }
 
-    /// Controls of the settings, and those that membership knows of.
+    /// Controls named in the settings and those among the members.
     fn all_controls(&self) -> Vec<NodeId> {
         let mut controls = self.controls.clone();
         for (record, status) in self.member.members() {
@@ -78,21 +78,21 @@
     }
 
     pub(super) fn drain(&mut self, now: Moment, outputs: &mut Vec<Output>) {
-        self.leaving = true;
-        self.describe(now, outputs);
+        self.is_leaving = true;
+        self.announce_own_state(now, outputs);
     }
 
-    /// Tells the others what this process does with callers.
-    pub(super) fn describe(&mut self, now: Moment, outputs: &mut Vec<Output>) {
+    /// Announces to the fleet whether this process serves callers.
+    pub(super) fn announce_own_state(&mut self, now: Moment, outputs: &mut Vec<Output>) {
         let state = match self.holder.standing() {
-            _ if self.leaving => fleet::State::Leaving,
+            _ if self.is_leaving => fleet::State::Leaving,
             standing if standing.serves() && self.rules.is_some() => fleet::State::Serving,
             _ => fleet::State::Starting,
         };
         let mut meta = self.member.me().meta.clone();
         if meta.state != state {
             meta.state = state;
-            self.tell_member(now, fleet::Input::Update(meta), outputs);
+            self.step_member(now, fleet::Input::Update(meta), outputs);
         }
     }
 }
--- a/src/node/core/quality.rs
+++ b/src/node/core/quality.rs
@@ -1,4 +1,4 @@
-//! Health of upstreams: outcomes, evidence of others, verdicts.
+//! Health of upstreams: request outcomes, probes and evidence exchanged with other entries.
 
 use std::time::Duration;
 
@@ -12,11 +12,11 @@
 use crate::registry;
 use crate::wire::Frame;
 
-/// Pause between two tellings of one service's evidence to the neighbours.
-const SHARE_PERIOD: Duration = Duration::from_millis(500);
+/// Minimum time between two digests of one service to the neighbours.
+const SHARE_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Core {
-    pub(super) fn outcome(
+    pub(super) fn handle_outcome(
         &mut self,
         now: Moment,
         service: ServiceId,
@@ -26,10 +26,10 @@
         outputs: &mut Vec<Output>,
     ) {
         let input = health::Input::Outcome { kind, latency, upstream };
-        self.tell_judge(now, &service, input, outputs);
+        self.step_monitor(now, &service, input, outputs);
     }
 
-    pub(super) fn probed(
+    pub(super) fn handle_probe(
         &mut self,
         now: Moment,
         service: ServiceId,
@@ -42,55 +42,60 @@
             let incarnation = None;
             let input =
                 registry::Input::Answered { draining, incarnation, upstream: upstream.clone() };
-            self.tell_registry(now, input, outputs);
+            self.step_registry(now, input, outputs);
         }
         let input = health::Input::Report { healthy, upstream };
-        self.tell_judge(now, &service, input, outputs);
+        self.step_monitor(now, &service, input, outputs);
     }
 
-    pub(super) fn tell_judge(
+    pub(super) fn step_monitor(
         &mut self,
         now: Moment,
         service: &ServiceId,
         input: health::Input,
         outputs: &mut Vec<Output>,
     ) {
-        let told = self.judges.tell(now, service, input);
-        self.judged(now, told, outputs);
+        let monitor_outputs = self.judges.tell(now, service, input);
+        self.handle_monitor_outputs(now, monitor_outputs, outputs);
     }
 
-    pub(super) fn tick_judges(&mut self, now: Moment, outputs: &mut Vec<Output>) {
-        let told = self.judges.tick(now);
-        self.judged(now, told, outputs);
+    pub(super) fn tick_monitors(&mut self, now: Moment, outputs: &mut Vec<Output>) {
+        let monitor_outputs = self.judges.tick(now);
+        self.handle_monitor_outputs(now, monitor_outputs, outputs);
     }
 
-    /// Gives each service of the rules a judge, with what the rules say of it.
-    pub(super) fn set_judges(&mut self, now: Moment, outputs: &mut Vec<Output>) {
+    /// Updates the health monitors to the services of the rules.
+    pub(super) fn update_monitors(&mut self, now: Moment, outputs: &mut Vec<Output>) {
         let Some(rules) = self.rules.clone() else { return };
-        let (fresh, told) = self.judges.set_rules(now, &rules);
-        self.judged(now, told, outputs);
+        let (fresh, monitor_outputs) = self.judges.set_rules(now, &rules);
+        self.handle_monitor_outputs(now, monitor_outputs, outputs);
         for service in fresh {
-            self.introduce(now, &service, outputs);
+            self.add_known_upstreams(now, &service, outputs);
         }
     }
 
-    pub(super) fn judged(&mut self, now: Moment, told: Vec<Told>, outputs: &mut Vec<Output>) {
-        for told in told {
-            match told {
+    pub(super) fn handle_monitor_outputs(
+        &mut self,
+        now: Moment,
+        monitor_outputs: Vec<Told>,
+        outputs: &mut Vec<Output>,
+    ) {
+        for output in monitor_outputs {
+            match output {
                 Told::Event(event) => {
-                    self.dirty = true;
+                    self.is_view_stale = true;
                     outputs.push(Output::Event(event));
                 }
-                Told::Share(service, digest) => self.share(now, &service, &digest, outputs),
+                Told::Share(service, digest) => self.share_digest(now, &service, &digest, outputs),
                 Told::Tell(service, digest, upstream) => {
-                    self.tell_home(now, service, digest, &upstream, outputs);
+                    self.send_to_home(now, service, digest, &upstream, outputs);
                 }
             }
         }
     }
 
-    /// Little evidence goes to the upstream's home only, which adds up that of all.
-    fn tell_home(
+    /// Sends weak evidence to the upstream's home, which adds up that of all entries.
+    fn send_to_home(
         &mut self,
         now: Moment,
         service: ServiceId,
@@ -104,18 +109,18 @@
         }
     }
 
-    fn share(
+    fn share_digest(
         &mut self,
         now: Moment,
         service: &ServiceId,
         digest: &health::Digest,
         outputs: &mut Vec<Output>,
     ) {
-        let last = self.shared_at.get(service).copied();
-        if last.is_some_and(|last| now < last + SHARE_PERIOD) {
+        let last = self.digest_sent_at.get(service).copied();
+        if last.is_some_and(|last| now < last + SHARE_INTERVAL) {
             return;
         }
-        self.shared_at.insert(service.clone(), now);
+        self.digest_sent_at.insert(service.clone(), now);
         for neighbour in self.neighbours() {
             let frame = Frame::Health { digest: digest.clone(), service: service.clone() };
             self.send(now, neighbour, frame, outputs);
--- a/src/node/core/upstreams.rs
+++ b/src/node/core/upstreams.rs
@@ -14,22 +14,22 @@
 use crate::wire::Frame;
 
 impl Core {
-    pub(super) fn announce(
+    pub(super) fn handle_announcement(
         &mut self,
         now: Moment,
         ticket: u64,
         announcement: Announcement,
         outputs: &mut Vec<Output>,
     ) {
-        self.announcing = Some(ticket);
-        self.tell_registry(now, registry::Input::Announce(announcement), outputs);
-        if let Some(ticket) = self.announcing.take() {
+        self.pending_announcement = Some(ticket);
+        self.step_registry(now, registry::Input::Announce(announcement), outputs);
+        if let Some(ticket) = self.pending_announcement.take() {
             let text = "the announcement was not taken; send it again".to_owned();
             outputs.push(Output::Announced(ticket, Err(text)));
         }
     }
 
-    pub(super) fn tell_registry(
+    pub(super) fn step_registry(
         &mut self,
         now: Moment,
         input: registry::Input,
@@ -38,7 +38,7 @@
         for output in self.registry.handle(now, input) {
             match output {
                 registry::Output::Accepted { .. } => {
-                    let ticket = self.announcing.take();
+                    let ticket = self.pending_announcement.take();
                     outputs.extend(ticket.map(|ticket| Output::Announced(ticket, Ok(()))));
                 }
                 registry::Output::Changed { incarnation, state, upstream } => {
@@ -48,21 +48,21 @@
                         State::Draining => Kind::UpstreamDraining,
                         State::Gone => Kind::UpstreamExpired,
                     };
-                    let event = self.event(kind).upstream(upstream).incarnation(incarnation);
+                    let event = self.new_event(kind).upstream(upstream).incarnation(incarnation);
                     outputs.push(Output::Event(event));
                 }
                 registry::Output::Moved(upstream) => {
-                    let event = self.event(Kind::UpstreamMoved).upstream(upstream);
+                    let event = self.new_event(Kind::UpstreamMoved).upstream(upstream);
                     outputs.push(Output::Event(event));
                 }
                 registry::Output::Probe { address, upstream } => {
-                    let Some((service, path)) = self.probe_of(&upstream) else { continue };
+                    let Some((service, path)) = self.probe_target(&upstream) else { continue };
                     outputs.push(Output::Probe { address, path, service, upstream });
                 }
                 registry::Output::Refused { refusal, .. } => {
-                    let ticket = self.announcing.take();
-                    let told = Err(refusal.to_string());
-                    outputs.extend(ticket.map(|ticket| Output::Announced(ticket, told)));
+                    let ticket = self.pending_announcement.take();
+                    let result = Err(refusal.to_string());
+                    outputs.extend(ticket.map(|ticket| Output::Announced(ticket, result)));
                 }
                 registry::Output::Send { to, message } => {
                     self.send(now, to, Frame::Registry(message), outputs);
@@ -71,19 +71,19 @@
         }
     }
 
-    /// Tells the registry who there is.
-    pub(super) fn tell_entries(&mut self, now: Moment, outputs: &mut Vec<Output>) {
+    /// Passes the entries of the fleet to the registry.
+    pub(super) fn publish_entries(&mut self, now: Moment, outputs: &mut Vec<Output>) {
         let entries = registry::Entry::all(&self.member);
-        self.tell_registry(now, registry::Input::Entries(entries), outputs);
+        self.step_registry(now, registry::Input::Entries(entries), outputs);
     }
 
     pub(super) fn tick_registry(&mut self, now: Moment, outputs: &mut Vec<Output>) {
         let in_touch = self.member.in_touch(now);
-        self.tell_registry(now, registry::Input::Tick { in_touch }, outputs);
+        self.step_registry(now, registry::Input::Tick { in_touch }, outputs);
     }
 
-    /// Asks the upstreams that this process is home of for their own report.
-    pub(super) fn probe_own(&mut self, now: Moment, outputs: &mut Vec<Output>) {
+    /// Probes the upstreams that this process is home of, each at its service's interval.
+    pub(super) fn probe_homed_upstreams(&mut self, now: Moment, outputs: &mut Vec<Output>) {
         let own: Vec<UpstreamId> = self
             .registry
             .view()
@@ -93,9 +93,9 @@
         let wanted: BTreeSet<&UpstreamId> = own.iter().collect();
         self.probed_at.retain(|upstream, _| wanted.contains(upstream));
         for upstream in own {
-            let Some((service, path)) = self.probe_of(&upstream) else { continue };
+            let Some((service, path)) = self.probe_target(&upstream) else { continue };
             let Some(found) = self.registry.get(&upstream) else { continue };
-            let interval = self.interval_of(&service);
+            let interval = self.probe_interval(&service);
             let last = self.probed_at.get(&upstream).copied();
             if last.is_some_and(|last| now < last + interval) {
                 continue;
@@ -106,42 +106,45 @@
         }
     }
 
-    fn probe_of(&self, upstream: &UpstreamId) -> Option<(ServiceId, compact_str::CompactString)> {
+    fn probe_target(
+        &self,
+        upstream: &UpstreamId,
+    ) -> Option<(ServiceId, compact_str::CompactString)> {
         let service = self.registry.get(upstream)?.announcement.service.clone();
         let rules = self.rules.as_ref()?;
         let path = rules.service(&service)?.probe.path.clone();
         Some((service, path))
     }
 
-    fn interval_of(&self, service: &ServiceId) -> std::time::Duration {
+    fn probe_interval(&self, service: &ServiceId) -> std::time::Duration {
         let found = self.rules.as_ref().and_then(|rules| rules.service(service));
         found.map_or(rule::Probe::default().interval, |service| service.probe.interval)
     }
 
-    /// Tells the judge of an upstream's service that it is there, or that it is gone.
+    /// Adds an upstream that is ready to its service's health monitor, or removes it.
     fn upstream_changed(&mut self, now: Moment, upstream: &UpstreamId, outputs: &mut Vec<Output>) {
-        self.dirty = true;
+        self.is_view_stale = true;
         let ready = self.registry.get(upstream).filter(|found| found.is_ready()).map(|found| {
-            let said = &found.announcement;
-            (said.service.clone(), said.domain.clone(), said.slots)
+            let announcement = &found.announcement;
+            (announcement.service.clone(), announcement.domain.clone(), announcement.slots)
         });
         match ready {
             Some((service, domain, slots)) => {
                 let upstream = upstream.clone();
                 let input = health::Input::Member { domain, slots, upstream };
-                self.tell_judge(now, &service, input, outputs);
+                self.step_monitor(now, &service, input, outputs);
             }
-            None => self.forget(now, upstream, outputs),
+            None => self.remove_upstream(now, upstream, outputs),
         }
     }
 
-    fn forget(&mut self, now: Moment, upstream: &UpstreamId, outputs: &mut Vec<Output>) {
-        let told = self.judges.forget(now, upstream);
-        self.judged(now, told, outputs);
+    fn remove_upstream(&mut self, now: Moment, upstream: &UpstreamId, outputs: &mut Vec<Output>) {
+        let monitor_outputs = self.judges.forget(now, upstream);
+        self.handle_monitor_outputs(now, monitor_outputs, outputs);
     }
 
-    /// Tells a new judge of the upstreams that are there already.
-    pub(super) fn introduce(
+    /// Adds the upstreams already registered to a new health monitor.
+    pub(super) fn add_known_upstreams(
         &mut self,
         now: Moment,
         service: &ServiceId,
--- a/src/node/core/view.rs
+++ b/src/node/core/view.rs
@@ -13,76 +13,77 @@
 use crate::registry;
 
 impl Core {
-    /// What traffic threads are to know from now on; `None` where nothing has changed.
+    /// New view for the traffic threads; `None` if nothing has changed since `last`.
     pub fn view(&mut self, now: Moment, last: &View) -> Option<View> {
-        let services = self.services(now);
-        if !self.dirty && last.has(&services) {
+        let services = self.build_services(now);
+        if !self.is_view_stale && last.has(&services) {
             return None;
         }
-        self.dirty = false;
+        self.is_view_stale = false;
         Some(View {
-            entries: Arc::new(self.entries()),
-            leaving: self.leaving,
+            entries: Arc::new(self.directory_entries()),
+            leaving: self.is_leaving,
             number: self.holder.current().map(|version| version.number),
             rules: self.rules.clone(),
-            services: last.succeed(services, &mut self.version),
+            services: last.succeed(services, &mut self.view_version),
             standing: self.holder.standing(),
         })
     }
 
-    /// What operators see of the upstreams.
+    /// Status of the upstreams, for operators.
     pub fn upstreams(&self, now: Moment) -> BTreeMap<ServiceId, Vec<status::Upstream>> {
         let mut services: BTreeMap<ServiceId, Vec<status::Upstream>> = BTreeMap::new();
         for found in self.registry.view() {
-            let said = &found.announcement;
-            let judge = self.judges.get(&said.service);
-            services.entry(said.service.clone()).or_default().push(status::Upstream {
+            let announcement = &found.announcement;
+            let judge = self.judges.get(&announcement.service);
+            services.entry(announcement.service.clone()).or_default().push(status::Upstream {
                 usable: self.registry.is_usable(now, found),
-                upstream: said.upstream.clone(),
-                verdict: judge.map_or(health::Status::Sound, |judge| judge.status(&said.upstream)),
+                upstream: announcement.upstream.clone(),
+                verdict: judge
+                    .map_or(health::Status::Sound, |judge| judge.status(&announcement.upstream)),
             });
         }
         services
     }
 
-    /// What operators see of control.
+    /// Status of the replicated log, for operators; `None` on a process without one.
     pub fn control(&self, now: Moment) -> Option<status::Control> {
-        if self.office.is_none() && self.stopped.is_none() {
+        if self.office.is_none() && self.stop_reason.is_none() {
             return None;
         }
         Some(status::Control {
             claims: self.office.as_ref().map_or(0, super::super::office::Office::claims_kept),
             log: self.office.as_ref().map(|office| office.status(now)),
-            stopped: self.stopped.clone(),
+            stopped: self.stop_reason.clone(),
         })
     }
 
-    /// Ends control's part here, for `reason`.
+    /// Stops the replicated log on this control, for `reason`.
     pub fn close_office(&mut self, reason: String) {
         self.office = None;
-        self.stopped = Some(reason);
+        self.stop_reason = Some(reason);
     }
 
-    /// Takes control's part up again, from what the disk has kept.
+    /// Resumes the replicated log from the state recovered from disk.
     pub fn open_office(&mut self, office: Office) {
         self.office = Some(office);
-        self.stopped = None;
+        self.stop_reason = None;
     }
 
-    fn services(&self, now: Moment) -> BTreeMap<ServiceId, view::Service> {
-        let entries = self.entries().len();
+    fn build_services(&self, now: Moment) -> BTreeMap<ServiceId, view::Service> {
+        let entries = self.directory_entries().len();
         let mut services: BTreeMap<ServiceId, view::Service> = BTreeMap::new();
         for found in self.registry.usable(now) {
-            let said = &found.announcement;
-            let service = services.entry(said.service.clone()).or_default();
+            let announcement = &found.announcement;
+            let service = services.entry(announcement.service.clone()).or_default();
             service.entries = entries;
             service.sharing = Some(entries);
-            service.addresses.insert(said.upstream.clone(), said.address);
+            service.addresses.insert(announcement.upstream.clone(), announcement.address);
             service.members.push(member(now, found));
-            if let Some(judge) = self.judges.get(&said.service) {
-                let weight = judge.weight(&said.upstream);
+            if let Some(judge) = self.judges.get(&announcement.service) {
+                let weight = judge.weight(&announcement.upstream);
                 if weight < 1.0 {
-                    service.weights.insert(said.upstream.clone(), weight);
+                    service.weights.insert(announcement.upstream.clone(), weight);
                 }
             }
         }
@@ -94,19 +95,19 @@
 }
 
 fn member(now: Moment, found: &registry::Upstream) -> balance::Member {
-    let said = &found.announcement;
+    let announcement = &found.announcement;
     balance::Member {
-        connections: said.connections,
-        domain: said.domain.clone(),
-        slots: said.slots,
-        state: warmth(now, found),
-        upstream: said.upstream.clone(),
+        connections: announcement.connections,
+        domain: announcement.domain.clone(),
+        slots: announcement.slots,
+        state: warm_up_state(now, found),
+        upstream: announcement.upstream.clone(),
     }
 }
 
-/// How far its cold start has come. The moments are those of the announcement, so that
-/// they are the same each time and a view does not change for them.
-fn warmth(now: Moment, found: &registry::Upstream) -> balance::State {
+/// Progress of an upstream's warm-up. Its start and end are taken from the announcement
+/// and not from `now`, so that they don't make the view change.
+fn warm_up_state(now: Moment, found: &registry::Upstream) -> balance::State {
     let warm_up = found.announcement.warm_up;
     if found.age(now) >= warm_up {
         return balance::State::Ready;
