--- a/src/node/core.rs
+++ b/src/node/core.rs
@@ -52,7 +52,7 @@
 use super::Office;
 use super::clerk::Clerk;
 use super::input::Claimed;
-use super::judges::Judges;
+use super::monitors::Monitors;
 use super::office;
 
 /// Identity of a process and the state it recovered at its start.
@@ -177,7 +177,7 @@
     is_view_stale: bool,
     holder: Holder,
     has_published_members: bool,
-    judges: Judges,
+    monitors: Monitors,
     is_leaving: bool,
     me: fleet::Record,
     member: Member,
@@ -204,7 +204,7 @@
             Holder::new(now, me.id.clone(), config::Settings::default(), setup.kept, draw());
         let member = Member::new(now, me.clone(), setup.seeds, draw());
         let registry = Registry::new(now, me.id.clone(), draw());
-        let judges = Judges::new(now, me.id.clone(), setup.recorder, draw());
+        let monitors = Monitors::new(now, me.id.clone(), setup.recorder, draw());
         let mut core = Self {
             agent: Agent::new(now, me.id.clone(), me.incarnation),
             pending_announcement: None,
@@ -213,7 +213,7 @@
             is_view_stale: true,
             holder,
             has_published_members: false,
-            judges,
+            monitors,
             is_leaving: false,
             me,
             member,
@@ -331,8 +331,8 @@
     }
 
     /// Health monitor of each service.
-    pub fn judges(&self) -> impl Iterator<Item = (&ServiceId, &health::Monitor)> {
-        self.judges.iter()
+    pub fn monitors(&self) -> impl Iterator<Item = (&ServiceId, &health::Monitor)> {
+        self.monitors.iter()
     }
 
     fn tick(&mut self, now: Moment, outputs: &mut Vec<Output>) {
--- a/src/node/core/quality.rs
+++ b/src/node/core/quality.rs
@@ -8,7 +8,7 @@
 use crate::id::UpstreamId;
 use crate::node::core::Core;
 use crate::node::core::Output;
-use crate::node::judges::Told;
+use crate::node::monitors;
 use crate::registry;
 use crate::wire::Frame;
 
@@ -55,19 +55,19 @@
         input: health::Input,
         outputs: &mut Vec<Output>,
     ) {
-        let monitor_outputs = self.judges.tell(now, service, input);
+        let monitor_outputs = self.monitors.step(now, service, input);
         self.handle_monitor_outputs(now, monitor_outputs, outputs);
     }
 
     pub(super) fn tick_monitors(&mut self, now: Moment, outputs: &mut Vec<Output>) {
-        let monitor_outputs = self.judges.tick(now);
+        let monitor_outputs = self.monitors.tick(now);
         self.handle_monitor_outputs(now, monitor_outputs, outputs);
     }
 
     /// Updates the health monitors to the services of the rules.
     pub(super) fn update_monitors(&mut self, now: Moment, outputs: &mut Vec<Output>) {
         let Some(rules) = self.rules.clone() else { return };
-        let (fresh, monitor_outputs) = self.judges.set_rules(now, &rules);
+        let (fresh, monitor_outputs) = self.monitors.set_rules(now, &rules);
         self.handle_monitor_outputs(now, monitor_outputs, outputs);
         for service in fresh {
             self.add_known_upstreams(now, &service, outputs);
@@ -77,17 +77,19 @@
     pub(super) fn handle_monitor_outputs(
         &mut self,
         now: Moment,
-        monitor_outputs: Vec<Told>,
+        monitor_outputs: Vec<monitors::Output>,
         outputs: &mut Vec<Output>,
     ) {
         for output in monitor_outputs {
             match output {
-                Told::Event(event) => {
+                monitors::Output::Event(event) => {
                     self.is_view_stale = true;
                     outputs.push(Output::Event(event));
                 }
-                Told::Share(service, digest) => self.share_digest(now, &service, &digest, outputs),
-                Told::Tell(service, digest, upstream) => {
+                monitors::Output::Share(service, digest) => {
+                    self.share_digest(now, &service, &digest, outputs);
+                }
+                monitors::Output::Tell(service, digest, upstream) => {
                     self.send_to_home(now, service, digest, &upstream, outputs);
                 }
             }
--- a/src/node/core/upstreams.rs
+++ b/src/node/core/upstreams.rs
@@ -139,7 +139,7 @@
     }
 
     fn remove_upstream(&mut self, now: Moment, upstream: &UpstreamId, outputs: &mut Vec<Output>) {
-        let monitor_outputs = self.judges.forget(now, upstream);
+        let monitor_outputs = self.monitors.remove(now, upstream);
         self.handle_monitor_outputs(now, monitor_outputs, outputs);
     }
 
--- a/src/node/core/view.rs
+++ b/src/node/core/view.rs
@@ -35,12 +35,13 @@
         let mut services: BTreeMap<ServiceId, Vec<status::Upstream>> = BTreeMap::new();
         for found in self.registry.view() {
             let announcement = &found.announcement;
-            let judge = self.judges.get(&announcement.service);
+            let monitor = self.monitors.get(&announcement.service);
             services.entry(announcement.service.clone()).or_default().push(status::Upstream {
                 usable: self.registry.is_usable(now, found),
                 upstream: announcement.upstream.clone(),
-                verdict: judge
-                    .map_or(health::Status::Sound, |judge| judge.status(&announcement.upstream)),
+                verdict: monitor.map_or(health::Status::Sound, |monitor| {
+                    monitor.status(&announcement.upstream)
+                }),
             });
         }
         services
@@ -80,15 +81,15 @@
             service.sharing = Some(entries);
             service.addresses.insert(announcement.upstream.clone(), announcement.address);
             service.members.push(member(now, found));
-            if let Some(judge) = self.judges.get(&announcement.service) {
-                let weight = judge.weight(&announcement.upstream);
+            if let Some(monitor) = self.monitors.get(&announcement.service) {
+                let weight = monitor.weight(&announcement.upstream);
                 if weight < 1.0 {
                     service.weights.insert(announcement.upstream.clone(), weight);
                 }
             }
         }
         for (name, service) in &mut services {
-            service.settle(self.judges.is_at_floor(name));
+            service.settle(self.monitors.is_at_floor(name));
         }
         services
     }
--- a/tests/suite/core_fleet/configuration.rs
+++ b/tests/suite/core_fleet/configuration.rs
@@ -37,7 +37,7 @@
         site.run(ms(1_000));
         site.start(&entry, false);
         site.run_until("the entry to serve", |site| serves(site, &entry, 2));
-        assert_eq!(site.core(&entry).judges().count(), 1, "health is judged again");
+        assert_eq!(site.core(&entry).monitors().count(), 1, "health is judged again");
     }
     site.run_until("the upstream everywhere", |site| site.users("hull-1").len() == 5);
 }
@@ -60,7 +60,7 @@
     }
     for entry in site.entries() {
         site.run_until("the entry to serve", |site| serves(site, &entry, 2));
-        assert_eq!(site.core(&entry).judges().count(), 1, "health is judged again");
+        assert_eq!(site.core(&entry).monitors().count(), 1, "health is judged again");
     }
 }
 
