--- a/src/node.rs
+++ b/src/node.rs
@@ -1,10 +1,11 @@
-//! One process: its control thread, its traffic threads and what joins them.
+//! A process: its control thread, its traffic threads and what connects them.
 //!
-//! [`Core`] owns all control state and decides; it has no socket, disk or clock. The
-//! control thread carries its inputs and outputs. Traffic threads read immutable
-//! [`View`]s of it and send outcomes back, and never wait for it.
+//! The control state, a [`Core`] in a fleet of peers, has no socket, disk or clock. The
+//! control thread feeds it inputs and carries out its outputs. Traffic threads read
+//! immutable [`View`]s of it and send back request outcomes; they never wait for it.
 
 mod attached;
+mod builder;
 mod carrier;
 mod clerk;
 pub mod core;
@@ -15,16 +16,15 @@
 mod input;
 mod links;
 mod logs;
-mod machine;
-mod make;
 mod metrics;
-mod metrics_door;
+mod metrics_server;
 mod monitors;
 mod nowhere;
 mod office;
 mod operators;
 mod probe;
 mod snapshot;
+mod state_machine;
 mod status;
 mod thread;
 mod traffic;
@@ -53,8 +53,8 @@
 
 use crate::id::Incarnation;
 
-/// Restart counter of a process that starts now: microseconds of the wall clock, so
-/// that no state has to be kept for it.
+/// Incarnation of a process that starts now: the wall clock in microseconds, which grows
+/// over restarts without stored state.
 pub fn incarnation() -> Incarnation {
     let epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     epoch.map_or(0, |epoch| u64::try_from(epoch.as_micros()).unwrap_or(u64::MAX))
--- a/src/node/attached.rs
+++ b/src/node/attached.rs
@@ -29,7 +29,7 @@
 use super::View;
 use super::core::Input;
 use super::core::Output;
-use super::machine::Machine;
+use super::state_machine::StateMachine;
 use super::status::Report;
 use hub::Hub;
 use spoke::Spoke;
@@ -77,7 +77,7 @@
     }
 }
 
-impl Machine for Attached {
+impl StateMachine for Attached {
     fn handle(&mut self, now: Moment, wall: Epoch, input: Input) -> Vec<Output> {
         let mut outputs = Vec::new();
         let mut inputs = VecDeque::from([input]);
@@ -94,7 +94,7 @@
         outputs
     }
 
-    fn wake(&self, now: Moment) -> Moment {
+    fn next_at(&self, now: Moment) -> Moment {
         let hub = self.hub.as_ref().map(|hub| hub.wake(now));
         let spoke = self.spoke.as_ref().map(Spoke::wake);
         hub.into_iter().chain(spoke).min().unwrap_or(now)
--- a/src/node/make.rs
+++ b/src/node/builder.rs
@@ -1,4 +1,4 @@
-//! What a process is made of, by its settings.
+//! Builds the parts of a process from its settings.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -30,48 +30,48 @@
 use super::attached::Attached;
 use super::core::Setup;
 use super::held::Held;
-use super::machine::Machine;
+use super::state_machine::StateMachine;
 use super::thread::Opener;
 
-/// Times of the log where entries follow the controls: a change has to be in force within
-/// seconds also across an election, which takes twice the longer one at the most.
-const ATTACHED: quorum::Timing =
+/// Timing of the log where entries subscribe to the controls. A change has to be in force
+/// within seconds even across an election, which takes at most twice the election timeout.
+const SUBSCRIBED_TIMING: quorum::Timing =
     quorum::Timing { election: Duration::from_millis(700), heartbeat: Duration::from_millis(150) };
 
-/// All that control works on.
-pub(super) struct Parts {
+/// What the control thread runs on.
+pub(super) struct Components {
     pub(super) held: Option<Held>,
     pub(super) log: Option<Log>,
-    pub(super) machine: Box<dyn Machine>,
+    pub(super) state: Box<dyn StateMachine>,
     pub(super) opener: Option<Opener>,
 }
 
-/// How the world outside speaks to this process.
-pub(super) fn boundary(settings: &Settings) -> Arc<dyn Boundary> {
+/// Selects the external interface of the process.
+pub(super) fn select_boundary(settings: &Settings) -> Arc<dyn Boundary> {
     match settings.interface {
         Interface::Own => Arc::new(Own),
         Interface::Platform => Arc::new(Platform),
     }
 }
 
-/// Makes control's part of a process.
-pub(super) fn parts(
+/// Builds the control state of a process and opens its storage.
+pub(super) fn build(
     now: Moment,
     settings: &Settings,
     callers: Option<SocketAddr>,
-    found: bool,
+    is_founding: bool,
     recorder: Recorder,
     boundary: Arc<dyn Boundary>,
-) -> Result<Parts, Error> {
+) -> Result<Components, Error> {
     if settings.seeds.is_empty() {
-        return own_parts(now, settings, callers, found, recorder);
+        return build_core(now, settings, callers, is_founding, recorder);
     }
     let founders = founders(settings);
-    let opened = office(settings, founders.clone(), false)?;
+    let opened = open_office(settings, founders.clone(), false)?;
     let (office, log) = opened.map_or((None, None), |(office, log)| (Some(office), Some(log)));
     let setup = attached::Setup {
         boundary,
-        callers: callers.unwrap_or_else(nowhere),
+        callers: callers.unwrap_or_else(unspecified_address),
         domain: settings.node.failure_domain.clone(),
         id: settings.node.id.clone(),
         is_control: settings.has(Role::Control),
@@ -84,60 +84,60 @@
     };
     let settings = settings.clone();
     let opener: Opener = Box::new(move || {
-        let opened = self::office(&settings, None, false)?;
+        let opened = open_office(&settings, None, false)?;
         opened.ok_or_else(|| Error::Office)
     });
-    let machine = Box::new(Attached::new(now, setup));
-    Ok(Parts { held: None, log, machine, opener: Some(opener) })
+    let state = Box::new(Attached::new(now, setup));
+    Ok(Components { held: None, log, state, opener: Some(opener) })
 }
 
-fn own_parts(
+fn build_core(
     now: Moment,
     settings: &Settings,
     callers: Option<SocketAddr>,
-    found: bool,
+    is_founding: bool,
     recorder: Recorder,
-) -> Result<Parts, Error> {
-    let (held, kept) = held(settings)?;
-    let founders = found.then(|| Membership::founding(controls(settings)));
-    let opened = office(settings, founders, found)?;
+) -> Result<Components, Error> {
+    let (held, kept) = open_held(settings)?;
+    let founders = is_founding.then(|| Membership::founding(controls(settings)));
+    let opened = open_office(settings, founders, is_founding)?;
     let (office, log) = opened.map_or((None, None), |(office, log)| (Some(office), Some(log)));
     let setup = Setup {
         controls: controls(settings),
         kept,
-        me: me(settings, callers),
+        me: own_record(settings, callers),
         office,
         recorder,
         seeds: seeds(settings),
         seed: rand::random(),
     };
-    Ok(Parts { held, log, machine: Box::new(Core::new(now, setup)), opener: None })
+    Ok(Components { held, log, state: Box::new(Core::new(now, setup)), opener: None })
 }
 
-/// Ids of the controls that are known from the start: their addresses.
+/// Ids of the controls that are the seeds: their IP addresses.
 pub(super) fn seed_ids(settings: &Settings) -> Vec<NodeId> {
     let ids = settings.seeds.iter().map(|seed| NodeId::from(seed.ip().to_string()));
     ids.collect()
 }
 
-/// The first members of the log, at those of them that start for the first time.
+/// First members of the quorum, on a seed that starts for the first time.
 fn founders(settings: &Settings) -> Option<Membership> {
     let ids = seed_ids(settings);
     let founds = settings.first_start && ids.contains(&settings.node.id);
     founds.then(|| Membership::founding(ids))
 }
 
-fn nowhere() -> SocketAddr {
+fn unspecified_address() -> SocketAddr {
     SocketAddr::from(([0, 0, 0, 0], 0))
 }
 
-fn me(settings: &Settings, callers: Option<SocketAddr>) -> fleet::Record {
+fn own_record(settings: &Settings, callers: Option<SocketAddr>) -> fleet::Record {
     let roles: BTreeSet<fleet::Role> = settings.roles.iter().map(role).collect();
     fleet::Record {
         id: settings.node.id.clone(),
         incarnation: super::incarnation(),
         meta: fleet::Meta {
-            callers: callers.unwrap_or_else(nowhere),
+            callers: callers.unwrap_or_else(unspecified_address),
             config: 0,
             domain: settings.node.failure_domain.clone(),
             links: settings.listen.links,
@@ -167,29 +167,30 @@
     settings.peers.iter().map(seed).collect()
 }
 
-fn held(settings: &Settings) -> Result<(Option<Held>, Option<config::Version>), Error> {
+fn open_held(settings: &Settings) -> Result<(Option<Held>, Option<config::Version>), Error> {
     let Some(data) = &settings.data else { return Ok((None, None)) };
     let (held, kept) = Held::open(&data.join("held"))?;
     Ok((Some(held), kept))
 }
 
-/// Opens a control's log. `found` refuses a folder that has one already.
-fn office(
+/// Opens a control's log; `None` on other processes. With `is_founding`, a folder that holds a log
+/// already is an error.
+fn open_office(
     settings: &Settings,
     founders: Option<Membership>,
-    found: bool,
+    is_founding: bool,
 ) -> Result<Option<(Office, Log)>, Error> {
     let Some(data) = settings.data.as_deref().filter(|_| settings.has(Role::Control)) else {
         return Ok(None);
     };
     let folder = data.join("log");
-    let (log, recovered) = open(&folder)?;
+    let (log, recovered) = open_log(&folder)?;
     let mut setup = quorum::Setup::new(settings.node.id.clone());
     if !settings.seeds.is_empty() {
-        setup.timing = ATTACHED;
+        setup.timing = SUBSCRIBED_TIMING;
     }
     if recovered.identity.is_some() {
-        if found {
+        if is_founding {
             return Err(Error::Founded(folder));
         }
     } else {
@@ -199,7 +200,7 @@
     Ok(Some((office.with_window(settings.quota.window), log)))
 }
 
-fn open(folder: &Path) -> Result<(Log, quorum::Recovered), Error> {
+fn open_log(folder: &Path) -> Result<(Log, quorum::Recovered), Error> {
     let disk = Folder::open(folder)?;
     Ok(Log::open(Box::new(disk))?)
 }
--- a/src/node/core.rs
+++ b/src/node/core.rs
@@ -2,9 +2,9 @@
 
 mod claims;
 mod configuration;
-mod machine;
 mod membership;
-mod quality;
+mod monitors;
+mod state_machine;
 mod upstreams;
 mod view;
 
@@ -284,7 +284,7 @@
     }
 
     /// Latest time for the next [`Input::Tick`].
-    pub fn wake(&self) -> Moment {
+    pub fn next_at(&self) -> Moment {
         let mut wake = self.holder.next_at();
         if let Some(at) = self.agent.next_at() {
             wake = wake.min(at);
@@ -362,7 +362,7 @@
                 self.step_office(now, office::Input::Quota(from, ticket, ask), outputs);
             }
             Frame::Feed(_) | Frame::Order { .. } => {
-                tracing::warn!(target: "hemlockfield::link", peer = %from, "frame kind is not used here");
+                tracing::warn!(target: "hemlockfield::link", peer = %from, "unexpected frame kind");
             }
             Frame::Fleet(message) => {
                 self.step_member(now, fleet::Input::Receive { from, message }, outputs);
--- a/src/node/core/configuration.rs
+++ b/src/node/core/configuration.rs
@@ -36,7 +36,7 @@
                 office::Output::Installed | office::Output::Upstream(_) => {
                     tracing::warn!(
                         target: "hemlockfield::registry",
-                        "ignored an upstream in the log: upstreams announce themselves to entries here"
+                        "ignored an upstream in the log; upstreams announce to entries here"
                     );
                 }
                 office::Output::Leads(leads) => {
--- a/src/node/core/machine.rs
+++ b/src/node/core/state_machine.rs
@@ -9,17 +9,17 @@
 use crate::node::core::Core;
 use crate::node::core::Input;
 use crate::node::core::Output;
-use crate::node::machine::Machine;
+use crate::node::state_machine::StateMachine;
 use crate::node::status;
 use crate::node::status::Report;
 
-impl Machine for Core {
+impl StateMachine for Core {
     fn handle(&mut self, now: Moment, wall: Epoch, input: Input) -> Vec<Output> {
         self.handle(now, wall, input)
     }
 
-    fn wake(&self, now: Moment) -> Moment {
-        self.wake().min(now + fleet::Member::TICK)
+    fn next_at(&self, now: Moment) -> Moment {
+        self.next_at().min(now + fleet::Member::TICK)
     }
 
     fn view(&mut self, now: Moment, last: &View) -> Option<View> {
--- a/src/node/error.rs
+++ b/src/node/error.rs
@@ -3,50 +3,50 @@
 
 use thiserror::Error as ThisError;
 
-/// Why a process can't run.
+/// Error that keeps a process from running.
 #[derive(Debug, ThisError)]
 pub enum Error {
-    /// Data folder that holds state already, or none where there must be some.
-    #[error("data folder `{}` holds state already; founding is for empty folders", .0.display())]
+    /// The data folder of a new quorum holds state already.
+    #[error("data folder `{}` holds state already; founding needs an empty one", .0.display())]
     Founded(PathBuf),
-    /// Keys that can't be used.
+    /// The keys can't be used.
     #[error("keys: {0}")]
     Keys(#[from] crate::keys::Error),
-    /// Links that can't be started.
+    /// The links can't be started.
     #[error("links: {0}")]
     Link(#[from] crate::link::Error),
-    /// Address that can't be listened on.
+    /// An address can't be listened on.
     #[error("can't listen on `{address}`: {source}")]
     Listen {
-        /// Address of the settings.
+        /// Address in the settings.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// Metrics that can't be kept or written down.
+    /// Metrics can't be registered or encoded.
     #[error("metrics: {0}")]
     Measure(#[from] prometheus::Error),
-    /// Metrics that can't be sent.
+    /// Metrics can't be sent to the collector.
     #[error("can't send metrics to `{address}`: {source}")]
     Metrics {
-        /// Collector.
+        /// Address of the collector.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The process has no log to open.
-    #[error("this process is no control and has no log")]
+    /// Only a control has a log.
+    #[error("this process is not a control and has no log")]
     Office,
-    /// Recording that can't be written.
+    /// The recording can't be written.
     #[error(transparent)]
     Replay(#[from] crate::replay::Error),
-    /// Data folder that can't be used.
+    /// The data folder can't be used.
     #[error("data folder: {0}")]
     Storage(#[from] crate::storage::Error),
-    /// Thread that can't be started.
+    /// The control thread can't be started.
     #[error("can't start a thread: {0}")]
     Thread(std::io::Error),
-    /// File of events that can't be written.
+    /// The file of the time line can't be written.
     #[error("time line: {0}")]
     Timeline(#[from] crate::timeline::Error),
 }
--- a/src/node/inbox.rs
+++ b/src/node/inbox.rs
@@ -1,4 +1,4 @@
-//! The way into the control thread.
+//! Channel of inputs to the control thread.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
@@ -11,32 +11,32 @@
 
 use super::Input;
 
-/// Inputs that may wait for the control thread: seconds of outcomes at full load.
-const ROOM: usize = 10_000;
-/// Pause before an input that must not be lost is offered again to a full inbox.
-const AGAIN: Duration = Duration::from_millis(5);
+/// Capacity of the channel: seconds of request outcomes at full load.
+const CAPACITY: usize = 10_000;
+/// Delay before [`Inbox::send`] tries again on a full channel.
+const RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// The sending end. The thread behind it sleeps in the kernel and not in a reactor: at rest
-/// that costs one wake-up for each input instead of three.
+/// Sending end. The receiving thread blocks in the kernel and not in an async reactor: on an
+/// idle process that costs one wake-up per input instead of three.
 #[derive(Clone, Debug)]
 pub struct Inbox {
     sender: mpsc::Sender<Input>,
     waiting: Arc<AtomicUsize>,
 }
 
-/// The receiving end.
+/// Receiving end.
 #[derive(Debug)]
 pub(super) struct Outbox {
     receiver: mpsc::Receiver<Input>,
     waiting: Arc<AtomicUsize>,
 }
 
-/// Why an input was not taken.
+/// Reason why an input was not sent.
 #[derive(Debug)]
 pub(super) enum Refused {
     /// The control thread has ended.
     Closed,
-    /// Too many are waiting; here it is back.
+    /// The channel is full; the input is returned.
     Full(Box<Input>),
 }
 
@@ -47,16 +47,17 @@
         (Self { sender, waiting: Arc::clone(&waiting) }, Outbox { receiver, waiting })
     }
 
-    /// Hands an input over, if there is room.
+    /// Sends an input unless the channel is full.
     pub(super) fn try_send(&self, input: Input) -> Result<(), Refused> {
-        if self.waiting.load(Ordering::Relaxed) >= ROOM {
+        if self.waiting.load(Ordering::Relaxed) >= CAPACITY {
             return Err(Refused::Full(Box::new(input)));
         }
         self.waiting.fetch_add(1, Ordering::Relaxed);
         self.sender.send(input).map_err(|_| Refused::Closed)
     }
 
-    /// Hands an input over as soon as there is room; whether the control thread took it.
+    /// Sends an input, waiting while the channel is full. Returns `false` if the control thread
+    /// has ended.
     pub(super) async fn send(&self, input: Input) -> bool {
         let mut next = input;
         loop {
@@ -65,13 +66,13 @@
                 Err(Refused::Closed) => return false,
                 Err(Refused::Full(input)) => next = *input,
             }
-            task::sleep(AGAIN).await;
+            task::sleep(RETRY_DELAY).await;
         }
     }
 }
 
 impl Outbox {
-    /// The next input; `None` after `wait`. An error once nobody can send any more.
+    /// Waits for the next input; `None` after `wait`, and an error once all senders are gone.
     pub(super) fn receive(&self, wait: Duration) -> Result<Option<Input>, ()> {
         match self.receiver.recv_timeout(wait) {
             Ok(input) => Ok(Some(self.taken(input))),
@@ -80,7 +81,7 @@
         }
     }
 
-    /// The next input, if one waits.
+    /// Returns the next input if there is one.
     pub(super) fn try_receive(&self) -> Option<Input> {
         self.receiver.try_recv().ok().map(|input| self.taken(input))
     }
--- a/src/node/input.rs
+++ b/src/node/input.rs
@@ -15,59 +15,62 @@
 
 use super::Status;
 
-/// What the control thread of a process is told.
+/// Input of the control thread.
 #[derive(Debug)]
 pub enum Input {
-    /// An upstream announced itself here; the sender takes the answer.
+    /// An upstream announced itself to this entry; the sender takes the answer.
     Announce(registry::Announcement, Sender<Result<(), String>>),
-    /// What an upstream says of itself to a control; the sender takes the answer.
+    /// Announcement by an upstream to a control, to be replicated in the log; the sender takes
+    /// the answer.
     Catalog(catalog::Action, Sender<Result<(), String>>),
-    /// A change of the controls' membership; the sender takes the answer.
+    /// Change of the quorum's membership; the sender takes the answer.
     Change(quorum::Change, Sender<Result<u64, String>>),
-    /// A request's claim; the sender takes the end of the question.
+    /// Request for a claim, and the time budget for its answer, which the sender takes.
     Claim(claim::Ticket, claim::Request, Duration, Sender<Claimed>),
-    /// What became of a granted claim; `None` where it is proved not to have run.
+    /// Outcome of a request whose claim was granted; `None` if it certainly did not run.
     ClaimEnd(claim::Ticket, Option<claim::Outcome>),
-    /// Stop giving this process to callers; it ends when all is done.
+    /// Withdraw this entry from the lists given to callers.
     Drain,
-    /// A frame of another process.
+    /// Encoded frame from another process.
     Frame(NodeId, Vec<u8>),
-    /// Requests that wait unusually long for an upstream's first byte.
+    /// Ages of the requests that have waited unusually long for an upstream's first byte.
     Overdue(ServiceId, UpstreamId, Vec<Duration>),
-    /// An upstream's own report, asked of it by this process.
+    /// Result of a probe of an upstream.
     Probed {
-        /// Whether it says that it is leaving; `None` where it gave no answer.
+        /// Whether it reports that it is draining; `None` if it did not answer.
         draining: Option<bool>,
-        /// What it says of its health.
+        /// Whether it reports that it is healthy.
         healthy: bool,
         /// Service of the upstream.
         service: ServiceId,
-        /// The upstream.
+        /// Upstream that was probed.
         upstream: UpstreamId,
     },
-    /// This entry wants other parts of allowances; the sender takes what it holds then.
+    /// Quota that this entry requests; the sender takes what was granted.
     Quota(quota::Demand, Sender<quota::Grant>),
-    /// Somebody asks for the newest configuration; `None` where it can't be told.
+    /// Request for the newest configuration. The sender takes it; the outer `None` if it can't
+    /// be determined, the inner one if there is no configuration.
     Read(Sender<Option<Option<Version>>>),
-    /// The seeds were exchanged.
+    /// The settings were reloaded with these seeds.
     Seeds(Vec<NodeId>),
-    /// What this process knows; for operators.
+    /// Request for the status of this process, for operators.
     Status(Sender<Status>),
-    /// Serving is over: tell the others, and end the control thread.
+    /// The process stops: announce it to the fleet and end the control thread.
     Stop,
-    /// A configuration that an operator submitted here.
+    /// Configuration submitted by an operator; the sender takes the verdict.
     Submit(Version, Sender<Verdict>),
-    /// Outcomes were noted that should not wait.
+    /// Wakes the control thread to handle request outcomes at once.
     Wake,
 }
 
-/// End of a question for a claim.
+/// Answer to a claim request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Claimed {
-    /// Not to be dispatched; the caller is told this.
+    /// The request must not be dispatched; the caller gets this answer.
     Answer(claim::Answer),
-    /// To be dispatched.
+    /// The request may be dispatched.
     Granted,
-    /// Not to be dispatched, and refused as not run.
+    /// The request must not be dispatched and is refused as not run, to be retried after this
+    /// time.
     Refused(Duration),
 }
--- a/src/node/logs.rs
+++ b/src/node/logs.rs
@@ -7,11 +7,11 @@
 
 use crate::settings::Settings;
 
-/// Lines that wait for the output; more are lost and counted. Ten seconds of an entry at
-/// 40 requests a second with ten lines each, at most 2 MB.
-const LINES_MAX: usize = 4096;
+/// Lines buffered for the output; more are dropped and counted. Enough for ten seconds of an
+/// entry at 40 requests per second with ten lines each, in at most 2 MB.
+const MAX_BUFFERED_LINES: usize = 4096;
 
-/// What keeps the logs flowing; the last lines are written as it goes.
+/// Guard of the logging thread; dropping it flushes the buffered lines.
 pub struct Logs {
     lost: tracing_appender::non_blocking::ErrorCounter,
     _guard: WorkerGuard,
@@ -24,22 +24,24 @@
     }
 }
 
-/// Writes logs as JSON lines to standard output, by the levels of the settings, from a thread
-/// of its own: an output that nobody reads would otherwise stop requests.
+/// Starts logging JSON lines to standard output, at the levels of the settings. A thread of
+/// its own writes them: otherwise an output that nobody reads would block requests.
 pub fn start_logs(settings: &Settings) -> Logs {
     let filter = EnvFilter::new(settings.log.filter());
-    let (writer, guard): (NonBlocking, WorkerGuard) =
-        NonBlockingBuilder::default().lossy(true).buffered_lines_limit(LINES_MAX).finish(stdout());
+    let (writer, guard): (NonBlocking, WorkerGuard) = NonBlockingBuilder::default()
+        .lossy(true)
+        .buffered_lines_limit(MAX_BUFFERED_LINES)
+        .finish(stdout());
     let lost = writer.error_counter();
     let subscriber =
         tracing_subscriber::fmt().json().with_env_filter(filter).with_writer(writer).finish();
     if tracing::subscriber::set_global_default(subscriber).is_err() {
-        tracing::debug!(target: "hemlockfield::node", "logs were started before");
+        tracing::debug!(target: "hemlockfield::node", "logging was started before");
     }
     Logs { lost, _guard: guard }
 }
 
-/// Starts as many traffic threads as the settings say; before the first task runs.
+/// Sets the number of traffic threads from the settings. Must be called before the first task.
 pub fn start_threads(settings: &Settings) {
     crate::runtime::set_threads(settings.traffic.threads);
 }
--- a/src/node/metrics_door.rs
+++ b/src/node/metrics_server.rs
@@ -1,4 +1,4 @@
-//! Where metrics are fetched.
+//! HTTP endpoint of the metrics.
 
 use std::sync::Arc;
 
@@ -9,23 +9,23 @@
 
 use super::traffic::Proxy;
 
-/// Path at which metrics are fetched.
+/// Path of the metrics.
 const PATH: &str = "/metrics";
 
-/// Serves the metrics of this process until it ends.
+/// Serves the metrics until the process stops.
 pub(super) async fn serve(listener: TcpListener, proxy: Arc<Proxy>) {
     let mut app = tide::with_state(proxy);
-    app.at(PATH).get(text);
+    app.at(PATH).get(serve_metrics);
     if let Err(error) = app.listen(listener).await {
-        tracing::error!(target: "hemlockfield::node", "metrics are no longer served: {error}");
+        tracing::error!(target: "hemlockfield::node", "metrics endpoint stopped: {error}");
     }
 }
 
-async fn text(request: Request<Arc<Proxy>>) -> tide::Result {
-    match request.state().metrics.text() {
+async fn serve_metrics(request: Request<Arc<Proxy>>) -> tide::Result {
+    match request.state().metrics.encode() {
         Ok(text) => Ok(Response::builder(StatusCode::Ok).body(text).build()),
         Err(error) => {
-            tracing::error!(target: "hemlockfield::node", "metrics can't be written: {error}");
+            tracing::error!(target: "hemlockfield::node", "metrics can't be encoded: {error}");
             Ok(Response::new(StatusCode::InternalServerError))
         }
     }
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -23,18 +23,18 @@
 use super::Error;
 use super::Inbox;
 use super::Input;
+use super::builder;
+use super::builder::Components;
 use super::doors;
 use super::links;
-use super::make;
-use super::make::Parts;
 use super::metrics::Metrics;
-use super::metrics_door;
+use super::metrics_server;
 use super::nowhere::Nowhere;
 use super::operators;
 use super::operators::Operators;
 use super::thread::Thread;
 use super::thread::Tickets;
-use super::thread::wall;
+use super::thread::wall_clock;
 use super::traffic;
 use super::traffic::Proxy;
 
@@ -49,7 +49,7 @@
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
-/// Makes a running process leave.
+/// Handle to drain, stop or reconfigure a running process.
 #[derive(Clone)]
 pub struct Leaving {
     control: Inbox,
@@ -58,27 +58,28 @@
 }
 
 impl Node {
-    /// Starts a process. `found` makes the first membership of a new fleet's controls out
-    /// of those in the settings; it is done once, on empty folders.
+    /// Starts a process. With `is_founding`, a control founds a new quorum of the controls in the
+    /// settings, which is done once and on empty data folders.
     ///
     /// # Errors
-    /// When an address, a key or the data folder can't be used.
-    pub async fn start(settings: Settings, found: bool) -> Result<Self, Error> {
+    /// Fails if an address, a key or the data folder can't be used.
+    pub async fn start(settings: Settings, is_founding: bool) -> Result<Self, Error> {
         let started = Instant::now();
         let (control, inbox) = Inbox::new();
         let (stop, done) = unbounded::<()>();
         let callers = bind(settings.listen.callers).await?;
         let operators = bind(settings.listen.operators).await?;
-        let operators_at = operators.as_ref().map(address_of).transpose()?;
+        let operator_address = operators.as_ref().map(local_address).transpose()?;
         let mut doors = Vec::new();
         for address in &settings.listen.orders {
             doors.extend(bind(Some(*address)).await?);
         }
-        let callers_at = callers.as_ref().map(address_of).transpose()?;
+        let caller_address = callers.as_ref().map(local_address).transpose()?;
         let metrics = Metrics::new(settings.metrics.as_ref())?;
         let recorder = replay::Recorder::open(settings.record.as_ref())?;
-        let measured = bind(settings.metrics.as_ref().and_then(|metrics| metrics.listen)).await?;
-        let boundary = make::boundary(&settings);
+        let metrics_listener =
+            bind(settings.metrics.as_ref().and_then(|metrics| metrics.listen)).await?;
+        let boundary = builder::select_boundary(&settings);
         let proxy = Arc::new(Proxy::new(
             settings.clone(),
             started,
@@ -88,12 +89,13 @@
             metrics,
             recorder.clone(),
         ));
-        let journal = Arc::new(journal(&settings)?);
+        let journal = Arc::new(open_journal(&settings)?);
         let event = |event: crate::timeline::Event| event.detail("started", "now");
-        journal.record(wall(), Kind::ProcessStarted, event);
+        journal.record(wall_clock(), Kind::ProcessStarted, event);
         let now = started.elapsed();
-        let parts = make::parts(now, &settings, callers_at, found, recorder, boundary)?;
-        let Parts { held, log, machine, opener } = parts;
+        let components =
+            builder::build(now, &settings, caller_address, is_founding, recorder, boundary)?;
+        let Components { held, log, state, opener } = components;
         let carrier = links::start(&settings, control.clone())?;
         let thread = Thread {
             carrier,
@@ -103,7 +105,7 @@
             inbox,
             journal,
             log,
-            machine,
+            state,
             opener,
             proxy: Arc::clone(&proxy),
             started,
@@ -121,12 +123,12 @@
             let state = Operators { control: control.clone(), proxy: Arc::clone(&proxy) };
             runtime::spawn(async move {
                 if let Err(error) = operators::app(state).listen(listener).await {
-                    tracing::error!(target: "hemlockfield::node", "operators' side ended: {error}");
+                    tracing::error!(target: "hemlockfield::node", "operator API stopped: {error}");
                 }
             });
         }
-        if let Some(listener) = measured {
-            runtime::spawn(metrics_door::serve(listener, Arc::clone(&proxy)));
+        if let Some(listener) = metrics_listener {
+            runtime::spawn(metrics_server::serve(listener, Arc::clone(&proxy)));
         }
         for listener in doors {
             runtime::spawn(doors::serve(listener, control.clone(), Arc::clone(&proxy)));
@@ -137,32 +139,32 @@
             runtime::spawn(traffic::renew_quota(Arc::clone(&proxy)));
         }
         Ok(Self {
-            callers: callers_at,
+            callers: caller_address,
             control,
             ended,
-            operators: operators_at,
+            operators: operator_address,
             proxy,
             stop,
             thread: Some(thread),
         })
     }
 
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub fn callers(&self) -> Option<SocketAddr> {
         self.callers
     }
 
-    /// Where operators and announcing upstreams connect.
+    /// Address that operators and announcing upstreams connect to.
     pub fn operators(&self) -> SocketAddr {
         self.operators.unwrap_or_else(|| SocketAddr::from(([0, 0, 0, 0], 0)))
     }
 
-    /// Number of the configuration in force here.
+    /// Number of the configuration in force.
     pub fn configuration(&self) -> Option<ConfigNumber> {
         self.proxy.view.load().number
     }
 
-    /// Submits a configuration; tells whether it was accepted.
+    /// Submits a configuration. Returns whether it was accepted.
     pub async fn submit(&self, version: Version) -> bool {
         let (sender, receiver) = bounded(1);
         if !self.control.send(Input::Submit(version, sender)).await {
@@ -172,12 +174,12 @@
         matches!(verdict, Ok(Verdict::Accepted(_) | Verdict::AlreadyAccepted(_)))
     }
 
-    /// Upstreams of a service that get new work from here.
+    /// Number of a service's upstreams that are available to this entry.
     pub fn upstreams(&self, service: &str) -> usize {
         self.proxy.view.load().services.get(service).map_or(0, |found| found.members.len())
     }
 
-    /// What makes this process leave.
+    /// Handle to drain, stop or reconfigure this process.
     pub fn leaving(&self) -> Leaving {
         Leaving {
             control: self.control.clone(),
@@ -186,26 +188,26 @@
         }
     }
 
-    /// Starts the time after which no list that callers were given names this entry.
-    /// Without it, leaving would end at the settings' limit only, however idle the entry.
-    fn leave(&self) {
+    /// Starts the period after which no list that callers hold names this entry any more.
+    /// Without it, leaving would take until the limit of the settings even on an idle entry.
+    fn start_directory_expiry(&self) {
         let mut directory =
             self.proxy.directory.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         directory.leave(self.proxy.now());
     }
 
-    /// Waits until the process has left; gives the requests that were cut.
+    /// Waits until the process has stopped. Returns the number of requests that were cut.
     pub async fn stopped(mut self) -> usize {
         let limit = self.proxy.limit();
         self.proxy.drain_requested().await;
-        self.leave();
+        self.start_directory_expiry();
         let left = async_std::future::timeout(limit, self.proxy.drained());
         let ended = self.proxy.done.recv();
         futures::pin_mut!(left, ended);
         futures::future::select(left, ended).await;
         let cut = self.proxy.in_flight.load(Ordering::Acquire);
         if cut > 0 {
-            tracing::warn!(target: "hemlockfield::node", cut, "requests in flight are cut");
+            tracing::warn!(target: "hemlockfield::node", cut, "requests in flight were cut");
         }
         self.stop.close();
         self.control.send(Input::Stop).await;
@@ -220,22 +222,22 @@
 }
 
 impl Leaving {
-    /// Leaves the callers' lists, then ends when nothing needs this process any more.
+    /// Withdraws the process from the callers' lists and stops it once it has drained.
     pub fn drain(&self) {
         if self.control.try_send(Input::Drain).is_err() {
-            tracing::warn!(target: "hemlockfield::node", "control is not told of the leaving");
+            tracing::warn!(target: "hemlockfield::node", "drain not sent to the control thread");
         }
         self.proxy.request_drain();
     }
 
-    /// Takes over what settings may change while the process runs: its seeds.
+    /// Applies the settings that may change while the process runs, which are its seeds.
     pub fn reload(&self, settings: &Settings) {
-        if self.control.try_send(Input::Seeds(make::seed_ids(settings))).is_err() {
-            tracing::warn!(target: "hemlockfield::node", "control is not told of the settings");
+        if self.control.try_send(Input::Seeds(builder::seed_ids(settings))).is_err() {
+            tracing::warn!(target: "hemlockfield::node", "settings not sent to the control thread");
         }
     }
 
-    /// Ends at once.
+    /// Stops the process at once, without draining.
     pub fn end_now(&self) {
         self.proxy.request_drain();
         self.stop.close();
@@ -248,22 +250,22 @@
     bound.map(Some).map_err(|source| Error::Listen { address, source })
 }
 
-fn address_of(listener: &TcpListener) -> Result<SocketAddr, Error> {
-    let none = SocketAddr::from(([0, 0, 0, 0], 0));
-    listener.local_addr().map_err(|source| Error::Listen { address: none, source })
+fn local_address(listener: &TcpListener) -> Result<SocketAddr, Error> {
+    let unknown = SocketAddr::from(([0, 0, 0, 0], 0));
+    listener.local_addr().map_err(|source| Error::Listen { address: unknown, source })
 }
 
-fn journal(settings: &Settings) -> Result<Journal, Error> {
+fn open_journal(settings: &Settings) -> Result<Journal, Error> {
     let id = settings.node.id.clone();
     let Some(path) = &settings.timeline else { return Ok(Journal::new(id, Arc::new(Nowhere))) };
-    // Opening the file says what is wrong where the folder can't be made.
+    // If the folder can't be created, opening the file reports the cause.
     path.parent().and_then(|folder| std::fs::create_dir_all(folder).ok());
     let recorder = FileRecorder::open(path)?;
     let last = recorder.last();
     let journal = Journal::new(id, Arc::new(recorder));
-    // A VM's clock that was set back over a restart must not put this run before the last.
+    // If the VM's clock was set back, this run's events must not sort before the last run's.
     if let Some(last) = last {
-        journal.observe(last, wall());
+        journal.observe(last, wall_clock());
     }
     Ok(journal)
 }
--- a/src/node/office.rs
+++ b/src/node/office.rs
@@ -25,7 +25,7 @@
 
 use super::snapshot::Body;
 use super::snapshot::Command;
-use super::snapshot::Image;
+use super::snapshot::Snapshot;
 
 /// Applied entries after which the log is shortened: a restart replays at most these.
 const SNAPSHOT_AFTER: Index = 5_000;
@@ -521,7 +521,7 @@
     }
 
     fn install(&mut self, snapshot: &quorum::Snapshot, outputs: &mut Vec<Output>) {
-        let Some(image) = Image::decode(&snapshot.bytes) else {
+        let Some(image) = Snapshot::decode(&snapshot.bytes) else {
             tracing::error!(target: "hemlockfield::quorum", "snapshot can't be read");
             return;
         };
@@ -541,7 +541,7 @@
             return;
         }
         self.snapshot_at = self.applied;
-        let image = Image::encode(&self.book, &self.ledger, &self.catalog, &self.quotas);
+        let image = Snapshot::encode(&self.book, &self.ledger, &self.catalog, &self.quotas);
         let Some(bytes) = image else { return };
         let index = self.applied;
         self.tell(now, quorum::Input::Snapshot { index, bytes }, outputs);
--- a/src/node/operators.rs
+++ b/src/node/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' side by HTTP: status, submissions, announcements, changes of control.
+//! HTTP API for operators: status, configuration, announcements and membership of the quorum.
 
 use std::sync::Arc;
 
@@ -24,12 +24,12 @@
 use super::Input;
 use super::traffic::Proxy;
 
-/// Largest configuration, in bytes: 4,200 routes and 37,000 teams are about 1.5 MB.
-const DOCUMENT_MAX: usize = 8 * 1024 * 1024;
+/// Largest configuration, in bytes: 4,200 routes and 37,000 teams take about 1.5 MB.
+const MAX_CONFIGURATION_BYTES: usize = 8 * 1024 * 1024;
 /// Largest announcement, in bytes.
-const ANNOUNCEMENT_MAX: usize = 16 * 1024;
+const MAX_ANNOUNCEMENT_BYTES: usize = 16 * 1024;
 
-/// State of the operators' side.
+/// State of the operator API.
 #[derive(Clone)]
 pub(super) struct Operators {
     pub(super) control: Inbox,
@@ -37,12 +37,12 @@
 }
 
 #[derive(Deserialize)]
-struct Submission {
+struct SubmissionQuery {
     submission: SubmissionId,
 }
 
 #[derive(Deserialize)]
-struct Members {
+struct MembersQuery {
     add: Option<NodeId>,
     disk: Option<DiskId>,
     promote: Option<NodeId>,
@@ -50,17 +50,17 @@
 }
 
 #[derive(Deserialize)]
-struct Caller {
+struct EntriesQuery {
     caller: Option<crate::id::CallerId>,
 }
 
-/// What an operator reads of a verdict.
+/// Answer to a submitted configuration.
 #[derive(Serialize)]
-struct Told {
+struct SubmissionReply {
     verdict: Verdict,
 }
 
-/// The operators' routes.
+/// Builds the routes of the operator API.
 pub(super) fn app(operators: Operators) -> tide::Server<Operators> {
     let mut app = tide::with_state(operators);
     app.at("/v1/status").get(status);
@@ -74,9 +74,9 @@
 
 async fn status(request: Request<Operators>) -> tide::Result {
     let (sender, receiver) = bounded(1);
-    let status = ask(request.state(), Input::Status(sender), &receiver).await?;
+    let status = request_answer(request.state(), Input::Status(sender), &receiver).await?;
     let text = serde_json::to_string_pretty(&status)?;
-    Ok(json(StatusCode::Ok, text))
+    Ok(json_response(StatusCode::Ok, text))
 }
 
 async fn submit(mut request: Request<Operators>) -> tide::Result {
@@ -84,27 +84,29 @@
         Ok(number) if number > 0 => number,
         _ => {
             let text = format!("`{}` is not a number above 0", request.param("number")?);
-            return Ok(text_of(StatusCode::BadRequest, text));
+            return Ok(text_response(StatusCode::BadRequest, text));
         }
     };
-    let submission: Submission = match request.query() {
+    let submission: SubmissionQuery = match request.query() {
         Ok(submission) => submission,
         Err(_) => {
             let text = "`submission` is missing; name this submission, so that it can be resent";
-            return Ok(text_of(StatusCode::BadRequest, text));
+            return Ok(text_response(StatusCode::BadRequest, text));
         }
     };
-    if request.len().is_none_or(|length| length > DOCUMENT_MAX) {
-        let text = format!("a configuration of at most `{DOCUMENT_MAX}` bytes is needed");
-        return Ok(text_of(StatusCode::PayloadTooLarge, text));
+    if request.len().is_none_or(|length| length > MAX_CONFIGURATION_BYTES) {
+        let text =
+            format!("a configuration of at most `{MAX_CONFIGURATION_BYTES}` bytes is needed");
+        return Ok(text_response(StatusCode::PayloadTooLarge, text));
     }
     let document = request.body_string().await?;
     if let Err(error) = Rules::parse(&document) {
-        return Ok(text_of(StatusCode::UnprocessableEntity, error.to_string()));
+        return Ok(text_response(StatusCode::UnprocessableEntity, error.to_string()));
     }
     let version = Version::new(number, submission.submission, &document);
     let (sender, receiver) = bounded(1);
-    let verdict = ask(request.state(), Input::Submit(version, sender), &receiver).await?;
+    let verdict =
+        request_answer(request.state(), Input::Submit(version, sender), &receiver).await?;
     let status = match &verdict {
         Verdict::Accepted(_) | Verdict::AlreadyAccepted(_) => StatusCode::Ok,
         Verdict::Refused { .. } | Verdict::Reused(_) => StatusCode::Conflict,
@@ -114,81 +116,85 @@
         | Verdict::Readable(_)
         | Verdict::Unconfirmed => StatusCode::ServiceUnavailable,
     };
-    Ok(json(status, serde_json::to_string(&Told { verdict })?))
+    Ok(json_response(status, serde_json::to_string(&SubmissionReply { verdict })?))
 }
 
 async fn drain(request: Request<Operators>) -> tide::Result {
-    tell(request.state(), Input::Drain).await?;
+    send(request.state(), Input::Drain).await?;
     request.state().proxy.request_drain();
-    Ok(text_of(StatusCode::Ok, "leaving"))
+    Ok(text_response(StatusCode::Ok, "leaving"))
 }
 
 async fn members(request: Request<Operators>) -> tide::Result {
-    let members: Members = request.query()?;
+    let members: MembersQuery = request.query()?;
     let change = match (members.add, members.disk, members.promote, members.remove) {
         (Some(node), Some(disk), None, None) => Change::AddLearner { disk, node },
         (None, None, Some(node), None) => Change::Promote { node },
         (None, None, None, Some(node)) => Change::Remove { node },
         _ => {
             let text = "one of `add` with `disk`, `promote` or `remove` is needed";
-            return Ok(text_of(StatusCode::BadRequest, text));
+            return Ok(text_response(StatusCode::BadRequest, text));
         }
     };
     let (sender, receiver) = bounded(1);
-    let changed = ask(request.state(), Input::Change(change, sender), &receiver).await?;
+    let changed = request_answer(request.state(), Input::Change(change, sender), &receiver).await?;
     Ok(match changed {
-        Ok(index) => text_of(StatusCode::Ok, format!("done at `{index}`")),
-        Err(reason) => text_of(StatusCode::Conflict, reason),
+        Ok(index) => text_response(StatusCode::Ok, format!("done at `{index}`")),
+        Err(reason) => text_response(StatusCode::Conflict, reason),
     })
 }
 
 async fn announce(mut request: Request<Operators>) -> tide::Result {
-    if request.len().is_none_or(|length| length > ANNOUNCEMENT_MAX) {
-        let text = format!("an announcement of at most `{ANNOUNCEMENT_MAX}` bytes is needed");
-        return Ok(text_of(StatusCode::PayloadTooLarge, text));
+    if request.len().is_none_or(|length| length > MAX_ANNOUNCEMENT_BYTES) {
+        let text = format!("an announcement of at most `{MAX_ANNOUNCEMENT_BYTES}` bytes is needed");
+        return Ok(text_response(StatusCode::PayloadTooLarge, text));
     }
     let body = request.body_bytes().await?;
     let announcement: Announcement = match serde_json::from_slice(&body) {
         Ok(announcement) => announcement,
         Err(error) => {
             let text = format!("announcement can't be read: {error}");
-            return Ok(text_of(StatusCode::BadRequest, text));
+            return Ok(text_response(StatusCode::BadRequest, text));
         }
     };
     let (sender, receiver) = bounded(1);
     let input = Input::Announce(announcement, sender);
-    Ok(match ask(request.state(), input, &receiver).await? {
-        Ok(()) => text_of(StatusCode::Ok, "announced"),
-        Err(reason) => text_of(StatusCode::Conflict, reason),
+    Ok(match request_answer(request.state(), input, &receiver).await? {
+        Ok(()) => text_response(StatusCode::Ok, "announced"),
+        Err(reason) => text_response(StatusCode::Conflict, reason),
     })
 }
 
 async fn entries(request: Request<Operators>) -> tide::Result {
-    let caller: Caller = request.query()?;
-    let answer = request.state().proxy.entries(&caller.caller.unwrap_or_default());
-    Ok(json(StatusCode::Ok, serde_json::to_string(&answer)?))
+    let query: EntriesQuery = request.query()?;
+    let answer = request.state().proxy.entries(&query.caller.unwrap_or_default());
+    Ok(json_response(StatusCode::Ok, serde_json::to_string(&answer)?))
 }
 
-async fn ask<T>(state: &Operators, input: Input, answer: &Receiver<T>) -> tide::Result<T> {
-    tell(state, input).await?;
+async fn request_answer<T>(
+    state: &Operators,
+    input: Input,
+    answer: &Receiver<T>,
+) -> tide::Result<T> {
+    send(state, input).await?;
     Ok(answer.recv().await?)
 }
 
-async fn tell(state: &Operators, input: Input) -> tide::Result<()> {
+async fn send(state: &Operators, input: Input) -> tide::Result<()> {
     if state.control.send(input).await {
         return Ok(());
     }
     Err(tide::Error::from_str(StatusCode::ServiceUnavailable, "the process ends"))
 }
 
-fn json(status: StatusCode, text: String) -> Response {
+fn json_response(status: StatusCode, text: String) -> Response {
     let mut response = Response::new(status);
     response.set_body(Body::from_string(text));
     response.set_content_type(tide::http::mime::JSON);
     response
 }
 
-fn text_of(status: StatusCode, text: impl Into<String>) -> Response {
+fn text_response(status: StatusCode, text: impl Into<String>) -> Response {
     let mut response = Response::new(status);
     response.set_body(format!("{}\n", text.into()));
     response
--- a/src/node/probe.rs
+++ b/src/node/probe.rs
@@ -15,12 +15,12 @@
 use super::Inbox;
 use super::Input;
 
-/// By which an upstream says, on any answer, that it is leaving.
+/// Header of any answer by which an upstream reports that it is draining.
 pub(super) const DRAINING_HEADER: &str = "x-draining";
-/// Longest that a report may take; it usually takes 25 ms.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// Timeout of a probe, which usually takes 25 ms.
+const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Asks an upstream for its own report, and tells control.
+/// Requests an upstream's health report and sends the result to the control thread.
 pub(super) async fn probe(
     control: Inbox,
     address: SocketAddr,
@@ -28,23 +28,23 @@
     service: ServiceId,
     upstream: UpstreamId,
 ) {
-    let asked = timeout(PATIENCE, ask(address, &path)).await.ok().flatten();
-    let draining = asked.as_ref().map(is_draining);
-    let healthy = asked.is_some_and(|response| response.is_success());
+    let report = timeout(TIMEOUT, fetch_report(address, &path)).await.ok().flatten();
+    let draining = report.as_ref().map(is_draining);
+    let healthy = report.is_some_and(|response| response.is_success());
     let probed = Input::Probed { draining, healthy, service, upstream };
     if control.try_send(probed).is_err() {
-        tracing::debug!(target: "hemlockfield::health", "a report is lost: control is busy");
+        tracing::debug!(target: "hemlockfield::health", "probe result dropped: control is busy");
     }
 }
 
-/// Whether an answer says that its upstream is leaving.
+/// Whether an answer reports that its upstream is draining.
 pub(super) fn is_draining(response: &Response) -> bool {
     response.header(DRAINING_HEADER) == Some("true")
 }
 
-async fn ask(address: SocketAddr, path: &str) -> Option<Response> {
-    let timeouts = Timeouts { connect: PATIENCE, first_byte: PATIENCE, idle: PATIENCE };
-    let connection = Connection::connect(address, PATIENCE).await.ok()?;
+async fn fetch_report(address: SocketAddr, path: &str) -> Option<Response> {
+    let timeouts = Timeouts { connect: TIMEOUT, first_byte: TIMEOUT, idle: TIMEOUT };
+    let connection = Connection::connect(address, TIMEOUT).await.ok()?;
     let mut request = Request::new(Method::GET, path);
     request.set_header(http::header::HOST, address.to_string());
     let mut answer = connection.send(request, timeouts).await.ok()?;
--- a/src/node/snapshot.rs
+++ b/src/node/snapshot.rs
@@ -7,44 +7,44 @@
 use crate::config;
 use crate::quota;
 
-/// One entry of the quorum log, as the application reads it.
+/// Application command in an entry of the quorum log.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(super) struct Command {
-    /// Proposer's wall clock.
+    /// Wall clock of the proposer.
     pub(super) at: Epoch,
     pub(super) body: Body,
 }
 
-/// What a command changes.
+/// Change made by a command.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(super) enum Body {
     Claims(claim::Command),
     Config(config::Command),
-    /// About an upstream.
+    /// Change of an announced upstream.
     Catalog(catalog::Action),
-    /// About parts of allowances.
+    /// Changes of granted quota.
     Quota(Vec<quota::Action>),
 }
 
-/// Everything that the quorum log has brought about.
+/// Application state that results from the quorum log.
 #[derive(Debug)]
-pub(super) struct Image {
+pub(super) struct Snapshot {
     pub(super) book: config::Book,
     pub(super) catalog: catalog::Catalog,
     pub(super) ledger: claim::Ledger,
     pub(super) quotas: quota::Ledger,
 }
 
-/// The first part of an image as a snapshot holds it; parts of allowances follow. Snapshots of
-/// processes that know of none end here.
+/// First part of an encoded snapshot; the quotas follow it. Snapshots by builds without quotas
+/// end here.
 #[derive(Debug, Deserialize, Serialize)]
-struct Head {
+struct Header {
     book: Vec<u8>,
     ledger: Vec<u8>,
     catalog: catalog::Catalog,
 }
 
-impl Image {
+impl Snapshot {
     pub(super) fn encode(
         book: &config::Book,
         ledger: &claim::Ledger,
@@ -52,22 +52,22 @@
         quotas: &quota::Ledger,
     ) -> Option<Vec<u8>> {
         let (book, ledger) = (book.encode().ok()?, ledger.encode().ok()?);
-        let head = Head { book, ledger, catalog: catalog.clone() };
-        let mut bytes = postcard::to_stdvec(&head).ok()?;
+        let header = Header { book, ledger, catalog: catalog.clone() };
+        let mut bytes = postcard::to_stdvec(&header).ok()?;
         bytes.extend(postcard::to_stdvec(quotas).ok()?);
         Some(bytes)
     }
 
     pub(super) fn decode(bytes: &[u8]) -> Option<Self> {
-        let (head, rest): (Head, &[u8]) = postcard::take_from_bytes(bytes).ok()?;
+        let (header, rest): (Header, &[u8]) = postcard::take_from_bytes(bytes).ok()?;
         let quotas = match rest {
             [] => quota::Ledger::default(),
             rest => postcard::from_bytes(rest).ok()?,
         };
         Some(Self {
-            book: config::Book::decode(&head.book).ok()?,
-            catalog: head.catalog,
-            ledger: claim::Ledger::decode(&head.ledger).ok()?,
+            book: config::Book::decode(&header.book).ok()?,
+            catalog: header.catalog,
+            ledger: claim::Ledger::decode(&header.ledger).ok()?,
             quotas,
         })
     }
--- a/src/node/status.rs
+++ b/src/node/status.rs
@@ -18,20 +18,20 @@
 use super::Carrier;
 use super::traffic::Proxy;
 
-/// What a process knows, for operators.
+/// Status of a process, for operators.
 #[derive(Clone, Debug, Serialize)]
 pub struct Status {
-    /// Its name.
+    /// Id of the process.
     pub id: NodeId,
-    /// Configuration in force here.
+    /// Configuration in force.
     pub configuration: Option<Configuration>,
-    /// What it may do with callers.
+    /// Whether it may serve callers.
     pub standing: Standing,
     /// Requests in flight.
     pub in_flight: usize,
     /// Claims that control has not confirmed yet.
     pub open_claims: usize,
-    /// Outcomes that the control thread was too busy for.
+    /// Request outcomes dropped because the control thread was too busy.
     pub lost_outcomes: u64,
     /// Links to other processes.
     pub links: Option<link::Status>,
@@ -39,7 +39,7 @@
     pub members: Vec<Member>,
     /// Upstreams by service.
     pub services: BTreeMap<ServiceId, Vec<Upstream>>,
-    /// Requests that wait for their turn, by service.
+    /// Queued requests by service.
     pub queues: BTreeMap<ServiceId, usize>,
     /// The replicated log, on a control.
     pub control: Option<Control>,
@@ -48,20 +48,20 @@
 /// A configuration in force.
 #[derive(Clone, Debug, Serialize)]
 pub struct Configuration {
-    /// Its number.
+    /// Number of the configuration.
     pub number: ConfigNumber,
-    /// The submission that brought it.
+    /// Submission that it came from.
     pub submission: SubmissionId,
 }
 
-/// A control's part.
+/// Status of the replicated log on a control.
 #[derive(Clone, Debug, Serialize)]
 pub struct Control {
-    /// Idempotency keys remembered.
+    /// Stored idempotency keys.
     pub claims: usize,
-    /// The log and its members.
+    /// State of the log and its members.
     pub log: Option<quorum::Status>,
-    /// Why control stopped here, if it did.
+    /// Reason why the log stopped on this control.
     pub stopped: Option<String>,
 }
 
@@ -70,22 +70,22 @@
 pub struct Member {
     /// Its failure domain.
     pub domain: DomainId,
-    /// Its name.
+    /// Id of the member.
     pub id: NodeId,
-    /// What it does with callers.
+    /// Whether it serves callers.
     pub state: fleet::State,
-    /// What it is taken for.
+    /// Whether it is considered alive.
     pub status: fleet::Status,
 }
 
-/// An upstream.
+/// Status of an upstream.
 #[derive(Clone, Debug, Serialize)]
 pub struct Upstream {
-    /// Whether it may get new work, as far as its lease and its own word go.
+    /// Whether it may get new requests by its lease and the state that it announced.
     pub usable: bool,
-    /// Its name.
+    /// Id of the upstream.
     pub upstream: UpstreamId,
-    /// What this process holds of its health.
+    /// Health verdict of this process.
     pub verdict: health::Status,
 }
 
@@ -108,7 +108,7 @@
     }
 }
 
-/// What the control state says of itself.
+/// Part of the status that comes from the control state.
 #[derive(Debug)]
 pub(super) struct Report {
     pub(super) configuration: Option<Configuration>,
--- a/src/node/thread.rs
+++ b/src/node/thread.rs
@@ -1,4 +1,4 @@
-//! The control thread: carries inputs to the core, and its outputs to disk and network.
+//! The control thread: feeds inputs to the control state and carries out its outputs.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -33,63 +33,64 @@
 use super::held::Held;
 use super::inbox::Outbox;
 use super::input::Claimed;
-use super::machine::Machine;
 use super::probe::probe;
+use super::state_machine::StateMachine;
 use super::traffic::Observation;
 use super::traffic::Proxy;
 use super::traffic::Trial;
 
-/// Inputs that are taken before the disk is synced once for all of them.
-const BATCH: usize = 512;
-/// Pause before a failed disk is tried again.
-const REOPEN: Duration = Duration::from_secs(1);
-/// Longest sleep: a machine that names no time is asked once a second.
-const TICK_MAX: Duration = Duration::from_secs(1);
-/// Shortest time between two ticks: bounds what ticks cost.
-const TICK_MIN: Duration = Duration::from_millis(2);
-/// Times that a view's making must be followed by, as rest: at thousands of upstreams one
-/// takes milliseconds, and views may cost no more than a fiftieth of a core.
-const VIEW_SHARE: u32 = 50;
-/// Longest time between two views: a tenth of the 3 s after which an upstream that leaves
-/// must get no new work.
-const VIEW_MAX: Duration = Duration::from_millis(300);
-/// Shortest time between two views: a burst of changes makes one.
-const VIEW_MIN: Duration = Duration::from_millis(20);
+/// Most inputs handled before one sync of the disk for all of them.
+const MAX_BATCH: usize = 512;
+/// Delay before a log closed by a disk failure is opened again.
+const REOPEN_DELAY: Duration = Duration::from_secs(1);
+/// Longest time between two ticks, in case the control state schedules none.
+const MAX_TICK_INTERVAL: Duration = Duration::from_secs(1);
+/// Shortest time between two ticks, which limits their CPU cost.
+const MIN_TICK_INTERVAL: Duration = Duration::from_millis(2);
+/// Pause after building a view, as a multiple of the time it took. With thousands of
+/// upstreams a view takes milliseconds; views may use at most a fiftieth of a CPU core.
+const VIEW_PAUSE_FACTOR: u32 = 50;
+/// Longest time between two views: a tenth of the 3 s within which a draining upstream
+/// must stop getting new requests.
+const MAX_VIEW_PAUSE: Duration = Duration::from_millis(300);
+/// Shortest time between two views, so that a burst of changes is published once.
+const MIN_VIEW_PAUSE: Duration = Duration::from_millis(20);
 
-/// Opens the log again.
+/// Reopens the log after a disk failure.
 pub(super) type Opener = Box<dyn Fn() -> Result<(Office, Log), Error> + Send>;
 
 /// State of the control thread.
 pub(super) struct Thread {
     pub(super) carrier: Box<dyn Carrier>,
-    /// For what asks an upstream on this thread's behalf.
+    /// Time at which a disk failure closed the log.
     pub(super) closed_at: Option<Moment>,
+    /// Returns the results of probes to this thread.
     pub(super) control: Inbox,
     pub(super) held: Option<Held>,
     pub(super) inbox: Outbox,
     pub(super) journal: Arc<Journal>,
     pub(super) log: Option<Log>,
-    pub(super) machine: Box<dyn Machine>,
+    pub(super) state: Box<dyn StateMachine>,
     pub(super) opener: Option<Opener>,
     pub(super) proxy: Arc<Proxy>,
     pub(super) started: Instant,
     pub(super) tickets: Tickets,
 }
 
-/// Who waits for an answer, by ticket.
+/// Senders that wait for an answer, by ticket.
 #[derive(Default)]
 pub(super) struct Tickets {
-    announced: BTreeMap<u64, Sender<Result<(), String>>>,
-    changed: BTreeMap<u64, Sender<Result<u64, String>>>,
-    claimed: BTreeMap<u64, Sender<Claimed>>,
-    granted: BTreeMap<u64, Sender<quota::Grant>>,
+    announcements: BTreeMap<u64, Sender<Result<(), String>>>,
+    changes: BTreeMap<u64, Sender<Result<u64, String>>>,
+    claims: BTreeMap<u64, Sender<Claimed>>,
+    grants: BTreeMap<u64, Sender<quota::Grant>>,
     next: u64,
-    read: BTreeMap<u64, Sender<Option<Option<Version>>>>,
+    reads: BTreeMap<u64, Sender<Option<Option<Version>>>>,
     verdicts: BTreeMap<u64, Sender<Verdict>>,
 }
 
 impl Thread {
-    /// Works until the process ends.
+    /// Runs until the process stops.
     pub(super) fn run(mut self) {
         let mut tick_at = Moment::ZERO;
         let mut view_at = Moment::ZERO;
@@ -98,7 +99,7 @@
             let mut batch = Batch::default();
             match self.inbox.receive(wait) {
                 Ok(Some(input)) => {
-                    if self.take_all(input, &mut batch) {
+                    if self.handle_all(input, &mut batch) {
                         self.flush(batch);
                         return;
                     }
@@ -113,28 +114,29 @@
             }
             self.flush(batch);
             self.reopen(now);
-            tick_at = self.machine.wake(now).clamp(now + TICK_MIN, now + TICK_MAX);
+            tick_at =
+                self.state.next_at(now).clamp(now + MIN_TICK_INTERVAL, now + MAX_TICK_INTERVAL);
             if now >= view_at {
                 let cost = self.publish(now);
-                view_at = now + (cost * VIEW_SHARE).clamp(VIEW_MIN, VIEW_MAX);
+                view_at = now + (cost * VIEW_PAUSE_FACTOR).clamp(MIN_VIEW_PAUSE, MAX_VIEW_PAUSE);
             } else {
                 tick_at = tick_at.min(view_at);
             }
         }
     }
 
-    /// Takes what has come, up to a batch; whether the process ends.
-    fn take_all(&mut self, first: Input, batch: &mut Batch) -> bool {
+    /// Handles the waiting inputs, up to a batch. Returns whether the process stops.
+    fn handle_all(&mut self, first: Input, batch: &mut Batch) -> bool {
         let mut next = Some(first);
         let mut count = 0;
         while let Some(input) = next {
             let stops = matches!(input, Input::Stop);
-            self.take(input, batch);
+            self.handle(input, batch);
             if stops {
                 return true;
             }
             count += 1;
-            next = if count < BATCH { self.inbox.try_receive() } else { None };
+            next = if count < MAX_BATCH { self.inbox.try_receive() } else { None };
         }
         false
     }
@@ -157,50 +159,50 @@
         }
     }
 
-    /// Takes up the log again that was given up when the disk failed.
+    /// Reopens the log some time after a disk failure closed it.
     fn reopen(&mut self, now: Moment) {
-        let due = self.closed_at.is_some_and(|at| now >= at + REOPEN);
+        let due = self.closed_at.is_some_and(|at| now >= at + REOPEN_DELAY);
         let Some(opener) = self.opener.as_ref().filter(|_| due) else { return };
         match opener() {
             Ok((office, log)) => {
-                tracing::info!(target: "hemlockfield::storage", "the disk is back");
+                tracing::info!(target: "hemlockfield::storage", "log reopened");
                 self.closed_at = None;
                 self.log = Some(log);
-                self.machine.open_office(office);
+                self.state.open_office(office);
             }
             Err(error) => {
-                tracing::warn!(target: "hemlockfield::storage", "the disk is not back: {error}");
+                tracing::warn!(target: "hemlockfield::storage", "log can't be reopened: {error}");
                 self.closed_at = Some(now);
             }
         }
     }
 
-    fn take(&mut self, input: Input, batch: &mut Batch) {
+    fn handle(&mut self, input: Input, batch: &mut Batch) {
         let input = match input {
             Input::Announce(announcement, sender) => {
                 let ticket = self.tickets.next();
-                self.tickets.announced.insert(ticket, sender);
+                self.tickets.announcements.insert(ticket, sender);
                 core::Input::Announce(ticket, announcement)
             }
             Input::Change(change, sender) => {
                 let ticket = self.tickets.next();
-                self.tickets.changed.insert(ticket, sender);
+                self.tickets.changes.insert(ticket, sender);
                 core::Input::Change(ticket, change)
             }
             Input::Claim(ticket, request, budget, sender) => {
-                self.tickets.claimed.insert(ticket, sender);
+                self.tickets.claims.insert(ticket, sender);
                 core::Input::Claim(ticket, request, self.now() + budget)
             }
             Input::ClaimEnd(ticket, outcome) => core::Input::ClaimEnd(ticket, outcome),
             Input::Catalog(action, sender) => {
                 let ticket = self.tickets.next();
-                self.tickets.announced.insert(ticket, sender);
+                self.tickets.announcements.insert(ticket, sender);
                 core::Input::Catalog(ticket, action)
             }
             Input::Drain => core::Input::Drain,
             Input::Frame(from, bytes) => match Envelope::decode(&bytes) {
                 Ok(envelope) => {
-                    self.journal.observe(envelope.stamp, wall());
+                    self.journal.observe(envelope.stamp, wall_clock());
                     core::Input::Frame(from, envelope.frame)
                 }
                 Err(error) => {
@@ -216,19 +218,19 @@
             }
             Input::Quota(ask, sender) => {
                 let ticket = self.tickets.next();
-                self.tickets.granted.retain(|_, sender| !sender.is_closed());
-                self.tickets.granted.insert(ticket, sender);
+                self.tickets.grants.retain(|_, sender| !sender.is_closed());
+                self.tickets.grants.insert(ticket, sender);
                 core::Input::Quota(ticket, ask)
             }
             Input::Read(sender) => {
                 let ticket = self.tickets.next();
-                self.tickets.read.insert(ticket, sender);
+                self.tickets.reads.insert(ticket, sender);
                 core::Input::Read(ticket)
             }
             Input::Seeds(seeds) => core::Input::Seeds(seeds),
             Input::Wake => return,
             Input::Status(sender) => {
-                // What operators read as in force is so for callers too.
+                // The status must not be newer than the view that callers are served by.
                 self.publish(self.now());
                 sender.try_send(self.status()).ok();
                 return;
@@ -245,7 +247,7 @@
 
     fn step(&mut self, input: core::Input, batch: &mut Batch) {
         let now = self.now();
-        let outputs = self.machine.handle(now, wall(), input);
+        let outputs = self.state.handle(now, wall_clock(), input);
         for output in outputs {
             self.carry_out(output, batch);
         }
@@ -254,7 +256,7 @@
     fn carry_out(&mut self, output: core::Output, batch: &mut Batch) {
         match output {
             core::Output::Announced(ticket, result) => {
-                answer(self.tickets.announced.remove(&ticket), result);
+                answer(self.tickets.announcements.remove(&ticket), result);
             }
             core::Output::Apply(version) => {
                 if let Some(held) = &mut self.held {
@@ -262,14 +264,14 @@
                 }
             }
             core::Output::Changed(ticket, result) => {
-                answer(self.tickets.changed.remove(&ticket), result);
+                answer(self.tickets.changes.remove(&ticket), result);
             }
             core::Output::Claimed(ticket, claimed) => {
-                answer(self.tickets.claimed.remove(&ticket), claimed);
+                answer(self.tickets.claims.remove(&ticket), claimed);
             }
             core::Output::Event(event) => self.record(event),
             core::Output::Granted(ticket, grant) => {
-                answer(self.tickets.granted.remove(&ticket), grant);
+                answer(self.tickets.grants.remove(&ticket), grant);
             }
             core::Output::Persist(number, records) => batch.persist(number, records),
             core::Output::Probe { address, path, service, upstream } => {
@@ -277,10 +279,10 @@
                 runtime::spawn(probe(control, address, path, service, upstream));
             }
             core::Output::Read(ticket, version) => {
-                answer(self.tickets.read.remove(&ticket), version);
+                answer(self.tickets.reads.remove(&ticket), version);
             }
             core::Output::Send(to, address, frame) => {
-                let stamp = self.journal.stamp(wall());
+                let stamp = self.journal.stamp(wall_clock());
                 match (Envelope { frame, stamp }).encode() {
                     Ok(bytes) => self.carrier.send(&to, address, bytes),
                     Err(error) => tracing::error!(target: "hemlockfield::link", "{error}"),
@@ -292,27 +294,27 @@
         }
     }
 
-    /// Syncs what the batch wants on disk, and goes on with what that allows.
+    /// Writes and syncs the records of the batch, then handles the syncs as inputs.
     fn flush(&mut self, mut batch: Batch) {
         while let Some(number) = batch.number.take() {
             let records = std::mem::take(&mut batch.records);
             let Some(log) = &mut self.log else { return };
             log.append(&records);
             if let Err(error) = log.sync() {
-                self.lose_disk(&error);
+                self.close_log(&error);
                 return;
             }
             self.step(core::Input::Synced(number), &mut batch);
         }
     }
 
-    /// Stops control's part: what a failed sync has kept, nobody can tell, so that
-    /// nothing may be voted or acknowledged on it. Callers are still served.
-    fn lose_disk(&mut self, error: &crate::storage::Error) {
-        tracing::error!(target: "hemlockfield::storage", "control stops here: {error}");
+    /// Closes the log after a failed sync. It is unknown which records such a sync has stored,
+    /// so that no vote or acknowledgement may rely on them. Callers are still served.
+    fn close_log(&mut self, error: &crate::storage::Error) {
+        tracing::error!(target: "hemlockfield::storage", "log closed: {error}");
         self.log = None;
         self.closed_at = Some(self.now());
-        self.machine.close_office(error.to_string());
+        self.state.close_office(error.to_string());
     }
 
     fn record(&self, event: Event) {
@@ -321,23 +323,23 @@
             self.proxy.metrics.count(&format!("{}.{by}", event.kind.name()));
         }
         let Event { vm: _, kind, .. } = event.clone();
-        self.journal.record(wall(), kind, |stamped| Event { stamp: stamped.stamp, ..event });
+        self.journal.record(wall_clock(), kind, |stamped| Event { stamp: stamped.stamp, ..event });
     }
 
-    /// Gives the traffic threads a new view where something has changed; tells what the
-    /// making of it took.
+    /// Publishes a new view to the traffic threads if something has changed. Returns the time
+    /// that it took.
     fn publish(&mut self, now: Moment) -> Duration {
-        if let Some(view) = self.machine.view(now, &self.proxy.view.load()) {
+        if let Some(view) = self.state.view(now, &self.proxy.view.load()) {
             self.proxy.set_view(view);
         }
         let cost = self.now().saturating_sub(now);
-        self.proxy.open_claims.store(self.machine.open_claims(), Ordering::Release);
-        self.carrier.keep(&self.machine.neighbours());
+        self.proxy.open_claims.store(self.state.open_claims(), Ordering::Release);
+        self.carrier.keep(&self.state.neighbours());
         cost
     }
 
     fn status(&self) -> Status {
-        Status::of(self.machine.report(self.now()), &self.proxy, self.carrier.as_ref())
+        Status::of(self.state.report(self.now()), &self.proxy, self.carrier.as_ref())
     }
 
     fn now(&self) -> Moment {
@@ -352,6 +354,7 @@
     }
 }
 
+/// Log records of a batch of inputs, which are synced together.
 #[derive(Default)]
 struct Batch {
     number: Option<u64>,
@@ -365,8 +368,8 @@
     }
 }
 
-/// Time since the Unix epoch, by this VM's clock.
-pub(super) fn wall() -> Epoch {
+/// Time since the Unix epoch by the VM's clock.
+pub(super) fn wall_clock() -> Epoch {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
 
--- a/src/node/view.rs
+++ b/src/node/view.rs
@@ -15,53 +15,53 @@
 use crate::rule::Rules;
 use crate::rule::ServiceState;
 
-/// What traffic threads know of control state, at one moment.
+/// Immutable snapshot of the control state, for the traffic threads.
 #[derive(Clone, Debug)]
 pub struct View {
-    /// Entries that callers may be told of.
+    /// Entries that may be listed to callers.
     pub entries: Arc<Vec<directory::Entry>>,
-    /// Whether this entry is leaving, and off the callers' lists.
+    /// Whether this entry is leaving and has been withdrawn from the callers' lists.
     pub leaving: bool,
-    /// Configuration in force.
+    /// Number of the configuration in force.
     pub number: Option<ConfigNumber>,
     /// Rules in force.
     pub rules: Option<Arc<Rules>>,
     /// Upstreams by service.
     pub services: BTreeMap<ServiceId, Arc<Service>>,
-    /// What this process may do with callers.
+    /// Whether this process may serve callers.
     pub standing: Standing,
 }
 
-/// The upstreams of one service, at one moment.
+/// Snapshot of the upstreams of one service.
 #[derive(Clone, Debug, Default)]
 pub struct Service {
     /// Addresses of its upstreams.
     pub addresses: HashMap<UpstreamId, SocketAddr>,
-    /// Entries that share the upstreams.
+    /// Number of entries that share the upstreams.
     pub entries: usize,
-    /// The upstreams as the balance sees them.
+    /// Upstreams as candidates of the load balancer.
     pub members: Vec<balance::Member>,
-    /// Entries that share the burst of further tries; `None` where this one has no part in it.
+    /// Number of entries that share the burst of retries; `None` if this one has no share.
     pub sharing: Option<usize>,
-    /// State that rules may ask for.
+    /// State of the service, which rules may match on.
     pub state: ServiceState,
-    /// Upstreams that get work only where no other has room.
+    /// Upstreams that get requests only if no other has a free slot.
     pub suspects: BTreeSet<UpstreamId>,
-    /// Upstreams that single requests may try, though they get no other work.
+    /// Upstreams that get no requests except for single trials.
     pub trials: Vec<Trial>,
-    /// Counts changes of this service.
+    /// Version of this snapshot; changes whenever the service does.
     pub version: u64,
-    /// Share of its usual work that each upstream should get, where that isn't all.
+    /// Share of its usual load for each upstream with less than its full share.
     pub weights: HashMap<UpstreamId, f64>,
 }
 
 impl View {
-    /// Whether there are rules that callers may be served by.
+    /// Whether callers are served: there are rules, and the standing allows it.
     pub(crate) fn serves(&self) -> bool {
         self.rules.is_some() && self.standing.serves()
     }
 
-    /// Whether these are the services that it has.
+    /// Whether `services` equal those of this view, apart from their versions.
     pub(super) fn has(&self, services: &BTreeMap<ServiceId, Service>) -> bool {
         services.len() == self.services.len()
             && services
@@ -70,7 +70,8 @@
                 .all(|((name, service), (other, before))| name == other && service.is_same(before))
     }
 
-    /// The services of the view that comes next; counts up the version of each that changed.
+    /// Services of the next view. Unchanged ones are reused; each changed one gets the next
+    /// `version`.
     pub(super) fn succeed(
         &self,
         services: BTreeMap<ServiceId, Service>,
@@ -94,7 +95,7 @@
 }
 
 impl Service {
-    /// Works out the state that rules may ask for.
+    /// Derives the state of the service from its upstreams' weights.
     pub(super) fn settle(&mut self, at_floor: bool) {
         let usable = self.members.len();
         let ejected = self.weights.values().filter(|weight| **weight <= 0.0).count();
--- a/tests/suite/core_fleet/site.rs
+++ b/tests/suite/core_fleet/site.rs
@@ -257,7 +257,7 @@
         }
         let now = self.now;
         let is_due = |(id, it): &(&NodeId, &Running)| {
-            let due = it.tick_at <= now || it.core.wake() <= now;
+            let due = it.tick_at <= now || it.core.next_at() <= now;
             due && !self.stopped.contains(*id)
         };
         let due: Vec<NodeId> =
