--- a/src/node/doors.rs
+++ b/src/node/doors.rs
@@ -12,8 +12,8 @@
 use async_std::net::TcpStream;
 use async_std::task;
 
-use super::Inbox;
 use super::Input;
+use super::InputSender;
 use super::traffic::Proxy;
 use crate::boundary::Done;
 use crate::boundary::Order;
@@ -39,7 +39,7 @@
 const PAUSE: Duration = Duration::from_millis(50);
 
 /// Serves one door.
-pub(super) async fn serve(listener: TcpListener, inbox: Inbox, proxy: Arc<Proxy>) {
+pub(super) async fn serve(listener: TcpListener, inbox: InputSender, proxy: Arc<Proxy>) {
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
@@ -53,7 +53,7 @@
     }
 }
 
-async fn connection(stream: TcpStream, peer: SocketAddr, inbox: Inbox, proxy: Arc<Proxy>) {
+async fn connection(stream: TcpStream, peer: SocketAddr, inbox: InputSender, proxy: Arc<Proxy>) {
     let mut reader = RequestReader::new(stream, peer);
     while let Some((request, mut writer)) = reader.next(IDLE).await {
         order(request, &mut writer, &inbox, &proxy).await;
@@ -64,7 +64,12 @@
     }
 }
 
-async fn order(mut request: Request, writer: &mut ResponseWriter, inbox: &Inbox, proxy: &Proxy) {
+async fn order(
+    mut request: Request,
+    writer: &mut ResponseWriter,
+    inbox: &InputSender,
+    proxy: &Proxy,
+) {
     let body = match Payload::take(&mut request, ORDER_MAX, ORDER_MAX, IDLE).await {
         Ok(Payload::Buffered(body)) => body,
         Ok(Payload::Stream(Some(mut body_reader), _)) => match body_reader.read_all().await {
@@ -91,7 +96,7 @@
     }
 }
 
-async fn carry_out(order: Order, inbox: &Inbox, proxy: &Proxy) -> Done {
+async fn carry_out(order: Order, inbox: &InputSender, proxy: &Proxy) -> Done {
     match order {
         Order::Announce(change) => announce(Action::Announce(*change), inbox).await,
         Order::Leave(upstream) => announce(Action::Leave(upstream), inbox).await,
@@ -105,7 +110,7 @@
     }
 }
 
-async fn announce(action: Action, inbox: &Inbox) -> Done {
+async fn announce(action: Action, inbox: &InputSender) -> Done {
     let (sender, receiver) = bounded(1);
     match ask(inbox, Input::Catalog(action, sender), &receiver).await {
         Some(Ok(())) => Done::Announced(None),
@@ -123,7 +128,7 @@
     Done::Entries(entries, proxy.settings.directory.lifetime)
 }
 
-async fn read(inbox: &Inbox) -> Done {
+async fn read(inbox: &InputSender) -> Done {
     let (sender, receiver) = bounded(1);
     match ask(inbox, Input::Read(sender), &receiver).await {
         Some(Some(version)) => Done::Configuration(version),
@@ -131,7 +136,7 @@
     }
 }
 
-async fn submit(version: crate::config::Version, inbox: &Inbox) -> Done {
+async fn submit(version: crate::config::Version, inbox: &InputSender) -> Done {
     let (sender, receiver) = bounded(1);
     match ask(inbox, Input::Submit(version, sender), &receiver).await {
         // One that is not higher than what is in force is overtaken, which is no error.
@@ -145,7 +150,7 @@
     }
 }
 
-async fn ask<T>(inbox: &Inbox, input: Input, answer: &Receiver<T>) -> Option<T> {
+async fn ask<T>(inbox: &InputSender, input: Input, answer: &Receiver<T>) -> Option<T> {
     if !inbox.send(input).await {
         return None;
     }
--- a/src/node/inbox.rs
+++ b/src/node/input_channel.rs
@@ -13,47 +13,47 @@
 
 /// Capacity of the channel: seconds of request outcomes at full load.
 const CAPACITY: usize = 10_000;
-/// Delay before [`Inbox::send`] tries again on a full channel.
+/// Delay before [`InputSender::send`] tries again on a full channel.
 const RETRY_DELAY: Duration = Duration::from_millis(5);
 
 /// Sending end. The receiving thread blocks in the kernel and not in an async reactor: on an
 /// idle process that costs one wake-up per input instead of three.
 #[derive(Clone, Debug)]
-pub struct Inbox {
+pub struct InputSender {
     sender: mpsc::Sender<Input>,
     waiting: Arc<AtomicUsize>,
 }
 
 /// Receiving end.
 #[derive(Debug)]
-pub(super) struct Outbox {
+pub(super) struct InputReceiver {
     receiver: mpsc::Receiver<Input>,
     waiting: Arc<AtomicUsize>,
 }
 
 /// Reason why an input was not sent.
 #[derive(Debug)]
-pub(super) enum Refused {
+pub(super) enum SendError {
     /// The control thread has ended.
     Closed,
     /// The channel is full; the input is returned.
     Full(Box<Input>),
 }
 
-impl Inbox {
-    pub(super) fn new() -> (Self, Outbox) {
+impl InputSender {
+    pub(super) fn new() -> (Self, InputReceiver) {
         let (sender, receiver) = mpsc::channel();
         let waiting = Arc::new(AtomicUsize::new(0));
-        (Self { sender, waiting: Arc::clone(&waiting) }, Outbox { receiver, waiting })
+        (Self { sender, waiting: Arc::clone(&waiting) }, InputReceiver { receiver, waiting })
     }
 
     /// Sends an input unless the channel is full.
-    pub(super) fn try_send(&self, input: Input) -> Result<(), Refused> {
+    pub(super) fn try_send(&self, input: Input) -> Result<(), SendError> {
         if self.waiting.load(Ordering::Relaxed) >= CAPACITY {
-            return Err(Refused::Full(Box::new(input)));
+            return Err(SendError::Full(Box::new(input)));
         }
         self.waiting.fetch_add(1, Ordering::Relaxed);
-        self.sender.send(input).map_err(|_| Refused::Closed)
+        self.sender.send(input).map_err(|_| SendError::Closed)
     }
 
     /// Sends an input, waiting while the channel is full. Returns `false` if the control thread
@@ -63,19 +63,19 @@
         loop {
             match self.try_send(next) {
                 Ok(()) => return true,
-                Err(Refused::Closed) => return false,
-                Err(Refused::Full(input)) => next = *input,
+                Err(SendError::Closed) => return false,
+                Err(SendError::Full(input)) => next = *input,
             }
             task::sleep(RETRY_DELAY).await;
         }
     }
 }
 
-impl Outbox {
+impl InputReceiver {
     /// Waits for the next input; `None` after `wait`, and an error once all senders are gone.
     pub(super) fn receive(&self, wait: Duration) -> Result<Option<Input>, ()> {
         match self.receiver.recv_timeout(wait) {
-            Ok(input) => Ok(Some(self.taken(input))),
+            Ok(input) => Ok(Some(self.release_slot(input))),
             Err(RecvTimeoutError::Timeout) => Ok(None),
             Err(RecvTimeoutError::Disconnected) => Err(()),
         }
@@ -83,10 +83,10 @@
 
     /// Returns the next input if there is one.
     pub(super) fn try_receive(&self) -> Option<Input> {
-        self.receiver.try_recv().ok().map(|input| self.taken(input))
+        self.receiver.try_recv().ok().map(|input| self.release_slot(input))
     }
 
-    fn taken(&self, input: Input) -> Input {
+    fn release_slot(&self, input: Input) -> Input {
         self.waiting.fetch_sub(1, Ordering::Relaxed);
         input
     }
--- a/src/node/links/plain.rs
+++ b/src/node/links/plain.rs
@@ -6,9 +6,9 @@
 use crate::link;
 use crate::node::Carrier;
 use crate::node::Error;
-use crate::node::Inbox;
 use crate::node::Input;
-use crate::node::inbox::Refused;
+use crate::node::InputSender;
+use crate::node::input_channel::SendError;
 use crate::settings::Settings;
 
 /// Largest frame that one datagram carries, in bytes.
@@ -22,7 +22,7 @@
     socket: UdpSocket,
 }
 
-pub(super) fn start(settings: &Settings, control: Inbox) -> Result<Box<dyn Carrier>, Error> {
+pub(super) fn start(settings: &Settings, control: InputSender) -> Result<Box<dyn Carrier>, Error> {
     tracing::warn!(target: "hemlockfield::link", "no keys: links are for trials on loopback");
     let address = settings.listen.links;
     let listen = |source| Error::Listen { address, source };
@@ -54,12 +54,12 @@
     }
 }
 
-fn read(socket: &UdpSocket, control: &Inbox) {
+fn read(socket: &UdpSocket, control: &InputSender) {
     let mut buffer = vec![0; DATAGRAM_MAX + 1];
     loop {
         let Ok((length, _)) = socket.recv_from(&mut buffer) else { continue };
         let Ok((from, bytes)) = postcard::from_bytes(&buffer[..length]) else { continue };
-        if let Err(Refused::Closed) = control.try_send(Input::Frame(from, bytes)) {
+        if let Err(SendError::Closed) = control.try_send(Input::Frame(from, bytes)) {
             return;
         }
     }
--- a/src/node/links/quic.rs
+++ b/src/node/links/quic.rs
@@ -10,8 +10,8 @@
 use crate::link::Endpoint;
 use crate::node::Carrier;
 use crate::node::Error;
-use crate::node::Inbox;
 use crate::node::Input;
+use crate::node::InputSender;
 use crate::settings::Keys;
 use crate::settings::Settings;
 
@@ -26,7 +26,7 @@
 pub(super) fn start(
     settings: &Settings,
     keys: &Keys,
-    control: Inbox,
+    control: InputSender,
 ) -> Result<Box<dyn Carrier>, Error> {
     let paths = Paths { authority: keys.authority.clone(), identity: keys.identity.clone() };
     let links = link::Settings::new(settings.node.id.clone(), settings.listen.links, paths);
--- a/src/node/links/stream.rs
+++ b/src/node/links/stream.rs
@@ -31,8 +31,8 @@
 use crate::link;
 use crate::node::Carrier;
 use crate::node::Error;
-use crate::node::Inbox;
 use crate::node::Input;
+use crate::node::InputSender;
 use crate::runtime;
 use crate::settings::Settings;
 
@@ -56,7 +56,7 @@
 }
 
 struct Shared {
-    control: Inbox,
+    control: InputSender,
     lines: Mutex<BTreeMap<NodeId, Arc<Line>>>,
     me: NodeId,
     port: u16,
@@ -78,7 +78,7 @@
     unanswered: Option<Instant>,
 }
 
-pub(super) fn start(settings: &Settings, control: Inbox) -> Result<Box<dyn Carrier>, Error> {
+pub(super) fn start(settings: &Settings, control: InputSender) -> Result<Box<dyn Carrier>, Error> {
     let address = settings.listen.links;
     let listen = |source| Error::Listen { address, source };
     let listener = std::net::TcpListener::bind(address).map_err(listen)?;
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -21,8 +21,8 @@
 use crate::wire::Verdict;
 
 use super::Error;
-use super::Inbox;
 use super::Input;
+use super::InputSender;
 use super::builder;
 use super::builder::Components;
 use super::doors;
@@ -41,7 +41,7 @@
 /// A running process.
 pub struct Node {
     callers: Option<SocketAddr>,
-    control: Inbox,
+    control: InputSender,
     ended: Receiver<()>,
     operators: Option<SocketAddr>,
     proxy: Arc<Proxy>,
@@ -52,7 +52,7 @@
 /// Handle to drain, stop or reconfigure a running process.
 #[derive(Clone)]
 pub struct Leaving {
-    control: Inbox,
+    control: InputSender,
     proxy: Arc<Proxy>,
     stop: Sender<()>,
 }
@@ -65,7 +65,7 @@
     /// Fails if an address, a key or the data folder can't be used.
     pub async fn start(settings: Settings, is_founding: bool) -> Result<Self, Error> {
         let started = Instant::now();
-        let (control, inbox) = Inbox::new();
+        let (control, inputs) = InputSender::new();
         let (stop, done) = unbounded::<()>();
         let callers = bind(settings.listen.callers).await?;
         let operators = bind(settings.listen.operators).await?;
@@ -102,7 +102,7 @@
             closed_at: None,
             control: control.clone(),
             held,
-            inbox,
+            inputs,
             journal,
             log,
             state,
--- a/src/node/operators.rs
+++ b/src/node/operators.rs
@@ -20,8 +20,8 @@
 use crate::rule::Rules;
 use crate::wire::Verdict;
 
-use super::Inbox;
 use super::Input;
+use super::InputSender;
 use super::traffic::Proxy;
 
 /// Largest configuration, in bytes: 4,200 routes and 37,000 teams take about 1.5 MB.
@@ -32,7 +32,7 @@
 /// State of the operator API.
 #[derive(Clone)]
 pub(super) struct Operators {
-    pub(super) control: Inbox,
+    pub(super) control: InputSender,
     pub(super) proxy: Arc<Proxy>,
 }
 
--- a/src/node/probe.rs
+++ b/src/node/probe.rs
@@ -12,8 +12,8 @@
 use crate::id::ServiceId;
 use crate::id::UpstreamId;
 
-use super::Inbox;
 use super::Input;
+use super::InputSender;
 
 /// Header of any answer by which an upstream reports that it is draining.
 pub(super) const DRAINING_HEADER: &str = "x-draining";
@@ -22,7 +22,7 @@
 
 /// Requests an upstream's health report and sends the result to the control thread.
 pub(super) async fn probe(
-    control: Inbox,
+    control: InputSender,
     address: SocketAddr,
     path: CompactString,
     service: ServiceId,
--- a/src/node/thread.rs
+++ b/src/node/thread.rs
@@ -24,15 +24,15 @@
 use crate::wire::Verdict;
 
 use super::Error;
-use super::Inbox;
 use super::Input;
+use super::InputSender;
 use super::Office;
 use super::Status;
 use super::carrier::Carrier;
 use super::core;
 use super::held::Held;
-use super::inbox::Outbox;
 use super::input::Claimed;
+use super::input_channel::InputReceiver;
 use super::probe::probe;
 use super::state_machine::StateMachine;
 use super::traffic::Observation;
@@ -65,9 +65,9 @@
     /// Time at which a disk failure closed the log.
     pub(super) closed_at: Option<Moment>,
     /// Returns the results of probes to this thread.
-    pub(super) control: Inbox,
+    pub(super) control: InputSender,
     pub(super) held: Option<Held>,
-    pub(super) inbox: Outbox,
+    pub(super) inputs: InputReceiver,
     pub(super) journal: Arc<Journal>,
     pub(super) log: Option<Log>,
     pub(super) state: Box<dyn StateMachine>,
@@ -97,7 +97,7 @@
         loop {
             let wait = tick_at.saturating_sub(self.now()).max(Duration::from_micros(100));
             let mut batch = Batch::default();
-            match self.inbox.receive(wait) {
+            match self.inputs.receive(wait) {
                 Ok(Some(input)) => {
                     if self.handle_all(input, &mut batch) {
                         self.flush(batch);
@@ -136,7 +136,7 @@
                 return true;
             }
             count += 1;
-            next = if count < MAX_BATCH { self.inbox.try_receive() } else { None };
+            next = if count < MAX_BATCH { self.inputs.try_receive() } else { None };
         }
         false
     }
--- a/src/node/traffic/proxy.rs
+++ b/src/node/traffic/proxy.rs
@@ -30,10 +30,10 @@
 use crate::id::RequestId;
 use crate::id::ServiceId;
 use crate::id::UpstreamId;
-use crate::node::Inbox;
 use crate::node::Input;
+use crate::node::InputSender;
 use crate::node::View;
-use crate::node::inbox::Refused;
+use crate::node::input_channel::SendError;
 use crate::node::metrics::Metrics;
 use crate::replay::Recorder;
 use crate::runtime;
@@ -72,7 +72,7 @@
     pub(in crate::node) connections: AtomicUsize,
     closed: (Sender<()>, Receiver<()>),
     pub(in crate::node) boundary: Arc<dyn Boundary>,
-    control: Inbox,
+    control: InputSender,
     pub(in crate::node) directory: Mutex<Directory>,
     /// Closed when the process stops serving.
     pub(in crate::node) done: Receiver<()>,
@@ -102,7 +102,7 @@
         settings: Settings,
         started: Instant,
         boundary: Arc<dyn Boundary>,
-        control: Inbox,
+        control: InputSender,
         done: Receiver<()>,
         metrics: Metrics,
         recorder: Recorder,
@@ -158,7 +158,7 @@
         self.started.elapsed()
     }
 
-    /// Sends to the control thread. If its inbox is full, the input is dropped and counted,
+    /// Sends to the control thread. If its channel is full, the input is dropped and counted,
     /// because traffic never waits for control.
     pub(in crate::node) fn try_notify(&self, input: Input) {
         if self.control.try_send(input).is_err() {
@@ -166,12 +166,12 @@
         }
     }
 
-    /// Sends to the control thread an input that must not be lost. If the inbox is full, a task
+    /// Sends to the control thread an input that must not be lost. If the channel is full, a task
     /// waits to deliver it. Without the end of its claim, a key would stay in progress until its
     /// limit, and a leaving process would wait for it. There are at most as many such tasks as
     /// keyed requests in flight.
     pub(super) fn notify(&self, input: Input) {
-        let Err(Refused::Full(input)) = self.control.try_send(input) else { return };
+        let Err(SendError::Full(input)) = self.control.try_send(input) else { return };
         let control = self.control.clone();
         runtime::spawn(async move {
             if !control.send(*input).await {
