--- a/src/node.rs
+++ b/src/node.rs
@@ -38,7 +38,7 @@
 pub use self::core::Setup;
 pub use carrier::Carrier;
 pub use error::Error;
-pub use input::Claimed;
+pub use input::ClaimDecision;
 pub use input::Input;
 pub use input_channel::InputSender;
 pub use logs::Logs;
--- a/src/node/attached.rs
+++ b/src/node/attached.rs
@@ -52,7 +52,7 @@
 
     fn dispatch(&mut self, now: Moment, wall: Epoch, input: Input) -> Vec<Output> {
         let to_spoke = match &input {
-            Input::Carried(..)
+            Input::Throughput(..)
             | Input::Drain
             | Input::Outcome(..)
             | Input::Overdue(..)
@@ -60,7 +60,7 @@
             | Input::Quota(..)
             | Input::Seeds(_)
             | Input::Tick
-            | Input::Tried { .. } => true,
+            | Input::TrialOutcome { .. } => true,
             Input::Frame(_, Frame::Feed(message)) => spoke::takes(message),
             _ => false,
         };
@@ -159,12 +159,12 @@
         Input::Announce(ticket, _) | Input::Catalog(ticket, _) => {
             Some(Output::Announced(ticket, Err(text())))
         }
-        Input::Change(ticket, _) => Some(Output::Changed(ticket, Err(text()))),
+        Input::ChangeMembers(ticket, _) => Some(Output::MembersChanged(ticket, Err(text()))),
         Input::Claim(ticket, _, _) => {
             let after = std::time::Duration::from_secs(1);
-            Some(Output::Claimed(ticket, super::Claimed::Refused(after)))
+            Some(Output::ClaimDecision(ticket, super::ClaimDecision::Refused(after)))
         }
-        Input::Read(ticket) => Some(Output::Read(ticket, None)),
+        Input::ReadConfiguration(ticket) => Some(Output::Configuration(ticket, None)),
         Input::Submit(ticket, _) => {
             Some(Output::Verdict(ticket, crate::wire::Verdict::Unconfirmed))
         }
--- a/src/node/attached/hub.rs
+++ b/src/node/attached/hub.rs
@@ -107,11 +107,11 @@
         let mut outputs = Vec::new();
         match input {
             Input::Catalog(ticket, action) => self.catalog(now, ticket, action, &mut outputs),
-            Input::Change(ticket, change) => {
+            Input::ChangeMembers(ticket, change) => {
                 self.tell_office(now, wall, office::Input::Change(ticket, change), &mut outputs);
             }
             Input::Frame(from, frame) => self.receive(now, wall, from, frame, &mut outputs),
-            Input::Read(ticket) => {
+            Input::ReadConfiguration(ticket) => {
                 self.ask(now, ticket, Asked::Read, Order::Read, PATIENCE, &mut outputs);
             }
             Input::Seeds(seeds) => {
@@ -379,7 +379,7 @@
             (Some(Asked::Read), Verdict::Readable(index)) => {
                 self.reads.push(Reading { index, ticket, until: now + PATIENCE });
             }
-            (Some(Asked::Read), _) => outputs.push(Output::Read(ticket, None)),
+            (Some(Asked::Read), _) => outputs.push(Output::Configuration(ticket, None)),
             (Some(Asked::Submit) | None, verdict) => {
                 outputs.push(Output::Verdict(ticket, verdict));
             }
@@ -393,9 +393,9 @@
         let applied = self.office.as_ref().map(Office::applied);
         for read in std::mem::take(&mut self.reads) {
             if applied.is_some_and(|applied| applied >= read.index) {
-                outputs.push(Output::Read(read.ticket, Some(self.version().cloned())));
+                outputs.push(Output::Configuration(read.ticket, Some(self.version().cloned())));
             } else if read.until <= now {
-                outputs.push(Output::Read(read.ticket, None));
+                outputs.push(Output::Configuration(read.ticket, None));
             } else {
                 self.reads.push(read);
             }
@@ -414,7 +414,7 @@
         for output in office.handle(now, wall, input) {
             match output {
                 office::Output::Changed(ticket, result) => {
-                    outputs.push(Output::Changed(ticket, result));
+                    outputs.push(Output::MembersChanged(ticket, result));
                 }
                 office::Output::Committed(version) => {
                     changed = true;
--- a/src/node/attached/spoke.rs
+++ b/src/node/attached/spoke.rs
@@ -127,7 +127,7 @@
                 self.tell_subscriber(now, input, &mut outputs);
             }
             Input::Frame(_, Frame::Feed(Message::Grant { ticket, grant })) => {
-                outputs.push(Output::Granted(*ticket, grant.clone()));
+                outputs.push(Output::QuotaGranted(*ticket, grant.clone()));
             }
             Input::Quota(ticket, ask) => {
                 // Without a control it is asked again before long.
@@ -144,14 +144,14 @@
                     &mut outputs,
                 );
             }
-            Input::Tried { is_repeatable, kind, latency, service, upstream } => {
+            Input::TrialOutcome { is_repeatable, kind, latency, service, upstream } => {
                 let counts = Counts::from_trial(*kind, *latency, *is_repeatable);
                 self.note(now, service, upstream, &counts, &mut outputs);
             }
             Input::Overdue(service, upstream, ages) => {
                 self.overdue(now, service, upstream, ages, &mut outputs);
             }
-            Input::Carried(arrivals, bytes) => self.subscriber.note_traffic(*arrivals, *bytes),
+            Input::Throughput(arrivals, bytes) => self.subscriber.note_traffic(*arrivals, *bytes),
             Input::Seeds(seeds) => self.subscriber.set_seeds(seeds.clone()),
             Input::Tick => self.tick(now, &mut outputs),
             _ => (),
--- a/src/node/core.rs
+++ b/src/node/core.rs
@@ -51,7 +51,7 @@
 
 use super::Office;
 use super::clerk::Clerk;
-use super::input::Claimed;
+use super::input::ClaimDecision;
 use super::monitors::Monitors;
 use super::office;
 
@@ -80,11 +80,11 @@
     /// An upstream announced itself to this entry.
     Announce(u64, registry::Announcement),
     /// Requests received from callers and bytes relayed since the last such input.
-    Carried(u32, u64),
+    Throughput(u32, u64),
     /// Announcement by an upstream to a control, to be replicated in the log.
     Catalog(u64, catalog::Action),
     /// Change of the quorum's membership.
-    Change(u64, quorum::Change),
+    ChangeMembers(u64, quorum::Change),
     /// A request needs a claim on its idempotency key, by the deadline given.
     Claim(claim::Ticket, claim::Request, Moment),
     /// Outcome of a request whose claim was granted; `None` if it certainly did not run.
@@ -103,7 +103,7 @@
     /// Quota that this entry requests.
     Quota(u64, quota::Demand),
     /// Request for the newest configuration.
-    Read(u64),
+    ReadConfiguration(u64),
     /// The settings were reloaded with these seeds.
     Seeds(Vec<NodeId>),
     /// The process stops and announces that it leaves the fleet.
@@ -115,7 +115,7 @@
     /// Time has passed.
     Tick,
     /// Result of a trial request to an upstream.
-    Tried {
+    TrialOutcome {
         /// Whether the request may be sent to another upstream as well.
         is_repeatable: bool,
         /// Result of the request.
@@ -137,13 +137,13 @@
     /// Configuration now in force, to be stored on disk.
     Apply(Version),
     /// Answer to a change of the quorum's membership.
-    Changed(u64, Result<u64, String>),
+    MembersChanged(u64, Result<u64, String>),
     /// Answer to a claim request.
-    Claimed(claim::Ticket, Claimed),
+    ClaimDecision(claim::Ticket, ClaimDecision),
     /// Event for the time line, without its stamp.
     Event(Event),
     /// Quota that this entry holds from now on.
-    Granted(u64, quota::Grant),
+    QuotaGranted(u64, quota::Grant),
     /// Records to write and sync; answered by [`Input::Synced`].
     Persist(u64, Vec<Record>),
     /// Probe to send to an upstream; answered by [`Input::Probed`].
@@ -157,9 +157,9 @@
         /// Upstream to probe.
         upstream: UpstreamId,
     },
-    /// Answer to [`Input::Read`]; the outer `None` if the newest configuration can't be
-    /// determined, the inner one if there is no configuration.
-    Read(u64, Option<Option<Version>>),
+    /// Newest configuration, in answer to [`Input::ReadConfiguration`]; the outer `None` if it
+    /// can't be determined, the inner one if there is none.
+    Configuration(u64, Option<Option<Version>>),
     /// Frame for another process, with its address if known.
     Send(NodeId, Option<SocketAddr>, Frame),
     /// Answer to a submitted configuration.
@@ -244,7 +244,7 @@
                 let text = "upstreams announce themselves to entries here".to_owned();
                 outputs.push(Output::Announced(ticket, Err(text)));
             }
-            Input::Change(ticket, change) => self.change_members(now, ticket, change, &mut outputs),
+            Input::ChangeMembers(ticket, change) => self.change(now, ticket, change, &mut outputs),
             Input::Claim(ticket, request, deadline) => {
                 let input = claim::Input::Begin { deadline, request, ticket };
                 self.step_agent(now, input, &mut outputs);
@@ -253,7 +253,7 @@
             Input::Drain => self.drain(now, &mut outputs),
             Input::Frame(from, frame) => self.receive(now, from, frame, &mut outputs),
             Input::Outcome(service, upstream, kind, latency)
-            | Input::Tried { kind, latency, service, upstream, .. } => {
+            | Input::TrialOutcome { kind, latency, service, upstream, .. } => {
                 self.handle_outcome(now, service, upstream, kind, latency, &mut outputs);
             }
             Input::Overdue(service, upstream, ages) => {
@@ -268,8 +268,8 @@
                 let done = self.clerk.ask(now, ticket, order, quota::Limiter::RESEND_INTERVAL);
                 self.handle_clerk_outputs(now, done, &mut outputs);
             }
-            Input::Read(ticket) => outputs.push(Output::Read(ticket, None)),
-            Input::Carried(..) | Input::Seeds(_) => (),
+            Input::ReadConfiguration(ticket) => outputs.push(Output::Configuration(ticket, None)),
+            Input::Throughput(..) | Input::Seeds(_) => (),
             Input::Stop => self.step_member(now, fleet::Input::Leave, &mut outputs),
             Input::Submit(ticket, version) => {
                 let done = self.clerk.submit(now, ticket, version);
--- a/src/node/core/claims.rs
+++ b/src/node/core/claims.rs
@@ -3,7 +3,7 @@
 use crate::id::NodeId;
 use crate::node::core::Core;
 use crate::node::core::Output;
-use crate::node::input::Claimed;
+use crate::node::input::ClaimDecision;
 use crate::node::office;
 use crate::wire::Frame;
 
@@ -17,13 +17,14 @@
         for output in self.agent.handle(now, input) {
             match output {
                 claim::Output::Answer { answer, ticket } => {
-                    outputs.push(Output::Claimed(ticket, Claimed::Answer(answer)));
+                    outputs.push(Output::ClaimDecision(ticket, ClaimDecision::Answer(answer)));
                 }
                 claim::Output::Granted(ticket) => {
-                    outputs.push(Output::Claimed(ticket, Claimed::Granted));
+                    outputs.push(Output::ClaimDecision(ticket, ClaimDecision::Granted));
                 }
                 claim::Output::Refused { retry_after, ticket } => {
-                    outputs.push(Output::Claimed(ticket, Claimed::Refused(retry_after)));
+                    outputs
+                        .push(Output::ClaimDecision(ticket, ClaimDecision::Refused(retry_after)));
                 }
                 claim::Output::Send { message, to } => {
                     self.send(now, to, Frame::Claim(message), outputs);
--- a/src/node/core/configuration.rs
+++ b/src/node/core/configuration.rs
@@ -25,7 +25,7 @@
         for output in office.handle(now, self.wall_clock, input) {
             match output {
                 office::Output::Changed(ticket, result) => {
-                    outputs.push(Output::Changed(ticket, result));
+                    outputs.push(Output::MembersChanged(ticket, result));
                 }
                 office::Output::Committed(version) => {
                     let number = version.number;
@@ -54,7 +54,7 @@
         }
     }
 
-    pub(super) fn change_members(
+    pub(super) fn change(
         &mut self,
         now: Moment,
         ticket: u64,
@@ -63,7 +63,7 @@
     ) {
         if self.office.is_none() {
             let text = "this process is no control; ask one".to_owned();
-            outputs.push(Output::Changed(ticket, Err(text)));
+            outputs.push(Output::MembersChanged(ticket, Err(text)));
             return;
         }
         self.step_office(now, office::Input::Change(ticket, change), outputs);
@@ -142,7 +142,7 @@
         for output in done {
             match output {
                 clerk::Output::Answer(ticket, Verdict::Granted(grant)) => {
-                    outputs.push(Output::Granted(ticket, grant));
+                    outputs.push(Output::QuotaGranted(ticket, grant));
                 }
                 clerk::Output::Answer(ticket, verdict) => {
                     outputs.push(Output::Verdict(ticket, verdict));
--- a/src/node/doors.rs
+++ b/src/node/doors.rs
@@ -130,7 +130,7 @@
 
 async fn read(inbox: &InputSender) -> Done {
     let (sender, receiver) = bounded(1);
-    match ask(inbox, Input::Read(sender), &receiver).await {
+    match ask(inbox, Input::ReadConfiguration(sender), &receiver).await {
         Some(Some(version)) => Done::Configuration(version),
         Some(None) | None => Done::Busy("which configuration is the newest is not sure".into()),
     }
--- a/src/node/input.rs
+++ b/src/node/input.rs
@@ -24,9 +24,9 @@
     /// the answer.
     Catalog(catalog::Action, Sender<Result<(), String>>),
     /// Change of the quorum's membership; the sender takes the answer.
-    Change(quorum::Change, Sender<Result<u64, String>>),
+    ChangeMembers(quorum::Change, Sender<Result<u64, String>>),
     /// Request for a claim, and the time budget for its answer, which the sender takes.
-    Claim(claim::Ticket, claim::Request, Duration, Sender<Claimed>),
+    Claim(claim::Ticket, claim::Request, Duration, Sender<ClaimDecision>),
     /// Outcome of a request whose claim was granted; `None` if it certainly did not run.
     ClaimEnd(claim::Ticket, Option<claim::Outcome>),
     /// Withdraw this entry from the lists given to callers.
@@ -50,7 +50,7 @@
     Quota(quota::Demand, Sender<quota::Grant>),
     /// Request for the newest configuration. The sender takes it; the outer `None` if it can't
     /// be determined, the inner one if there is no configuration.
-    Read(Sender<Option<Option<Version>>>),
+    ReadConfiguration(Sender<Option<Option<Version>>>),
     /// The settings were reloaded with these seeds.
     Seeds(Vec<NodeId>),
     /// Request for the status of this process, for operators.
@@ -65,7 +65,7 @@
 
 /// Answer to a claim request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Claimed {
+pub enum ClaimDecision {
     /// The request must not be dispatched; the caller gets this answer.
     Answer(claim::Answer),
     /// The request may be dispatched.
--- a/src/node/operators.rs
+++ b/src/node/operators.rs
@@ -137,7 +137,8 @@
         }
     };
     let (sender, receiver) = bounded(1);
-    let changed = request_answer(request.state(), Input::Change(change, sender), &receiver).await?;
+    let changed =
+        request_answer(request.state(), Input::ChangeMembers(change, sender), &receiver).await?;
     Ok(match changed {
         Ok(index) => text_response(StatusCode::Ok, format!("done at `{index}`")),
         Err(reason) => text_response(StatusCode::Conflict, reason),
--- a/src/node/thread.rs
+++ b/src/node/thread.rs
@@ -31,7 +31,7 @@
 use super::carrier::Carrier;
 use super::core;
 use super::held::Held;
-use super::input::Claimed;
+use super::input::ClaimDecision;
 use super::input_channel::InputReceiver;
 use super::probe::probe;
 use super::state_machine::StateMachine;
@@ -82,7 +82,7 @@
 pub(super) struct Tickets {
     announcements: BTreeMap<u64, Sender<Result<(), String>>>,
     changes: BTreeMap<u64, Sender<Result<u64, String>>>,
-    claims: BTreeMap<u64, Sender<Claimed>>,
+    claims: BTreeMap<u64, Sender<ClaimDecision>>,
     grants: BTreeMap<u64, Sender<quota::Grant>>,
     next: u64,
     reads: BTreeMap<u64, Sender<Option<Option<Version>>>>,
@@ -142,16 +142,16 @@
     }
 
     fn take_observations(&mut self, batch: &mut Batch) {
-        let (arrivals, bytes) = self.proxy.take_carried();
+        let (arrivals, bytes) = self.proxy.take_throughput();
         if arrivals > 0 || bytes > 0 {
-            self.step(core::Input::Carried(arrivals, bytes), batch);
+            self.step(core::Input::Throughput(arrivals, bytes), batch);
         }
         for Observation { kind, latency, service, trial, upstream } in
             self.proxy.take_observations()
         {
             let input = match trial {
                 Some(Trial { is_repeatable }) => {
-                    core::Input::Tried { is_repeatable, kind, latency, service, upstream }
+                    core::Input::TrialOutcome { is_repeatable, kind, latency, service, upstream }
                 }
                 None => core::Input::Outcome(service, upstream, kind, latency),
             };
@@ -184,10 +184,10 @@
                 self.tickets.announcements.insert(ticket, sender);
                 core::Input::Announce(ticket, announcement)
             }
-            Input::Change(change, sender) => {
+            Input::ChangeMembers(change, sender) => {
                 let ticket = self.tickets.next();
                 self.tickets.changes.insert(ticket, sender);
-                core::Input::Change(ticket, change)
+                core::Input::ChangeMembers(ticket, change)
             }
             Input::Claim(ticket, request, budget, sender) => {
                 self.tickets.claims.insert(ticket, sender);
@@ -222,10 +222,10 @@
                 self.tickets.grants.insert(ticket, sender);
                 core::Input::Quota(ticket, ask)
             }
-            Input::Read(sender) => {
+            Input::ReadConfiguration(sender) => {
                 let ticket = self.tickets.next();
                 self.tickets.reads.insert(ticket, sender);
-                core::Input::Read(ticket)
+                core::Input::ReadConfiguration(ticket)
             }
             Input::Seeds(seeds) => core::Input::Seeds(seeds),
             Input::Wake => return,
@@ -263,14 +263,14 @@
                     held.keep(&version);
                 }
             }
-            core::Output::Changed(ticket, result) => {
+            core::Output::MembersChanged(ticket, result) => {
                 answer(self.tickets.changes.remove(&ticket), result);
             }
-            core::Output::Claimed(ticket, claimed) => {
+            core::Output::ClaimDecision(ticket, claimed) => {
                 answer(self.tickets.claims.remove(&ticket), claimed);
             }
             core::Output::Event(event) => self.record(event),
-            core::Output::Granted(ticket, grant) => {
+            core::Output::QuotaGranted(ticket, grant) => {
                 answer(self.tickets.grants.remove(&ticket), grant);
             }
             core::Output::Persist(number, records) => batch.persist(number, records),
@@ -278,7 +278,7 @@
                 let control = self.control.clone();
                 runtime::spawn(probe(control, address, path, service, upstream));
             }
-            core::Output::Read(ticket, version) => {
+            core::Output::Configuration(ticket, version) => {
                 answer(self.tickets.reads.remove(&ticket), version);
             }
             core::Output::Send(to, address, frame) => {
--- a/src/node/traffic/claims.rs
+++ b/src/node/traffic/claims.rs
@@ -16,7 +16,7 @@
 use crate::exchange::Response;
 use crate::exchange::refuse;
 use crate::node::Input;
-use crate::node::input::Claimed;
+use crate::node::input::ClaimDecision;
 
 use super::Proxy;
 use super::job::Job;
@@ -57,12 +57,12 @@
         let claim = Self { ended: false, proxy, ticket: job.ticket };
         let claimed = timeout(left + CONTROL_REPLY_MARGIN, receiver.recv()).await;
         match claimed {
-            Ok(Ok(Claimed::Granted)) => Ok(Some(claim)),
-            Ok(Ok(Claimed::Answer(answer))) => {
+            Ok(Ok(ClaimDecision::Granted)) => Ok(Some(claim)),
+            Ok(Ok(ClaimDecision::Answer(answer))) => {
                 claim.disarm();
                 Err(Box::new(response_to_resend(answer)))
             }
-            Ok(Ok(Claimed::Refused(after))) => {
+            Ok(Ok(ClaimDecision::Refused(after))) => {
                 claim.disarm();
                 Err(Box::new(unconfirmed(after)))
             }
--- a/src/node/traffic/proxy.rs
+++ b/src/node/traffic/proxy.rs
@@ -209,7 +209,7 @@
     }
 
     /// Takes the requests and body bytes counted since the last call.
-    pub(in crate::node) fn take_carried(&self) -> (u32, u64) {
+    pub(in crate::node) fn take_throughput(&self) -> (u32, u64) {
         (self.arrivals.swap(0, Ordering::Relaxed), self.bytes.swap(0, Ordering::Relaxed))
     }
 
--- a/tests/suite/core_fleet/claim.rs
+++ b/tests/suite/core_fleet/claim.rs
@@ -2,7 +2,7 @@
 
 use hemlockfield::claim::Answer;
 use hemlockfield::claim::Outcome;
-use hemlockfield::node::Claimed;
+use hemlockfield::node::ClaimDecision;
 use rstest::rstest;
 
 use super::site::LIMIT;
@@ -24,7 +24,7 @@
     site.run(ms(200));
     assert!(!site.claimed.contains_key(&(id("e1"), first)));
     site.kill(&id("e1"));
-    assert_eq!(site.claim("e2", "sign-off-1").1, Claimed::Granted);
+    assert_eq!(site.claim("e2", "sign-off-1").1, ClaimDecision::Granted);
 }
 
 // The caller resends through e2 and later e3 after e1 was killed: with the grant in hand
@@ -38,7 +38,7 @@
 fn resend_killed_after_claim(#[case] finished: bool, #[case] restarts: bool) {
     let mut site = Site::settled(12, 3, 4);
     let (ticket, first) = site.claim("e1", "sign-off-2");
-    assert_eq!(first, Claimed::Granted);
+    assert_eq!(first, ClaimDecision::Granted);
     if finished {
         for control in site.controls() {
             site.net.cut(&id("e1"), &control);
@@ -47,7 +47,7 @@
     }
     site.kill(&id("e1"));
     let (_, told) = site.claim("e2", "sign-off-2");
-    let by_first = |told: &Claimed| matches!(told, Claimed::Answer(Answer::InProgress { by, .. }) if by == "e1");
+    let by_first = |told: &ClaimDecision| matches!(told, ClaimDecision::Answer(Answer::InProgress { by, .. }) if by == "e1");
     assert!(by_first(&told), "{told:?}");
     site.net.heal_all();
     if restarts {
@@ -58,7 +58,7 @@
     }
     for entry in ["e2", "e3"] {
         let (_, told) = site.claim(entry, "sign-off-2");
-        assert_eq!(told, Claimed::Answer(Answer::Unknown), "{entry}");
+        assert_eq!(told, ClaimDecision::Answer(Answer::Unknown), "{entry}");
     }
 }
 
@@ -69,14 +69,14 @@
 fn resend_killed_with_leader_after_record() {
     let mut site = Site::settled(13, 3, 4);
     let (ticket, first) = site.claim("e1", "sign-off-3");
-    assert_eq!(first, Claimed::Granted);
+    assert_eq!(first, ClaimDecision::Granted);
     site.finish("e1", ticket);
     site.run_until("the record", |site| site.core(&id("e1")).open_claims() == 0);
     let leader = site.leader();
     site.kill(&id("e1"));
     site.kill(&leader);
     let told = until_confirmed(&mut site, "sign-off-3");
-    assert_eq!(told, Claimed::Answer(Answer::Done(Outcome::ran(201, None))));
+    assert_eq!(told, ClaimDecision::Answer(Answer::Done(Outcome::ran(201, None))));
 }
 
 // The entry and the leading control are lost right after the grant, while the request is
@@ -86,7 +86,7 @@
 fn resend_killed_with_leader_after_claim(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
     let mut site = Site::settled(seed, 3, 4);
     let (_, first) = site.claim("e1", "sign-off-4");
-    assert_eq!(first, Claimed::Granted);
+    assert_eq!(first, ClaimDecision::Granted);
     let leader = site.leader();
     site.kill(&id("e1"));
     site.kill(&leader);
@@ -95,14 +95,14 @@
     site.start(&leader, false);
     site.run(LIMIT);
     let told = until_confirmed(&mut site, "sign-off-4");
-    assert_eq!(told, Claimed::Answer(Answer::Unknown));
+    assert_eq!(told, ClaimDecision::Answer(Answer::Unknown));
 }
 
 /// A caller that resends what is refused as not run, until it learns more.
-fn until_confirmed(site: &mut Site, key: &str) -> Claimed {
+fn until_confirmed(site: &mut Site, key: &str) -> ClaimDecision {
     for _ in 0..20 {
         let (_, told) = site.claim("e2", key);
-        if !matches!(told, Claimed::Refused(_)) {
+        if !matches!(told, ClaimDecision::Refused(_)) {
             return told;
         }
         site.run(ms(500));
--- a/tests/suite/core_fleet/oneway.rs
+++ b/tests/suite/core_fleet/oneway.rs
@@ -116,7 +116,7 @@
     }
     assert_eq!(site.submit("e1", 2, "second"), Verdict::Unconfirmed);
     let (_, told) = site.claim("e2", "sign-off");
-    assert!(matches!(told, hemlockfield::node::Claimed::Refused(_)), "{told:?}");
+    assert!(matches!(told, hemlockfield::node::ClaimDecision::Refused(_)), "{told:?}");
     site.run(ms(120_000));
     for entry in site.entries() {
         assert_eq!(site.view(&entry).number, Some(1));
@@ -127,7 +127,7 @@
     assert_eq!(verdict, Verdict::Accepted(2));
     site.run_until("configuration 2", |site| site.all_at(2));
     let (_, told) = site.claim("e2", "sign-off");
-    assert_eq!(told, hemlockfield::node::Claimed::Granted);
+    assert_eq!(told, hemlockfield::node::ClaimDecision::Granted);
 }
 
 /// Submits as an operator does: again until there is an answer.
--- a/tests/suite/core_fleet/site.rs
+++ b/tests/suite/core_fleet/site.rs
@@ -20,7 +20,7 @@
 use hemlockfield::id::ConfigNumber;
 use hemlockfield::id::NodeId;
 use hemlockfield::id::UpstreamId;
-use hemlockfield::node::Claimed;
+use hemlockfield::node::ClaimDecision;
 use hemlockfield::node::Core;
 use hemlockfield::node::Office;
 use hemlockfield::node::Output;
@@ -81,7 +81,7 @@
 pub(super) struct Site {
     /// Numbers that each process put in force, over all its starts.
     pub(super) applied: BTreeMap<NodeId, Vec<ConfigNumber>>,
-    pub(super) claimed: BTreeMap<(NodeId, u64), Claimed>,
+    pub(super) claimed: BTreeMap<(NodeId, u64), ClaimDecision>,
     pub(super) changed: BTreeMap<(NodeId, u64), Result<u64, String>>,
     pub(super) folders: BTreeMap<NodeId, Folder>,
     pub(super) net: Net,
@@ -289,13 +289,13 @@
             match output {
                 Output::Announced(..)
                 | Output::Event(_)
-                | Output::Granted(..)
-                | Output::Read(..) => (),
+                | Output::QuotaGranted(..)
+                | Output::Configuration(..) => (),
                 Output::Apply(version) => self.apply(from, version),
-                Output::Changed(ticket, result) => {
+                Output::MembersChanged(ticket, result) => {
                     self.changed.insert((from.clone(), ticket), result);
                 }
-                Output::Claimed(ticket, claimed) => {
+                Output::ClaimDecision(ticket, claimed) => {
                     let before = self.claimed.insert((from.clone(), ticket), claimed);
                     assert_eq!(before, None, "`{from}` was told twice of {ticket}");
                 }
@@ -367,8 +367,8 @@
 }
 
 /// Whether a resend was told that it may have run, or is being run.
-pub(super) fn is_never_again(claimed: &Claimed) -> bool {
-    let Claimed::Answer(answer) = claimed else { return false };
+pub(super) fn is_never_again(claimed: &ClaimDecision) -> bool {
+    let ClaimDecision::Answer(answer) = claimed else { return false };
     matches!(answer, Answer::InProgress { .. } | Answer::Unknown | Answer::Done(_))
 }
 
--- a/tests/suite/core_fleet/site/ask.rs
+++ b/tests/suite/core_fleet/site/ask.rs
@@ -8,7 +8,7 @@
 use hemlockfield::claim::Slot;
 use hemlockfield::config::Version;
 use hemlockfield::id::NodeId;
-use hemlockfield::node::Claimed;
+use hemlockfield::node::ClaimDecision;
 use hemlockfield::node::core::Input;
 use hemlockfield::quorum;
 use hemlockfield::registry::Announcement;
@@ -59,7 +59,7 @@
     }
 
     /// What a claim comes to.
-    pub(in crate::core_fleet) fn claim(&mut self, at: &str, key: &str) -> (u64, Claimed) {
+    pub(in crate::core_fleet) fn claim(&mut self, at: &str, key: &str) -> (u64, ClaimDecision) {
         let ticket = self.begin_claim(at, key);
         let place = (id(at), ticket);
         self.run_until("the claim's end", |site| site.claimed.contains_key(&place));
@@ -78,7 +78,7 @@
         change: quorum::Change,
     ) -> Result<u64, String> {
         let ticket = self.next_ticket();
-        self.input(at, Input::Change(ticket, change));
+        self.input(at, Input::ChangeMembers(ticket, change));
         let key = (at.clone(), ticket);
         self.run_until("the change's answer", |site| site.changed.contains_key(&key));
         self.changed[&key].clone()
