--- a/src/node/attached/spoke.rs
+++ b/src/node/attached/spoke.rs
@@ -177,16 +177,16 @@
         }
         self.viewed_at = now;
         let services = self.services(now);
-        if !self.dirty && last.has(&services) {
+        if !self.dirty && last.has_same_services(&services) {
             return None;
         }
         self.dirty = false;
         Some(View {
             entries: Arc::clone(&self.named),
-            leaving: self.leaving,
+            is_leaving: self.leaving,
             number: self.version.as_ref().map(|version| version.number),
             rules: self.rules.clone(),
-            services: last.succeed(services, &mut self.published),
+            services: last.next_services(services, &mut self.published),
             standing: self.standing,
         })
     }
@@ -368,13 +368,13 @@
 
     fn services(&self, now: Moment) -> BTreeMap<ServiceId, view::Service> {
         let mut services: BTreeMap<ServiceId, view::Service> = BTreeMap::new();
-        let sharing = self.participants.count(now);
+        let retry_sharers = self.participants.count(now);
         let ready = |known: &&Known| known.said.state == registry::State::Ready;
         for known in self.upstreams.values().filter(ready) {
             let said = &known.said;
             let service = services.entry(said.service.clone()).or_default();
             service.entries = self.entries;
-            service.sharing = sharing;
+            service.retry_sharers = retry_sharers;
             service.addresses.insert(said.upstream.clone(), said.address);
             service.members.push(self.member(now, known));
         }
@@ -383,7 +383,7 @@
             service.weights = group.weights().into_iter().collect();
             service.trials = group.trials();
             service.suspects = group.suspects();
-            service.settle(!service.suspects.is_empty());
+            service.update_state(!service.suspects.is_empty());
         }
         services
     }
--- a/src/node/core/view.rs
+++ b/src/node/core/view.rs
@@ -16,16 +16,16 @@
     /// New view for the traffic threads; `None` if nothing has changed since `last`.
     pub fn view(&mut self, now: Moment, last: &View) -> Option<View> {
         let services = self.build_services(now);
-        if !self.is_view_stale && last.has(&services) {
+        if !self.is_view_stale && last.has_same_services(&services) {
             return None;
         }
         self.is_view_stale = false;
         Some(View {
             entries: Arc::new(self.directory_entries()),
-            leaving: self.is_leaving,
+            is_leaving: self.is_leaving,
             number: self.holder.current().map(|version| version.number),
             rules: self.rules.clone(),
-            services: last.succeed(services, &mut self.view_version),
+            services: last.next_services(services, &mut self.view_version),
             standing: self.holder.standing(),
         })
     }
@@ -78,7 +78,7 @@
             let announcement = &found.announcement;
             let service = services.entry(announcement.service.clone()).or_default();
             service.entries = entries;
-            service.sharing = Some(entries);
+            service.retry_sharers = Some(entries);
             service.addresses.insert(announcement.upstream.clone(), announcement.address);
             service.members.push(member(now, found));
             if let Some(monitor) = self.monitors.get(&announcement.service) {
@@ -89,7 +89,7 @@
             }
         }
         for (name, service) in &mut services {
-            service.settle(self.monitors.is_at_floor(name));
+            service.update_state(self.monitors.is_at_floor(name));
         }
         services
     }
--- a/src/node/doors.rs
+++ b/src/node/doors.rs
@@ -104,7 +104,7 @@
         Order::Read => read(inbox).await,
         Order::Ready => {
             let view = proxy.view.load();
-            Done::Readiness(view.serves() && !view.leaving)
+            Done::Readiness(view.serves() && !view.is_leaving)
         }
         Order::Submit(version) => submit(version, inbox).await,
     }
--- a/src/node/traffic/queue.rs
+++ b/src/node/traffic/queue.rs
@@ -221,7 +221,7 @@
     let is_out = |weight: &&f64| **weight <= 0.0;
     let out = services().map(|service| service.weights.values().filter(is_out).count()).sum();
     let last = services().map(|service| service.suspects.len()).sum();
-    let entries = services().filter_map(|service| service.sharing).max().unwrap_or_default();
+    let entries = services().filter_map(|service| service.retry_sharers).max().unwrap_or_default();
     let levels = [("retry.entries", entries), ("upstream.out", out), ("upstream.last", last)];
     for (kind, level) in levels {
         let level: usize = level;
--- a/src/node/traffic/service.rs
+++ b/src/node/traffic/service.rs
@@ -147,17 +147,17 @@
             selector
                 .sent_trials
                 .retain(|number| view.trials.iter().any(|trial| trial.number == *number));
-            self.limit_retries(now, view.sharing);
+            self.limit_retries(now, view.retry_sharers);
             selector.slots = slots(view);
             self.queue.set_slots(now, selector.slots);
         }
         selector
     }
 
-    fn limit_retries(&self, now: Moment, sharing: Option<usize>) {
+    fn limit_retries(&self, now: Moment, retry_sharers: Option<usize>) {
         if self.retry.pooled {
             let settings::Retry { burst, share, window, .. } = self.retry;
-            let limits = retry::Limits::per_entry(share, burst, window, sharing);
+            let limits = retry::Limits::per_entry(share, burst, window, retry_sharers);
             let limits = retry::Limits { is_first: self.is_first, ..limits };
             self.policy(now).set_limits(limits);
         }
--- a/src/node/view.rs
+++ b/src/node/view.rs
@@ -21,7 +21,7 @@
     /// Entries that may be listed to callers.
     pub entries: Arc<Vec<directory::Entry>>,
     /// Whether this entry is leaving and has been withdrawn from the callers' lists.
-    pub leaving: bool,
+    pub is_leaving: bool,
     /// Number of the configuration in force.
     pub number: Option<ConfigNumber>,
     /// Rules in force.
@@ -42,7 +42,7 @@
     /// Upstreams as candidates of the load balancer.
     pub members: Vec<balance::Member>,
     /// Number of entries that share the burst of retries; `None` if this one has no share.
-    pub sharing: Option<usize>,
+    pub retry_sharers: Option<usize>,
     /// State of the service, which rules may match on.
     pub state: ServiceState,
     /// Upstreams that get requests only if no other has a free slot.
@@ -62,17 +62,16 @@
     }
 
     /// Whether `services` equal those of this view, apart from their versions.
-    pub(super) fn has(&self, services: &BTreeMap<ServiceId, Service>) -> bool {
+    pub(super) fn has_same_services(&self, services: &BTreeMap<ServiceId, Service>) -> bool {
         services.len() == self.services.len()
-            && services
-                .iter()
-                .zip(&self.services)
-                .all(|((name, service), (other, before))| name == other && service.is_same(before))
+            && services.iter().zip(&self.services).all(|((name, service), (other, before))| {
+                name == other && service.is_unchanged(before)
+            })
     }
 
     /// Services of the next view. Unchanged ones are reused; each changed one gets the next
     /// `version`.
-    pub(super) fn succeed(
+    pub(super) fn next_services(
         &self,
         services: BTreeMap<ServiceId, Service>,
         version: &mut u64,
@@ -80,7 +79,7 @@
         let mut published = BTreeMap::new();
         for (name, mut service) in services {
             let before = self.services.get(&name);
-            let service = match before.filter(|before| service.is_same(before)) {
+            let service = match before.filter(|before| service.is_unchanged(before)) {
                 Some(before) => Arc::clone(before),
                 None => {
                     *version += 1;
@@ -96,7 +95,7 @@
 
 impl Service {
     /// Derives the state of the service from its upstreams' weights.
-    pub(super) fn settle(&mut self, at_floor: bool) {
+    pub(super) fn update_state(&mut self, at_floor: bool) {
         let usable = self.members.len();
         let ejected = self.weights.values().filter(|weight| **weight <= 0.0).count();
         self.state = match ejected {
@@ -108,14 +107,14 @@
         };
     }
 
-    fn is_same(&self, before: &Self) -> bool {
+    fn is_unchanged(&self, before: &Self) -> bool {
         self.members == before.members
             && self.addresses == before.addresses
             && self.suspects == before.suspects
             && self.trials == before.trials
             && self.weights == before.weights
             && self.entries == before.entries
-            && self.sharing == before.sharing
+            && self.retry_sharers == before.retry_sharers
             && self.state == before.state
     }
 }
@@ -124,7 +123,7 @@
     fn default() -> Self {
         Self {
             entries: Arc::default(),
-            leaving: false,
+            is_leaving: false,
             number: None,
             rules: None,
             services: BTreeMap::new(),
