--- a/src/cli/run.rs
+++ b/src/cli/run.rs
@@ -9,7 +9,7 @@
 use futures::StreamExt;
 use futures::executor::block_on;
 
-use crate::node::Leaving;
+use crate::node::Handle;
 use crate::node::Node;
 use crate::runtime;
 use crate::settings::Settings;
@@ -45,11 +45,11 @@
         let node = Node::start(settings, found).await.inspect_err(|error| {
             tracing::error!(target: "hemlockfield::node", "can't start: {error}");
         })?;
-        let leaving = node.leaving();
+        let handle = node.handle();
         runtime::spawn(async move {
-            obey(&mut signals, &path, &leaving).await;
+            obey(&mut signals, &path, &handle).await;
         });
-        let cut = node.stopped().await;
+        let cut = node.wait().await;
         tracing::info!(target: "hemlockfield::node", cut, "stopped");
         Ok(ExitCode::from(if cut == 0 { 0 } else { FINDING }))
     })
@@ -66,16 +66,16 @@
 
 /// Leaves at the first signal to end, and ends at once at the second one; reads the settings
 /// again at SIGHUP, which would end the process without a handler.
-async fn obey(signals: &mut Option<Signals>, path: &Path, leaving: &Leaving) {
+async fn obey(signals: &mut Option<Signals>, path: &Path, handle: &Handle) {
     let mut left = false;
     loop {
         match next_signal(signals).await {
-            Some(Signal::Hup) => reload(path, leaving),
-            Some(_) if left => return leaving.end_now(),
+            Some(Signal::Hup) => reload(path, handle),
+            Some(_) if left => return handle.stop_now(),
             Some(_) => {
                 left = true;
                 tracing::info!(target: "hemlockfield::node", "asked to end: leaving");
-                leaving.drain();
+                handle.drain();
             }
             None => return,
         }
@@ -84,11 +84,11 @@
 
 /// Takes over what may change while the process runs. Settings with a mistake are told and
 /// change nothing.
-fn reload(path: &Path, leaving: &Leaving) {
+fn reload(path: &Path, handle: &Handle) {
     match Settings::load(path) {
         Ok(settings) => {
             tracing::info!(target: "hemlockfield::settings", "read again");
-            leaving.reload(&settings);
+            handle.reload(&settings);
         }
         Err(error) => {
             tracing::error!(target: "hemlockfield::settings", "the old ones stay: {error}");
--- a/src/demo/site.rs
+++ b/src/demo/site.rs
@@ -129,8 +129,8 @@
     /// Ends all processes at once: nothing is in flight any more.
     pub(super) async fn stop(self) {
         for node in self.entries.into_iter().chain(self.controls) {
-            node.leaving().end_now();
-            node.stopped().await;
+            node.handle().stop_now();
+            node.wait().await;
         }
     }
 }
--- a/src/node.rs
+++ b/src/node.rs
@@ -44,7 +44,7 @@
 pub use logs::Logs;
 pub use logs::start_logs;
 pub use logs::start_threads;
-pub use node::Leaving;
+pub use node::Handle;
 pub use node::Node;
 pub use office::Office;
 pub use status::Status;
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -51,7 +51,7 @@
 
 /// Handle to drain, stop or reconfigure a running process.
 #[derive(Clone)]
-pub struct Leaving {
+pub struct Handle {
     control: InputSender,
     proxy: Arc<Proxy>,
     stop: Sender<()>,
@@ -180,8 +180,8 @@
     }
 
     /// Handle to drain, stop or reconfigure this process.
-    pub fn leaving(&self) -> Leaving {
-        Leaving {
+    pub fn handle(&self) -> Handle {
+        Handle {
             control: self.control.clone(),
             proxy: Arc::clone(&self.proxy),
             stop: self.stop.clone(),
@@ -197,7 +197,7 @@
     }
 
     /// Waits until the process has stopped. Returns the number of requests that were cut.
-    pub async fn stopped(mut self) -> usize {
+    pub async fn wait(mut self) -> usize {
         let limit = self.proxy.limit();
         self.proxy.drain_requested().await;
         self.start_directory_expiry();
@@ -221,7 +221,7 @@
     }
 }
 
-impl Leaving {
+impl Handle {
     /// Withdraws the process from the callers' lists and stops it once it has drained.
     pub fn drain(&self) {
         if self.control.try_send(Input::Drain).is_err() {
@@ -238,7 +238,7 @@
     }
 
     /// Stops the process at once, without draining.
-    pub fn end_now(&self) {
+    pub fn stop_now(&self) {
         self.proxy.request_drain();
         self.stop.close();
     }
