--- a/src/demo/site.rs
+++ b/src/demo/site.rs
@@ -96,7 +96,7 @@
             check(started, "a configuration is accepted")?;
         }
         for entry in &self.entries {
-            while entry.configuration() != Some(1) {
+            while entry.configuration_number() != Some(1) {
                 check(started, "the configuration is in force")?;
                 task::sleep(Duration::from_millis(20)).await;
             }
@@ -108,7 +108,7 @@
     pub(super) async fn wait_for_upstreams(&self, count: usize) -> Result<(), Error> {
         let started = Instant::now();
         for entry in &self.entries {
-            while entry.upstreams("hull-register") < count {
+            while entry.upstream_count("hull-register") < count {
                 check(started, "the upstreams are announced")?;
                 task::sleep(Duration::from_millis(20)).await;
             }
@@ -118,12 +118,12 @@
 
     /// Stand-ins that announce themselves to the entries of this site.
     pub(super) async fn stands(&self, count: usize) -> Result<Vec<Stand>, Error> {
-        let entries: Vec<SocketAddr> = self.entries.iter().map(Node::operators).collect();
+        let entries: Vec<SocketAddr> = self.entries.iter().map(Node::operator_address).collect();
         stands(count, &entries).await
     }
 
     pub(super) fn callers(&self) -> Vec<SocketAddr> {
-        self.entries.iter().filter_map(Node::callers).collect()
+        self.entries.iter().filter_map(Node::caller_address).collect()
     }
 
     /// Ends all processes at once: nothing is in flight any more.
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -150,17 +150,17 @@
     }
 
     /// Address that callers connect to.
-    pub fn callers(&self) -> Option<SocketAddr> {
+    pub fn caller_address(&self) -> Option<SocketAddr> {
         self.callers
     }
 
     /// Address that operators and announcing upstreams connect to.
-    pub fn operators(&self) -> SocketAddr {
+    pub fn operator_address(&self) -> SocketAddr {
         self.operators.unwrap_or_else(|| SocketAddr::from(([0, 0, 0, 0], 0)))
     }
 
     /// Number of the configuration in force.
-    pub fn configuration(&self) -> Option<ConfigNumber> {
+    pub fn configuration_number(&self) -> Option<ConfigNumber> {
         self.proxy.view.load().number
     }
 
@@ -175,7 +175,7 @@
     }
 
     /// Number of a service's upstreams that are available to this entry.
-    pub fn upstreams(&self, service: &str) -> usize {
+    pub fn upstream_count(&self, service: &str) -> usize {
         self.proxy.view.load().services.get(service).map_or(0, |found| found.members.len())
     }
 
--- a/tests/suite/entry/fixture.rs
+++ b/tests/suite/entry/fixture.rs
@@ -106,9 +106,9 @@
         let received = Arc::new(Mutex::new(Received::default()));
         for (at, script) in scripts.iter().enumerate() {
             let address = upstream(*script, Arc::clone(&received)).await;
-            announce(node.operators(), address, &format!("hull-{at}")).await;
+            announce(node.operator_address(), address, &format!("hull-{at}")).await;
         }
-        while node.upstreams("hull-register") < scripts.len() {
+        while node.upstream_count("hull-register") < scripts.len() {
             task::sleep(Duration::from_millis(10)).await;
         }
         Self { _folder: folder, node, received }
@@ -118,7 +118,7 @@
     pub(super) async fn configure(&self, number: u64, rules: &str) {
         let version = Version::new(number, format!("submission-{number}").into(), rules);
         while !self.node.submit(version.clone()).await {}
-        while self.node.configuration() != Some(number) {
+        while self.node.configuration_number() != Some(number) {
             task::sleep(Duration::from_millis(10)).await;
         }
     }
@@ -144,7 +144,7 @@
     }
 
     pub(super) async fn connect(&self) -> TcpStream {
-        TcpStream::connect(self.node.callers().unwrap()).await.unwrap()
+        TcpStream::connect(self.node.caller_address().unwrap()).await.unwrap()
     }
 
     pub(super) fn request_count(&self) -> usize {
--- a/tests/suite/entry/refusals.rs
+++ b/tests/suite/entry/refusals.rs
@@ -59,7 +59,7 @@
     block_on(async {
         let fixture = Fixture::start(&[Script::AnswerLength]).await;
         let answer = fixture.get("/.well-known/hemlockfield/entries").await;
-        let address = fixture.node.callers().unwrap().to_string();
+        let address = fixture.node.caller_address().unwrap().to_string();
         assert!(answer.contains(&address), "{answer}");
         assert!(answer.contains("lifetime_ms"), "{answer}");
     });
