--- a/src/cli/run.rs
+++ b/src/cli/run.rs
@@ -37,7 +37,7 @@
     let found = options.found;
     let settings = Settings::load(&path)?;
     let _logs = crate::node::start_logs(&settings);
-    crate::node::start_threads(&settings);
+    crate::node::set_traffic_threads(&settings);
     block_on(async {
         // Listened for from before the first one: a second signal must not be lost.
         let mut signals = listen_for_signals();
--- a/src/node/logs.rs
+++ b/src/node/logs.rs
@@ -12,12 +12,12 @@
 const MAX_BUFFERED_LINES: usize = 4096;
 
 /// Guard of the logging thread; dropping it flushes the buffered lines.
-pub struct Logs {
+pub struct LogGuard {
     lost: tracing_appender::non_blocking::ErrorCounter,
     _guard: WorkerGuard,
 }
 
-impl Drop for Logs {
+impl Drop for LogGuard {
     fn drop(&mut self) {
         let lost = self.lost.dropped_lines();
         tracing::info!(target: "hemlockfield::node", lost, "logs end");
@@ -26,7 +26,7 @@
 
 /// Starts logging JSON lines to standard output, at the levels of the settings. A thread of
 /// its own writes them: otherwise an output that nobody reads would block requests.
-pub fn start_logs(settings: &Settings) -> Logs {
+pub fn start_logs(settings: &Settings) -> LogGuard {
     let filter = EnvFilter::new(settings.log.filter());
     let (writer, guard): (NonBlocking, WorkerGuard) = NonBlockingBuilder::default()
         .lossy(true)
@@ -38,10 +38,10 @@
     if tracing::subscriber::set_global_default(subscriber).is_err() {
         tracing::debug!(target: "hemlockfield::node", "logging was started before");
     }
-    Logs { lost, _guard: guard }
+    LogGuard { lost, _guard: guard }
 }
 
 /// Sets the number of traffic threads from the settings. Must be called before the first task.
-pub fn start_threads(settings: &Settings) {
+pub fn set_traffic_threads(settings: &Settings) {
     crate::runtime::set_threads(settings.traffic.threads);
 }
