--- a/src/node/builder.rs
+++ b/src/node/builder.rs
@@ -85,7 +85,7 @@
     let settings = settings.clone();
     let opener: Opener = Box::new(move || {
         let opened = open_office(&settings, None, false)?;
-        opened.ok_or_else(|| Error::Office)
+        opened.ok_or_else(|| Error::NoLog)
     });
     let state = Box::new(Attached::new(now, setup));
     Ok(Components { held: None, log, state, opener: Some(opener) })
@@ -191,7 +191,7 @@
     }
     if recovered.identity.is_some() {
         if is_founding {
-            return Err(Error::Founded(folder));
+            return Err(Error::AlreadyFounded(folder));
         }
     } else {
         setup.founders = founders;
--- a/src/node/error.rs
+++ b/src/node/error.rs
@@ -8,7 +8,7 @@
 pub enum Error {
     /// The data folder of a new quorum holds state already.
     #[error("data folder `{}` holds state already; founding needs an empty one", .0.display())]
-    Founded(PathBuf),
+    AlreadyFounded(PathBuf),
     /// The keys can't be used.
     #[error("keys: {0}")]
     Keys(#[from] crate::keys::Error),
@@ -25,10 +25,10 @@
     },
     /// Metrics can't be registered or encoded.
     #[error("metrics: {0}")]
-    Measure(#[from] prometheus::Error),
+    MetricsRegistry(#[from] prometheus::Error),
     /// Metrics can't be sent to the collector.
     #[error("can't send metrics to `{address}`: {source}")]
-    Metrics {
+    MetricsCollector {
         /// Address of the collector.
         address: SocketAddr,
         /// Error of the operating system.
@@ -36,7 +36,7 @@
     },
     /// Only a control has a log.
     #[error("this process is not a control and has no log")]
-    Office,
+    NoLog,
     /// The recording can't be written.
     #[error(transparent)]
     Replay(#[from] crate::replay::Error),
--- a/src/node/metrics.rs
+++ b/src/node/metrics.rs
@@ -94,7 +94,7 @@
     let Some(collector) = collector else {
         return Ok(StatsdClient::from_sink(PREFIX, NopMetricSink));
     };
-    let collector_error = |source| Error::Metrics { address: collector, source };
+    let collector_error = |source| Error::MetricsCollector { address: collector, source };
     let local: SocketAddr = if collector.is_ipv4() {
         SocketAddr::from(([0, 0, 0, 0], 0))
     } else {
