--- a/tests/suite/core_fleet.rs
+++ b/tests/suite/core_fleet.rs
@@ -1,9 +1,9 @@
-//! Whole processes without IO, joined by the fake network in virtual time.
+//! Control states of a whole fleet, connected by a simulated network in virtual time.
 
 mod claim;
+mod cluster;
 mod configuration;
 mod floor;
-mod oneway;
+mod partition;
 mod repair;
-mod site;
 mod upstream;
--- a/tests/suite/core_fleet/site.rs
+++ b/tests/suite/core_fleet/cluster.rs
@@ -1,7 +1,7 @@
-//! Several cores on the fake network: clock, disks and calls are the test's own.
+//! A fleet of cores with simulated network, disks and clock.
 
-mod ask;
-mod look;
+mod queries;
+mod requests;
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -39,11 +39,11 @@
 use hemlockfield::wire::Verdict;
 
 pub(super) const SERVICE: &str = "hull-register";
-/// Deadline of a request and grace, after which its unfinished claim is unknown.
-pub(super) const LIMIT: Duration = Duration::from_secs(10);
-/// Far above what any event takes in virtual time.
-const HANG: Duration = Duration::from_secs(300);
-const EPOCH: Epoch = Duration::from_secs(1_700_000_000);
+/// Time after which the outcome of an unfinished claim is unknown: deadline and grace period.
+pub(super) const CLAIM_LIMIT: Duration = Duration::from_secs(10);
+/// Longest wait for an event in virtual time, far above what any takes.
+const MAX_WAIT: Duration = Duration::from_secs(300);
+const START_TIME: Epoch = Duration::from_secs(1_700_000_000);
 const DOMAINS: [&str; 4] = ["halle-nord", "halle-sued", "keller-alt", "werft-ost"];
 
 pub(super) fn ms(count: u64) -> Duration {
@@ -54,7 +54,7 @@
     name.into()
 }
 
-/// Rules with a floor of 70%, which differ by number.
+/// Rules with a floor of 70%, different for each number.
 pub(super) fn rules(number: u64) -> String {
     format!(
         "services:\n  {SERVICE}: {{floor: 70%, sensitivity: 0.5}}\n\
@@ -63,7 +63,7 @@
     )
 }
 
-/// What a process keeps while it does not run.
+/// Data of a process that outlives it.
 #[derive(Default)]
 pub(super) struct Folder {
     pub(super) held: Option<Version>,
@@ -77,38 +77,38 @@
     view: View,
 }
 
-/// Controls `c1..`, entries `e1..` and upstreams that announce themselves.
-pub(super) struct Site {
-    /// Numbers that each process put in force, over all its starts.
+/// Controls `c1..`, entries `e1..` and upstreams that announce themselves to entries.
+pub(super) struct Cluster {
+    /// Numbers of the configurations that each process put in force, over all its starts.
     pub(super) applied: BTreeMap<NodeId, Vec<ConfigNumber>>,
     pub(super) claimed: BTreeMap<(NodeId, u64), ClaimDecision>,
     pub(super) changed: BTreeMap<(NodeId, u64), Result<u64, String>>,
     pub(super) folders: BTreeMap<NodeId, Folder>,
     pub(super) net: Net,
     pub(super) now: Moment,
-    /// What each upstream says of itself, and the entry that it says it to.
+    /// Announcement of each upstream, and the entry that it is sent to.
     pub(super) upstreams: BTreeMap<UpstreamId, (Announcement, NodeId)>,
     pub(super) verdicts: BTreeMap<(NodeId, u64), Verdict>,
-    /// Entries that no upstream answers.
-    pub(super) apart: BTreeSet<NodeId>,
+    /// Entries whose probes get no answer.
+    pub(super) cut_from_upstreams: BTreeSet<NodeId>,
     announce_at: Moment,
     controls: Vec<NodeId>,
     entries: Vec<NodeId>,
     running: BTreeMap<NodeId, Running>,
     seed: u64,
-    stopped: BTreeSet<NodeId>,
+    paused: BTreeSet<NodeId>,
     ticket: u64,
 }
 
-impl Site {
-    /// Starts controls, founded, and entries.
+impl Cluster {
+    /// Starts the controls, which found a quorum, and the entries.
     pub(super) fn new(seed: u64, controls: usize, entries: usize) -> Self {
         let named = |prefix: &str, count: usize| -> Vec<NodeId> {
             (1..=count).map(|at| format!("{prefix}{at}").into()).collect()
         };
-        let mut site = Self {
+        let mut cluster = Self {
             announce_at: Moment::ZERO,
-            apart: BTreeSet::new(),
+            cut_from_upstreams: BTreeSet::new(),
             applied: BTreeMap::new(),
             changed: BTreeMap::new(),
             claimed: BTreeMap::new(),
@@ -119,22 +119,23 @@
             now: ms(10),
             running: BTreeMap::new(),
             seed,
-            stopped: BTreeSet::new(),
+            paused: BTreeSet::new(),
             ticket: 0,
             upstreams: BTreeMap::new(),
             verdicts: BTreeMap::new(),
         };
-        site.controls.clone().iter().for_each(|control| site.start(control, true));
-        site.entries.clone().iter().for_each(|entry| site.start(entry, false));
-        site
+        cluster.controls.clone().iter().for_each(|control| cluster.start(control, true));
+        cluster.entries.clone().iter().for_each(|entry| cluster.start(entry, false));
+        cluster
     }
 
-    /// A settled fleet that has configuration 1 in force everywhere.
-    pub(super) fn settled(seed: u64, controls: usize, entries: usize) -> Self {
-        let mut site = Self::new(seed, controls, entries);
-        assert_eq!(site.submit("e1", 1, "first"), Verdict::Accepted(1));
-        site.run_until("configuration 1 everywhere", |site| site.all_at(1));
-        site
+    /// Starts a fleet and waits until configuration 1 is in force everywhere.
+    pub(super) fn with_configuration(seed: u64, controls: usize, entries: usize) -> Self {
+        let mut cluster = Self::new(seed, controls, entries);
+        assert_eq!(cluster.submit("e1", 1, "first"), Verdict::Accepted(1));
+        cluster
+            .run_until("configuration 1 everywhere", |cluster| cluster.all_have_configuration(1));
+        cluster
     }
 
     pub(super) fn controls(&self) -> Vec<NodeId> {
@@ -145,15 +146,15 @@
         self.entries.clone()
     }
 
-    /// Starts a process over what its folder holds; it may be one that ran before.
-    pub(super) fn start(&mut self, id: &NodeId, found: bool) {
+    /// Starts or restarts a process on its data folder.
+    pub(super) fn start(&mut self, id: &NodeId, is_founding: bool) {
         self.seed += 1;
         let folder = self.folders.entry(id.clone()).or_default();
         let (office, log) = if id.starts_with('c') {
             let disk = folder.log.get_or_insert_with(|| Disk::new(self.seed)).clone();
             let (log, recovered) = Log::open(Box::new(disk)).unwrap();
             let mut setup = quorum::Setup::new(id.clone());
-            if found {
+            if is_founding {
                 setup.founders = Some(Membership::founding(self.controls.clone()));
             }
             (Some(Office::new(setup, recovered, self.seed)), Some(log))
@@ -175,40 +176,40 @@
         self.running.insert(id.clone(), running);
     }
 
-    /// A new control that was in no settings before.
+    /// Starts a control that no settings name.
     pub(super) fn start_new_control(&mut self, id: &NodeId) {
         self.controls.push(id.clone());
         self.start(id, false);
     }
 
-    /// The process is gone, as by SIGKILL; what its disk had not synced is gone too.
+    /// Kills a process as SIGKILL does; data that was not synced is lost.
     pub(super) fn kill(&mut self, id: &NodeId) {
         self.running.remove(id);
-        self.stopped.remove(id);
+        self.paused.remove(id);
         if let Some(disk) = &self.folders[id].log {
             disk.crash();
         }
     }
 
-    /// The process is gone with its data folder.
-    pub(super) fn lose(&mut self, id: &NodeId) {
+    /// Kills a process and deletes its data folder.
+    pub(super) fn destroy(&mut self, id: &NodeId) {
         self.kill(id);
         self.folders.insert(id.clone(), Folder::default());
     }
 
-    /// The process does nothing, as by SIGSTOP; what is sent to it is lost.
-    pub(super) fn stop(&mut self, id: &NodeId) {
-        self.stopped.insert(id.clone());
+    /// Pauses a process as SIGSTOP does; frames sent to it are lost.
+    pub(super) fn pause(&mut self, id: &NodeId) {
+        self.paused.insert(id.clone());
     }
 
-    /// Cuts a process off from all others, in one direction or both.
-    pub(super) fn cut_off(&mut self, id: &NodeId, hears: bool, is_heard: bool) {
+    /// Cuts the network between a process and all others, in one direction or both.
+    pub(super) fn isolate(&mut self, id: &NodeId, can_receive: bool, can_send: bool) {
         let others: Vec<NodeId> = self.controls.iter().chain(&self.entries).cloned().collect();
         for other in others.iter().filter(|other| *other != id) {
-            if !hears {
+            if !can_receive {
                 self.net.cut(other, id);
             }
-            if !is_heard {
+            if !can_send {
                 self.net.cut(id, other);
             }
         }
@@ -216,12 +217,12 @@
 
     pub(super) fn input(&mut self, id: &NodeId, input: Input) {
         let Some(running) = self.running.get_mut(id) else { return };
-        let mut outputs = running.core.handle(self.now, EPOCH + self.now, input);
+        let mut outputs = running.core.handle(self.now, START_TIME + self.now, input);
         loop {
             let synced = self.carry_out(id, outputs);
             let Some(number) = synced else { break };
             let Some(running) = self.running.get_mut(id) else { break };
-            outputs = running.core.handle(self.now, EPOCH + self.now, Input::Synced(number));
+            outputs = running.core.handle(self.now, START_TIME + self.now, Input::Synced(number));
         }
         let Some(running) = self.running.get_mut(id) else { return };
         if let Some(view) = running.core.view(self.now, &running.view) {
@@ -229,7 +230,7 @@
         }
     }
 
-    /// Lets `span` pass.
+    /// Advances the clock by `span`.
     pub(super) fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
@@ -237,11 +238,11 @@
         }
     }
 
-    /// Lets time pass until something has happened.
+    /// Advances the clock until `happened`; `what` names the event in the panic message.
     pub(super) fn run_until(&mut self, what: &str, happened: impl Fn(&Self) -> bool) {
-        let end = self.now + HANG;
+        let end = self.now + MAX_WAIT;
         while !happened(self) {
-            assert!(self.now < end, "hung: waiting for {what}");
+            assert!(self.now < end, "timed out waiting for {what}");
             self.step();
         }
     }
@@ -249,7 +250,7 @@
     fn step(&mut self) {
         self.now += ms(5);
         while let Some(delivery) = self.net.receive(self.now) {
-            if self.stopped.contains(&delivery.to) {
+            if self.paused.contains(&delivery.to) {
                 continue;
             }
             let envelope = Envelope::decode(&delivery.bytes).unwrap();
@@ -258,7 +259,7 @@
         let now = self.now;
         let is_due = |(id, it): &(&NodeId, &Running)| {
             let due = it.tick_at <= now || it.core.next_at() <= now;
-            due && !self.stopped.contains(*id)
+            due && !self.paused.contains(*id)
         };
         let due: Vec<NodeId> =
             self.running.iter().filter(is_due).map(|(id, _)| id.clone()).collect();
@@ -270,18 +271,18 @@
         }
         if self.announce_at <= now {
             self.announce_at = now + Duration::from_secs(5);
-            self.renew();
+            self.renew_announcements();
         }
     }
 
-    fn renew(&mut self) {
+    fn renew_announcements(&mut self) {
         for (announcement, entry) in self.upstreams.clone().into_values() {
             let ticket = self.next_ticket();
             self.input(&entry, Input::Announce(ticket, announcement));
         }
     }
 
-    /// Carries out what a core wants; gives the number of what was synced.
+    /// Carries out the outputs of a core. Returns the number of the records that were synced.
     fn carry_out(&mut self, from: &NodeId, outputs: Vec<Output>) -> Option<u64> {
         let mut synced = None;
         let mut probed = Vec::new();
@@ -291,13 +292,13 @@
                 | Output::Event(_)
                 | Output::QuotaGranted(..)
                 | Output::Configuration(..) => (),
-                Output::Apply(version) => self.apply(from, version),
+                Output::Apply(version) => self.store_configuration(from, version),
                 Output::MembersChanged(ticket, result) => {
                     self.changed.insert((from.clone(), ticket), result);
                 }
                 Output::ClaimDecision(ticket, claimed) => {
                     let before = self.claimed.insert((from.clone(), ticket), claimed);
-                    assert_eq!(before, None, "`{from}` was told twice of {ticket}");
+                    assert_eq!(before, None, "`{from}` got a second answer to claim {ticket}");
                 }
                 Output::Persist(number, records) => {
                     synced = Some(self.persist(from, number, &records));
@@ -313,9 +314,9 @@
             }
         }
         for (service, upstream) in probed {
-            let Some((said, _)) = self.upstreams.get(&upstream) else { continue };
-            let answers = !self.apart.contains(from);
-            let draining = answers.then_some(said.state == State::Draining);
+            let Some((announcement, _)) = self.upstreams.get(&upstream) else { continue };
+            let answers = !self.cut_from_upstreams.contains(from);
+            let draining = answers.then_some(announcement.state == State::Draining);
             self.input(from, Input::Probed(service, upstream, draining, answers));
         }
         synced
@@ -328,8 +329,8 @@
         number
     }
 
-    /// Keeps a version as the driver does; a process never goes back.
-    fn apply(&mut self, id: &NodeId, version: Version) {
+    /// Stores a configuration as the control thread does. Its number must never decrease.
+    fn store_configuration(&mut self, id: &NodeId, version: Version) {
         let numbers = self.applied.entry(id.clone()).or_default();
         let before = numbers.last().copied().unwrap_or(0);
         assert!(version.number >= before, "`{id}` went back from {before} to {}", version.number);
@@ -347,11 +348,11 @@
         let role = if control { fleet::Role::Control } else { fleet::Role::Entry };
         fleet::Record {
             id: id.clone(),
-            incarnation: (EPOCH + self.now).as_micros() as u64,
+            incarnation: (START_TIME + self.now).as_micros() as u64,
             meta: fleet::Meta {
                 callers: address(id, 0),
                 config: 0,
-                domain: DOMAINS[number_of(id) % DOMAINS.len()].into(),
+                domain: DOMAINS[index_of(id) % DOMAINS.len()].into(),
                 links: address(id, 1),
                 region: "regensburg".into(),
                 roles: [role].into(),
@@ -366,17 +367,17 @@
     }
 }
 
-/// Whether a resend was told that it may have run, or is being run.
-pub(super) fn is_never_again(claimed: &ClaimDecision) -> bool {
+/// Whether the answer to a resend says that the request has run, is running or may have run.
+pub(super) fn may_have_run(claimed: &ClaimDecision) -> bool {
     let ClaimDecision::Answer(answer) = claimed else { return false };
     matches!(answer, Answer::InProgress { .. } | Answer::Unknown | Answer::Done(_))
 }
 
-fn number_of(id: &NodeId) -> usize {
+fn index_of(id: &NodeId) -> usize {
     id[1..].parse().unwrap()
 }
 
 fn address(id: &NodeId, port: u16) -> SocketAddr {
     let group = if id.starts_with('c') { 1 } else { 2 };
-    SocketAddr::from(([127, 1, group, number_of(id) as u8], 7_000 + port))
+    SocketAddr::from(([127, 1, group, index_of(id) as u8], 7_000 + port))
 }
--- a/tests/suite/core_fleet/site/look.rs
+++ b/tests/suite/core_fleet/cluster/queries.rs
@@ -1,4 +1,4 @@
-//! What the processes know.
+//! Queries of the processes' state.
 
 use hemlockfield::id::ConfigNumber;
 use hemlockfield::id::NodeId;
@@ -7,11 +7,11 @@
 use hemlockfield::quorum;
 use hemlockfield::quorum::Role;
 
+use super::Cluster;
 use super::Running;
 use super::SERVICE;
-use super::Site;
 
-impl Site {
+impl Cluster {
     pub(in crate::core_fleet) fn core(&self, id: &NodeId) -> &Core {
         &self.running[id].core
     }
@@ -20,34 +20,34 @@
         &self.running[id].view
     }
 
-    pub(in crate::core_fleet) fn number(&self, id: &NodeId) -> Option<ConfigNumber> {
+    pub(in crate::core_fleet) fn configuration_number(&self, id: &NodeId) -> Option<ConfigNumber> {
         self.core(id).version().map(|version| version.number)
     }
 
-    /// Whether all that run have this configuration in force.
-    pub(in crate::core_fleet) fn all_at(&self, number: ConfigNumber) -> bool {
-        let active = self.running.keys().filter(|id| !self.stopped.contains(*id));
-        active.into_iter().all(|id| self.number(id) == Some(number))
+    /// Whether all active processes have this configuration in force.
+    pub(in crate::core_fleet) fn all_have_configuration(&self, number: ConfigNumber) -> bool {
+        let active = self.running.keys().filter(|id| !self.paused.contains(*id));
+        active.into_iter().all(|id| self.configuration_number(id) == Some(number))
     }
 
     pub(in crate::core_fleet) fn quorum(&self, id: &NodeId) -> quorum::Status {
         self.core(id).office().unwrap().status(self.now)
     }
 
-    /// Controls that run and count as leaders.
+    /// Running controls that consider themselves leader.
     pub(in crate::core_fleet) fn leaders(&self) -> Vec<NodeId> {
         let running = self.controls.iter().filter(|id| self.running.contains_key(*id));
         running.filter(|id| self.quorum(id).role == Role::Leader).cloned().collect()
     }
 
-    /// The one control that leads.
+    /// Waits until there is exactly one leader and returns it.
     pub(in crate::core_fleet) fn leader(&mut self) -> NodeId {
-        self.run_until("one leader", |site| site.leaders().len() == 1);
+        self.run_until("one leader", |cluster| cluster.leaders().len() == 1);
         self.leaders().remove(0)
     }
 
-    /// Entries that would give the upstream new work.
-    pub(in crate::core_fleet) fn users(&self, upstream: &str) -> Vec<NodeId> {
+    /// Entries that may send new requests to the upstream.
+    pub(in crate::core_fleet) fn entries_using(&self, upstream: &str) -> Vec<NodeId> {
         let uses = |running: &Running| {
             let service = running.view.services.get(SERVICE);
             service.is_some_and(|service| service.addresses.contains_key(upstream))
--- a/tests/suite/core_fleet/site/ask.rs
+++ b/tests/suite/core_fleet/cluster/requests.rs
@@ -1,4 +1,4 @@
-//! What operators, callers and upstreams ask of a process.
+//! Requests by operators, callers and upstreams to a process.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,16 +15,16 @@
 use hemlockfield::registry::State;
 use hemlockfield::wire::Verdict;
 
+use super::CLAIM_LIMIT;
+use super::Cluster;
 use super::DOMAINS;
-use super::LIMIT;
 use super::SERVICE;
-use super::Site;
 use super::id;
 use super::ms;
 use super::rules;
 
-impl Site {
-    /// Submits, and waits for the answer.
+impl Cluster {
+    /// Submits a configuration and waits for the verdict.
     pub(in crate::core_fleet) fn submit(
         &mut self,
         at: &str,
@@ -33,7 +33,7 @@
     ) -> Verdict {
         let ticket = self.begin_submit(at, number, submission);
         let key = (id(at), ticket);
-        self.run_until("the verdict", |site| site.verdicts.contains_key(&key));
+        self.run_until("the verdict", |cluster| cluster.verdicts.contains_key(&key));
         self.verdicts[&key].clone()
     }
 
@@ -49,29 +49,29 @@
         ticket
     }
 
-    /// Asks for a claim of `key`, and gives its ticket.
+    /// Requests a claim on `key` and returns its ticket.
     pub(in crate::core_fleet) fn begin_claim(&mut self, at: &str, key: &str) -> u64 {
         let slot = Slot { caller: "yard".into(), key: key.into(), service: SERVICE.into() };
-        let request = claim::Request { digest: 7, limit: LIMIT, slot };
+        let request = claim::Request { digest: 7, limit: CLAIM_LIMIT, slot };
         let ticket = self.next_ticket();
         self.input(&id(at), Input::Claim(ticket, request, self.now + ms(5_000)));
         ticket
     }
 
-    /// What a claim comes to.
+    /// Requests a claim on `key` and waits for the decision.
     pub(in crate::core_fleet) fn claim(&mut self, at: &str, key: &str) -> (u64, ClaimDecision) {
         let ticket = self.begin_claim(at, key);
-        let place = (id(at), ticket);
-        self.run_until("the claim's end", |site| site.claimed.contains_key(&place));
-        (ticket, self.claimed[&place].clone())
+        let key = (id(at), ticket);
+        self.run_until("the claim's end", |cluster| cluster.claimed.contains_key(&key));
+        (ticket, self.claimed[&key].clone())
     }
 
-    pub(in crate::core_fleet) fn finish(&mut self, at: &str, ticket: u64) {
+    pub(in crate::core_fleet) fn finish_claim(&mut self, at: &str, ticket: u64) {
         let outcome = Some(Outcome::ran(201, None));
         self.input(&id(at), Input::ClaimEnd(ticket, outcome));
     }
 
-    /// Changes the controls' membership at `at`.
+    /// Changes the quorum's membership through the control `at`.
     pub(in crate::core_fleet) fn change(
         &mut self,
         at: &NodeId,
@@ -80,11 +80,11 @@
         let ticket = self.next_ticket();
         self.input(at, Input::ChangeMembers(ticket, change));
         let key = (at.clone(), ticket);
-        self.run_until("the change's answer", |site| site.changed.contains_key(&key));
+        self.run_until("the change's answer", |cluster| cluster.changed.contains_key(&key));
         self.changed[&key].clone()
     }
 
-    /// An upstream announces itself to `entry`, and renews from then on.
+    /// Announces an upstream to `entry` now and again at each interval.
     pub(in crate::core_fleet) fn announce(&mut self, name: &str, entry: &str, state: State) {
         let number = self.upstreams.len() as u16;
         let announcement = Announcement {
@@ -103,7 +103,7 @@
         self.announce_at = self.now;
     }
 
-    /// An upstream says that it is leaving.
+    /// Announces that an upstream is draining.
     pub(in crate::core_fleet) fn drain_upstream(&mut self, name: &str) {
         self.upstreams.get_mut(name).unwrap().0.state = State::Draining;
         self.announce_at = self.now;
--- a/tests/suite/core_fleet/floor.rs
+++ b/tests/suite/core_fleet/floor.rs
@@ -1,4 +1,4 @@
-//! The floor as traffic threads see it.
+//! The floor of a service in the views for traffic threads.
 
 use std::time::Duration;
 
@@ -14,69 +14,68 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use super::site::SERVICE;
-use super::site::Site;
-use super::site::id;
-use super::site::ms;
+use super::cluster::Cluster;
+use super::cluster::SERVICE;
+use super::cluster::id;
+use super::cluster::ms;
 
-/// Steps of 20 ms.
+/// Number of steps of 20 ms.
 const STEPS: u64 = 1_500;
 const UPSTREAMS: usize = 10;
-/// Weight of a suspect, the least of those in service.
-const SUSPECT: f64 = 0.5;
-/// Floor of the site's rules.
+/// Weight of a suspected upstream, the lowest of an upstream in service.
+const SUSPECT_WEIGHT: f64 = 0.5;
+/// Floor in the rules of the cluster.
 const FLOOR: f64 = 0.7;
 
 proptest! {
-    // The same cases every run, so that the verdict is the same.
+    // A fixed seed generates the same cases in every run, which makes the result reproducible.
     #![proptest_config(ProptestConfig {
         cases: 8,
         rng_seed: RngSeed::Fixed(1),
         ..ProptestConfig::default()
     })]
 
-    /// One upstream after the other begins to fail its callers, until most of them do, and
-    /// others leave meanwhile. After
-    /// every outcome the view that traffic threads pick from holds 70% of the announced
-    /// upstreams in service: ejecting more would put the load of all on a few. A suspect is
-    /// in service, with half its usual share; one on trial is not.
+    /// Guards against ejections below the floor, which would put all load on few upstreams.
+    /// Upstreams begin to fail one after the other while some drain. After every outcome the
+    /// view has 70% of the announced upstreams in service. A suspected upstream counts as in
+    /// service, with half its share; one on trial does not.
     #[test]
     fn view_floor_held(seed in any::<u32>()) {
         let mut random = ChaCha8Rng::seed_from_u64(seed.into());
-        let mut site = Site::settled(seed.into(), 1, 1);
+        let mut cluster = Cluster::with_configuration(seed.into(), 1, 1);
         for at in 0..UPSTREAMS {
-            site.announce(&format!("hull-{at}"), "e1", State::Ready);
+            cluster.announce(&format!("hull-{at}"), "e1", State::Ready);
         }
-        site.run_until("the upstreams", |site| {
-            site.view(&id("e1")).services.get(SERVICE).is_some_and(|it| it.members.len() == UPSTREAMS)
+        cluster.run_until("the upstreams", |cluster| {
+            cluster.view(&id("e1")).services.get(SERVICE).is_some_and(|it| it.members.len() == UPSTREAMS)
         });
         let starts: Vec<u64> =
             (0..UPSTREAMS as u64).map(|at| at * 150 + random.random_range(0..100)).collect();
         let mut ejected = 0;
         for step in 0..STEPS {
-            site.run(ms(20));
+            cluster.run(ms(20));
             for (at, start) in starts.iter().enumerate() {
                 let fails = step >= *start;
                 let kind = if fails { Kind::ServerError } else { Kind::Success };
                 let latency = Duration::from_millis(random.random_range(5..15));
                 let upstream = format!("hull-{at}").into();
-                site.input(&id("e1"), Input::Outcome(SERVICE.into(), upstream, kind, latency));
-                let (serving, all) = weights(&site);
+                cluster.input(&id("e1"), Input::Outcome(SERVICE.into(), upstream, kind, latency));
+                let (serving, all) = count_in_service(&cluster);
                 ejected = ejected.max(all - serving);
                 prop_assert!(serving as f64 >= FLOOR * all as f64, "{serving} of {all}, step {step}");
             }
             if step % 500 == 499 {
                 let leaving = UPSTREAMS - 1 - step as usize / 500;
-                site.drain_upstream(&format!("hull-{leaving}"));
+                cluster.drain_upstream(&format!("hull-{leaving}"));
             }
         }
-        prop_assert!(ejected > 0, "nothing was ever ejected");
+        prop_assert!(ejected > 0, "no upstream was ejected");
     }
 }
 
-/// Upstreams in service, and all of them.
-fn weights(site: &Site) -> (usize, usize) {
-    let service = &site.view(&id("e1")).services[SERVICE];
-    let held = service.weights.values().filter(|weight| **weight < SUSPECT).count();
+/// Counts the upstreams in service and all upstreams.
+fn count_in_service(cluster: &Cluster) -> (usize, usize) {
+    let service = &cluster.view(&id("e1")).services[SERVICE];
+    let held = service.weights.values().filter(|weight| **weight < SUSPECT_WEIGHT).count();
     (service.members.len() - held, service.members.len())
 }
--- a/tests/suite/core_fleet/upstream.rs
+++ b/tests/suite/core_fleet/upstream.rs
@@ -1,46 +1,47 @@
-//! An upstream that leaves gets no new work.
+//! Draining of an upstream.
 
 use hemlockfield::registry::State;
 use rstest::rstest;
 
-use super::site::Site;
-use super::site::id;
-use super::site::ms;
+use super::cluster::Cluster;
+use super::cluster::id;
+use super::cluster::ms;
 
-/// Time after which nobody gives a leaving upstream new work.
-const SETTLED: u64 = 3_000;
+/// Time within which all entries stop using a draining upstream.
+const DRAIN_MILLIS: u64 = 3_000;
 
-// An upstream announces through e2 that it drains. No entry may give it new work 3 s later,
-// whatever e1's state: in touch with the others; cut off from them in silence while it
-// still reaches the upstream, from which it learns by its own probe; or cut off from both,
-// when it has no proof that the upstream takes work, and stops by itself.
+// An upstream announces to e2 that it is draining. 3 s later no entry may send it requests.
+// This includes e1 when it is cut off from the fleet, where its own probe of the upstream
+// tells it, and when it is cut off from the upstreams too, where it must stop by itself.
 #[rstest]
-#[case::in_touch(false, false)]
-#[case::cut_off(true, false)]
-#[case::cut_off_from_all(true, true)]
-fn drain_settles(
-    #[case] is_cut: bool,
-    #[case] is_apart: bool,
+#[case::connected(false, false)]
+#[case::isolate(true, false)]
+#[case::isolated_from_upstreams(true, true)]
+fn drain_upstream_no_new_requests(
+    #[case] is_isolated: bool,
+    #[case] is_cut_from_upstreams: bool,
     #[values(51, 52, 53, 54)] seed: u64,
 ) {
-    let mut site = Site::settled(seed, 3, 6);
+    let mut cluster = Cluster::with_configuration(seed, 3, 6);
     for name in ["hull-1", "hull-2", "hull-3"] {
-        site.announce(name, "e2", State::Ready);
+        cluster.announce(name, "e2", State::Ready);
     }
-    site.run_until("the upstreams everywhere", |site| site.users("hull-1").len() == 6);
-    if is_cut {
-        site.cut_off(&id("e1"), false, false);
+    cluster.run_until("all entries to use the upstreams", |cluster| {
+        cluster.entries_using("hull-1").len() == 6
+    });
+    if is_isolated {
+        cluster.isolate(&id("e1"), false, false);
     }
-    if is_apart {
-        site.apart.insert(id("e1"));
+    if is_cut_from_upstreams {
+        cluster.cut_from_upstreams.insert(id("e1"));
     }
-    site.drain_upstream("hull-1");
-    site.run(ms(SETTLED));
+    cluster.drain_upstream("hull-1");
+    cluster.run(ms(DRAIN_MILLIS));
     for _ in 0..200 {
-        site.run(ms(50));
-        assert_eq!(site.users("hull-1"), Vec::<String>::new());
+        cluster.run(ms(50));
+        assert_eq!(cluster.entries_using("hull-1"), Vec::<String>::new());
     }
-    if !is_apart {
-        assert_eq!(site.users("hull-2").len(), 6, "the others stay in use");
+    if !is_cut_from_upstreams {
+        assert_eq!(cluster.entries_using("hull-2").len(), 6, "the others stay in use");
     }
 }
