--- a/tests/suite/core_fleet/claim.rs
+++ b/tests/suite/core_fleet/claim.rs
@@ -27,7 +27,7 @@
 }
 
 // e1 is killed after its claim was granted: before dispatch, after dispatch, or before control
-// has recorded the outcome, as its network is cut. Control can't tell these cases cut_from_upstreams, so
+// has recorded the outcome, as its network is cut. Control can't tell these cases apart, so
 // no resend may be granted: they are in progress and, after the limit, unknown.
 #[rstest]
 #[case::between_claim_and_dispatch(false, false)]
--- a/tests/suite/core_fleet/floor.rs
+++ b/tests/suite/core_fleet/floor.rs
@@ -47,7 +47,11 @@
             cluster.announce(&format!("hull-{at}"), "e1", State::Ready);
         }
         cluster.run_until("the upstreams", |cluster| {
-            cluster.view(&id("e1")).services.get(SERVICE).is_some_and(|it| it.members.len() == UPSTREAMS)
+            cluster
+                .view(&id("e1"))
+                .services
+                .get(SERVICE)
+                .is_some_and(|it| it.members.len() == UPSTREAMS)
         });
         let starts: Vec<u64> =
             (0..UPSTREAMS as u64).map(|at| at * 150 + random.random_range(0..100)).collect();
@@ -62,7 +66,10 @@
                 cluster.input(&id("e1"), Input::Outcome(SERVICE.into(), upstream, kind, latency));
                 let (serving, all) = count_in_service(&cluster);
                 ejected = ejected.max(all - serving);
-                prop_assert!(serving as f64 >= FLOOR * all as f64, "{serving} of {all}, step {step}");
+                prop_assert!(
+                    serving as f64 >= FLOOR * all as f64,
+                    "{serving} of {all}, step {step}"
+                );
             }
             if step % 500 == 499 {
                 let leaving = UPSTREAMS - 1 - step as usize / 500;
