--- a/src/exchange/body_error.rs
+++ b/src/exchange/body_error.rs
@@ -10,18 +10,18 @@
 pub enum BodyError {
     /// The peer closed the connection before the end of the body or chunk, with this many
     /// declared bytes missing; 0 if it closed between chunks.
-    #[error("body ended `{0}` bytes before its declared end")]
+    #[error("body was cut `{0}` bytes before its declared end")]
     Cut(u64),
     /// The connection failed.
-    #[error("reading the body failed: {0}")]
+    #[error("body broke off: {0}")]
     Io(#[from] io::Error),
     /// The body is longer than this limit, in bytes.
-    #[error("body exceeds its limit of `{0}` bytes")]
+    #[error("body is over its limit of `{0}` bytes")]
     Limit(u64),
     /// The size line or the end of a chunk is invalid.
-    #[error("chunk `{0}` can't be parsed")]
+    #[error("chunk `{0}` can't be read")]
     Malformed(String),
     /// No byte of the body arrived for this long.
-    #[error("no byte of the body arrived for `{} ms`", .0.as_millis())]
+    #[error("nothing came of the body for `{} ms`", .0.as_millis())]
     Stalled(Duration),
 }
--- a/src/exchange/body_reader.rs
+++ b/src/exchange/body_reader.rs
@@ -220,7 +220,7 @@
                 return Ok(line);
             }
             if self.socket.buffered_len() > MAX_LINE_BYTES {
-                return Err(BodyError::Malformed("line is too long".to_owned()));
+                return Err(BodyError::Malformed("too long a line".to_owned()));
             }
             if !self.fill().await? {
                 return Err(BodyError::Cut(0));
--- a/src/exchange/connection.rs
+++ b/src/exchange/connection.rs
@@ -70,7 +70,7 @@
         let stream = match timeout(limit, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) => return Err(Failure::Connect(error.to_string())),
-            Err(_) => return Err(Failure::Connect(format!("no answer within {limit:?}"))),
+            Err(_) => return Err(Failure::Connect(format!("no answer in {limit:?}"))),
         };
         stream.set_nodelay(true).ok();
         Ok(Self {
@@ -155,7 +155,7 @@
             Err(SendError::Body(error)) => return Err(Failure::Upload(error.to_string())),
             // An upstream may answer and close before it has read the whole request.
             Err(SendError::Io(error)) => {
-                tracing::debug!(target: "hemlockfield::exchange", "can't send the rest: {error}");
+                tracing::debug!(target: "hemlockfield::exchange", "upstream reads no more: {error}");
                 let response = receive.await?;
                 // The failed write has consumed the socket's reset error, so that reads now end
                 // as after a regular close. For an answer that ends by close, a truncated body
@@ -220,9 +220,7 @@
     async fn skip_response(&self, response: &Response, timeouts: Timeouts) -> Result<(), Failure> {
         let framing = head::response_framing(response)?;
         if framing == Framing::Close {
-            return Err(Failure::Malformed(
-                "it belongs to another request and has no length".to_owned(),
-            ));
+            return Err(Failure::Malformed("an answer to another request".to_owned()));
         }
         let mut reader = BodyReader::new(self.socket.clone(), framing, u64::MAX, timeouts.idle);
         reader.read_all().await.map(drop).map_err(|error| Failure::Cut(error.to_string()))
--- a/src/exchange/error.rs
+++ b/src/exchange/error.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Debug, Eq, PartialEq, ThisError)]
 pub enum Error {
     /// Body larger than its rule allows.
-    #[error("body of `{size}` bytes exceeds the rule's limit of `{limit}` bytes")]
+    #[error("body of `{size}` bytes is over the rule's limit of `{limit}` bytes")]
     BodySize {
         /// Allowed size in bytes.
         limit: u64,
@@ -12,7 +12,7 @@
         size: u64,
     },
     /// More connections of callers than the process accepts.
-    #[error("too many connections are open; use another entry")]
+    #[error("too many connections are open here; use another entry")]
     Connections,
     /// Byte that is not allowed in a message head.
     #[error("byte `{0:#04x}` in the head is not allowed: heads are ASCII text")]
@@ -24,19 +24,19 @@
     #[error("head is longer than `{0}` bytes")]
     HeadSize(usize),
     /// Invalid or contradictory body lengths, as used in request smuggling.
-    #[error("header `{0}` gives more than one length, or one that is not a number")]
+    #[error("header `{0}` states more than one length, or one that is not a number")]
     Length(&'static str),
     /// Head that can't be parsed.
-    #[error("request head can't be parsed: `{0}`")]
+    #[error("request head `{0}` can't be read")]
     Malformed(String),
     /// Path that an upstream may interpret differently from the rules.
-    #[error("path `{0}` contains an escaped slash or a backslash")]
+    #[error("path `{0}` holds an escaped or backward slash")]
     Path(String),
     /// Transfer coding other than chunked.
     #[error("transfer coding `{0}` is not supported: use `chunked`")]
     TransferCoding(String),
     /// Method that is not forwarded.
-    #[error("method `{0}` is not forwarded")]
+    #[error("method `{0}` is not passed on")]
     Method(String),
 }
 
--- a/src/exchange/failure.rs
+++ b/src/exchange/failure.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug, Eq, PartialEq, ThisError)]
 pub enum Failure {
     /// The caller closed its connection; the upstream's connection is closed to cancel the work.
-    #[error("caller has disconnected")]
+    #[error("caller is gone")]
     CallerGone,
     /// The connection was closed before the head of an answer.
     #[error("connection closed before an answer (reused: `{reused}`)")]
@@ -25,7 +25,7 @@
     #[error("deadline passed after `{} ms`", .0.as_millis())]
     Expired(Duration),
     /// The answer is not HTTP/1.1 in the form supported here.
-    #[error("answer can't be parsed: `{0}`")]
+    #[error("answer can't be read: `{0}`")]
     Malformed(String),
     /// No head of an answer arrived within this time.
     #[error("no answer within `{} ms`", .0.as_millis())]
--- a/src/exchange/request.rs
+++ b/src/exchange/request.rs
@@ -46,10 +46,10 @@
         let status = parsed.parse(bytes).map_err(head::parse_error)?;
         let (Some(method), Some(path), Some(1)) = (parsed.method, parsed.path, parsed.version)
         else {
-            return Err(Error::Malformed("invalid request line".to_owned()));
+            return Err(Error::Malformed("its first line".to_owned()));
         };
         if status.is_partial() {
-            return Err(Error::Malformed("incomplete head".to_owned()));
+            return Err(Error::Malformed("it breaks off".to_owned()));
         }
         let method = Method::from_bytes(method.as_bytes())
             .map_err(|_| Error::Malformed(method.to_owned()))?;
--- a/src/exchange/response.rs
+++ b/src/exchange/response.rs
@@ -45,7 +45,7 @@
         let malformed = |text: String| Failure::Malformed(text);
         let status = parsed.parse(bytes).map_err(|error| malformed(error.to_string()))?;
         let (false, Some(code)) = (status.is_partial(), parsed.code) else {
-            return Err(malformed("incomplete status line or head".to_owned()));
+            return Err(malformed("its first line".to_owned()));
         };
         let headers = head::map(parsed.headers).map_err(|error| malformed(error.to_string()))?;
         Ok(Self { body: Body::Empty, headers, status: code })
--- a/src/node/traffic/attempts.rs
+++ b/src/node/traffic/attempts.rs
@@ -55,7 +55,7 @@
             .or_else(|| Reservation::take(proxy, service, upstreams, &[], is_long));
         let Some(reservation) = reservation else {
             let answer = failure_answer(may_have_run, job);
-            let unavailable = || (format!("no upstream of `{}` is available", job.service), 503);
+            let unavailable = || (format!("no upstream of `{}` is free", job.service), 503);
             let (reason, status) = last_failure.take().unwrap_or_else(unavailable);
             return Resolution::LocalReply { answer, reason, status };
         };
@@ -160,7 +160,7 @@
 }
 
 fn missing_answer<'a>() -> Resolution<'a> {
-    let reason = "the upstream's answer is missing".to_owned();
+    let reason = "answer is missing".to_owned();
     Resolution::LocalReply { answer: retry::Answer::Unknown, reason, status: 502 }
 }
 
--- a/src/node/traffic/claims.rs
+++ b/src/node/traffic/claims.rs
@@ -114,27 +114,21 @@
 
 fn response_to_resend(answer: Answer) -> Response {
     match answer {
-        Answer::Conflict => refuse(
-            422,
-            exchange::Outcome::NotRun,
-            "the idempotency key was used for a different request",
-            None,
-        ),
+        Answer::Conflict => {
+            refuse(422, exchange::Outcome::NotRun, "the key stands for another request", None)
+        }
         Answer::Done(Outcome::Ran { answer: Some(answer), status }) => replay(status, answer),
         Answer::Done(Outcome::Ran { answer: None, status }) => {
-            let text = format!("the request already ran, with status `{status}`");
+            let text = format!("the request ran already, with status `{status}`");
             refuse(409, exchange::Outcome::AlreadyRun, &text, None)
         }
         Answer::InProgress { by, .. } => {
-            let text = format!("the request is in progress through `{by}`");
+            let text = format!("the request is being run, through `{by}`");
             refuse(409, exchange::Outcome::InProgress, &text, Some(RETRY_AFTER))
         }
-        Answer::Done(Outcome::Unknown) | Answer::Unknown => refuse(
-            409,
-            exchange::Outcome::Unknown,
-            "an earlier send of the request may have run",
-            None,
-        ),
+        Answer::Done(Outcome::Unknown) | Answer::Unknown => {
+            refuse(409, exchange::Outcome::Unknown, "the request may have run before", None)
+        }
     }
 }
 
@@ -153,6 +147,6 @@
 }
 
 fn unconfirmed(after: Duration) -> Response {
-    let text = "the idempotency key could not be claimed; the request was not run";
+    let text = "the request could not be claimed, and was not run";
     refuse(503, exchange::Outcome::NotRun, text, Some(after))
 }
--- a/src/node/traffic/dispatch.rs
+++ b/src/node/traffic/dispatch.rs
@@ -38,7 +38,7 @@
     let service = proxy.service(&job.service);
     let upstreams = view.services.get(&job.service).cloned().unwrap_or_default();
     if upstreams.members.is_empty() {
-        let text = format!("service `{}` has no upstreams", job.service);
+        let text = format!("service `{}` has no upstream", job.service);
         job.refund();
         send_local_reply(
             proxy,
@@ -79,7 +79,7 @@
         job.refund();
         claim.into_iter().for_each(Claim::abandon);
         proxy.metrics.count("request.refused");
-        let text = format!("service `{}` does not admit the request: {reason}", job.service);
+        let text = format!("service `{}` can't take more: {reason}", job.service);
         return send_local_reply(proxy, &job, writer, &Refusal::not_run(503, text, after)).await;
     }
     let started = proxy.now();
@@ -94,7 +94,7 @@
         }
         Resolution::CallerGone { may_have_run } => {
             permit.finish(admission::Outcome::Failed);
-            job.log(proxy, view, "caller disconnected", 0);
+            job.log(proxy, view, "caller is gone", 0);
             claim.into_iter().for_each(|claim| settle_claim(claim, may_have_run));
         }
         Resolution::LocalReply { answer, reason, status } => {
--- a/src/node/traffic/rate_limiter.rs
+++ b/src/node/traffic/rate_limiter.rs
@@ -74,10 +74,7 @@
                     return Ok(Some(Charge { rate_limiter: Arc::clone(self), at, subject }));
                 }
                 Decision::Refused(after) => {
-                    let text = format!(
-                        "team `{}` exceeds its limit of {most} requests in a window",
-                        team.name
-                    );
+                    let text = format!("`{}` asks more than its {most} in a window", team.name);
                     return Err(Refusal::not_run(429, text, after));
                 }
                 Decision::Wait if now < wait_until => {
@@ -137,7 +134,7 @@
 }
 
 fn unconfirmed(team: &Team, after: Duration) -> Refusal {
-    let text = format!("control can't confirm the quota of team `{}`", team.name);
+    let text = format!("control can't confirm what `{}` may still ask", team.name);
     Refusal::not_run(503, text, after)
 }
 
--- a/src/node/traffic/serve.rs
+++ b/src/node/traffic/serve.rs
@@ -213,10 +213,10 @@
     };
     let decided = rules.decide(&rule_request, view);
     if asker == Asker::Unknown && rules.needs_key(decided) {
-        return Err(Refusal::new(401, Outcome::NotRun, "the request carries no known API key"));
+        return Err(Refusal::new(401, Outcome::NotRun, "no known API key came with the request"));
     }
     let Some(decided) = decided else {
-        return Err(Refusal::new(404, Outcome::NotRun, "no rule matches this request"));
+        return Err(Refusal::new(404, Outcome::NotRun, "no rule holds for this request"));
     };
     let (split, mut terms) = match &decided.then {
         Action::Refuse { message, status } => {
@@ -248,7 +248,7 @@
     if request.headers.contains_key(header.as_str()) || is_safe(&request.method) {
         return None;
     }
-    let text = format!("header `{header}` is missing: the rule requires an idempotency key");
+    let text = format!("header `{header}` is missing: this request runs at most once, by its key");
     Some(Refusal::new(428, Outcome::NotRun, text))
 }
 
