--- a/src/node.rs
+++ b/src/node.rs
@@ -4,14 +4,13 @@
 //! control thread feeds it inputs and carries out its outputs. Traffic threads read
 //! immutable [`View`]s of it and send back request outcomes; they never wait for it.
 
-mod attached;
 mod builder;
-mod carrier;
-mod clerk;
+mod config_store;
+mod controller;
 pub mod core;
-mod doors;
 mod error;
-mod held;
+mod feed_core;
+mod forwarder;
 mod input;
 mod input_channel;
 mod links;
@@ -19,15 +18,16 @@
 mod metrics;
 mod metrics_server;
 mod monitors;
-mod nowhere;
-mod office;
+mod null_recorder;
 mod operators;
+mod orders;
 mod probe;
 mod snapshot;
 mod state_machine;
 mod status;
 mod thread;
 mod traffic;
+mod transport;
 mod view;
 
 #[allow(clippy::module_inception)]
@@ -36,7 +36,7 @@
 pub use self::core::Core;
 pub use self::core::Output;
 pub use self::core::Setup;
-pub use carrier::Carrier;
+pub use controller::Controller;
 pub use error::Error;
 pub use input::ClaimDecision;
 pub use input::Input;
@@ -46,9 +46,9 @@
 pub use logs::start_logs;
 pub use node::Handle;
 pub use node::Node;
-pub use office::Office;
 pub use status::Status;
 pub use traffic::DIRECTORY_PATH;
+pub use transport::Transport;
 pub use view::View;
 
 use crate::id::Incarnation;
--- a/src/node/builder.rs
+++ b/src/node/builder.rs
@@ -23,13 +23,13 @@
 use crate::storage::Folder;
 use crate::storage::Log;
 
+use super::Controller;
 use super::Core;
 use super::Error;
-use super::Office;
-use super::attached;
-use super::attached::Attached;
+use super::config_store::ConfigStore;
 use super::core::Setup;
-use super::held::Held;
+use super::feed_core;
+use super::feed_core::FeedCore;
 use super::state_machine::StateMachine;
 use super::thread::Opener;
 
@@ -40,7 +40,7 @@
 
 /// What the control thread runs on.
 pub(super) struct Components {
-    pub(super) held: Option<Held>,
+    pub(super) config_store: Option<ConfigStore>,
     pub(super) log: Option<Log>,
     pub(super) state: Box<dyn StateMachine>,
     pub(super) opener: Option<Opener>,
@@ -67,16 +67,17 @@
         return build_core(now, settings, callers, is_founding, recorder);
     }
     let founders = founders(settings);
-    let opened = open_office(settings, founders.clone(), false)?;
-    let (office, log) = opened.map_or((None, None), |(office, log)| (Some(office), Some(log)));
-    let setup = attached::Setup {
+    let opened = open_controller(settings, founders.clone(), false)?;
+    let (controller, log) =
+        opened.map_or((None, None), |(controller, log)| (Some(controller), Some(log)));
+    let setup = feed_core::Setup {
         boundary,
         callers: callers.unwrap_or_else(unspecified_address),
         domain: settings.node.failure_domain.clone(),
         id: settings.node.id.clone(),
         is_control: settings.has(Role::Control),
         is_entry: settings.has(Role::Entry),
-        office,
+        controller,
         room: Room::new(settings.limits.processor, settings.limits.link),
         retry_window: settings.retry.window,
         seed: rand::random(),
@@ -84,11 +85,11 @@
     };
     let settings = settings.clone();
     let opener: Opener = Box::new(move || {
-        let opened = open_office(&settings, None, false)?;
+        let opened = open_controller(&settings, None, false)?;
         opened.ok_or_else(|| Error::NoLog)
     });
-    let state = Box::new(Attached::new(now, setup));
-    Ok(Components { held: None, log, state, opener: Some(opener) })
+    let state = Box::new(FeedCore::new(now, setup));
+    Ok(Components { config_store: None, log, state, opener: Some(opener) })
 }
 
 fn build_core(
@@ -98,20 +99,21 @@
     is_founding: bool,
     recorder: Recorder,
 ) -> Result<Components, Error> {
-    let (held, kept) = open_held(settings)?;
+    let (config_store, kept) = open_config_store(settings)?;
     let founders = is_founding.then(|| Membership::founding(controls(settings)));
-    let opened = open_office(settings, founders, is_founding)?;
-    let (office, log) = opened.map_or((None, None), |(office, log)| (Some(office), Some(log)));
+    let opened = open_controller(settings, founders, is_founding)?;
+    let (controller, log) =
+        opened.map_or((None, None), |(controller, log)| (Some(controller), Some(log)));
     let setup = Setup {
         controls: controls(settings),
         kept,
         me: own_record(settings, callers),
-        office,
+        controller,
         recorder,
         seeds: seeds(settings),
         seed: rand::random(),
     };
-    Ok(Components { held, log, state: Box::new(Core::new(now, setup)), opener: None })
+    Ok(Components { config_store, log, state: Box::new(Core::new(now, setup)), opener: None })
 }
 
 /// Ids of the controls that are the seeds: their IP addresses.
@@ -167,19 +169,21 @@
     settings.peers.iter().map(seed).collect()
 }
 
-fn open_held(settings: &Settings) -> Result<(Option<Held>, Option<config::Version>), Error> {
+fn open_config_store(
+    settings: &Settings,
+) -> Result<(Option<ConfigStore>, Option<config::Version>), Error> {
     let Some(data) = &settings.data else { return Ok((None, None)) };
-    let (held, kept) = Held::open(&data.join("held"))?;
-    Ok((Some(held), kept))
+    let (config_store, kept) = ConfigStore::open(&data.join("held"))?;
+    Ok((Some(config_store), kept))
 }
 
 /// Opens a control's log; `None` on other processes. With `is_founding`, a folder that holds a log
 /// already is an error.
-fn open_office(
+fn open_controller(
     settings: &Settings,
     founders: Option<Membership>,
     is_founding: bool,
-) -> Result<Option<(Office, Log)>, Error> {
+) -> Result<Option<(Controller, Log)>, Error> {
     let Some(data) = settings.data.as_deref().filter(|_| settings.has(Role::Control)) else {
         return Ok(None);
     };
@@ -196,8 +200,8 @@
     } else {
         setup.founders = founders;
     }
-    let office = Office::new(setup, recovered, rand::random());
-    Ok(Some((office.with_window(settings.quota.window), log)))
+    let controller = Controller::new(setup, recovered, rand::random());
+    Ok(Some((controller.with_quota_window(settings.quota.window), log)))
 }
 
 fn open_log(folder: &Path) -> Result<(Log, quorum::Recovered), Error> {
--- a/src/node/core.rs
+++ b/src/node/core.rs
@@ -49,11 +49,11 @@
 use crate::wire::Order;
 use crate::wire::Verdict;
 
-use super::Office;
-use super::clerk::Clerk;
+use super::Controller;
+use super::controller;
+use super::forwarder::Forwarder;
 use super::input::ClaimDecision;
 use super::monitors::Monitors;
-use super::office;
 
 /// Identity of a process and the state it recovered at its start.
 #[derive(Debug)]
@@ -65,7 +65,7 @@
     /// Record of this process that it announces to the fleet.
     pub me: fleet::Record,
     /// State of the replicated log, on a control.
-    pub office: Option<Office>,
+    pub controller: Option<Controller>,
     /// Records the inputs of the health monitors for replay.
     pub recorder: Recorder,
     /// Processes to join the fleet through.
@@ -172,7 +172,7 @@
     agent: Agent,
     /// Ticket of the announcement that the registry is handling.
     pending_announcement: Option<u64>,
-    clerk: Clerk,
+    forwarder: Forwarder,
     controls: Vec<NodeId>,
     is_view_stale: bool,
     holder: Holder,
@@ -181,7 +181,7 @@
     is_leaving: bool,
     me: fleet::Record,
     member: Member,
-    office: Option<Office>,
+    controller: Option<Controller>,
     /// Time of the last probe of each upstream.
     probed_at: BTreeMap<UpstreamId, Moment>,
     registry: Registry,
@@ -208,7 +208,7 @@
         let mut core = Self {
             agent: Agent::new(now, me.id.clone(), me.incarnation),
             pending_announcement: None,
-            clerk: Clerk::default(),
+            forwarder: Forwarder::default(),
             controls: setup.controls,
             is_view_stale: true,
             holder,
@@ -217,7 +217,7 @@
             is_leaving: false,
             me,
             member,
-            office: setup.office,
+            controller: setup.controller,
             probed_at: BTreeMap::new(),
             registry,
             rules: None,
@@ -265,18 +265,19 @@
             }
             Input::Quota(ticket, ask) => {
                 let order = Order::Quota(ask);
-                let done = self.clerk.ask(now, ticket, order, quota::Limiter::RESEND_INTERVAL);
-                self.handle_clerk_outputs(now, done, &mut outputs);
+                let done =
+                    self.forwarder.forward(now, ticket, order, quota::Limiter::RESEND_INTERVAL);
+                self.handle_forwarder_outputs(now, done, &mut outputs);
             }
             Input::ReadConfiguration(ticket) => outputs.push(Output::Configuration(ticket, None)),
             Input::Throughput(..) | Input::Seeds(_) => (),
             Input::Stop => self.step_member(now, fleet::Input::Leave, &mut outputs),
             Input::Submit(ticket, version) => {
-                let done = self.clerk.submit(now, ticket, version);
-                self.handle_clerk_outputs(now, done, &mut outputs);
+                let done = self.forwarder.submit(now, ticket, version);
+                self.handle_forwarder_outputs(now, done, &mut outputs);
             }
             Input::Synced(number) => {
-                self.step_office(now, office::Input::Synced(number), &mut outputs);
+                self.step_controller(now, controller::Input::Synced(number), &mut outputs);
             }
             Input::Tick => self.tick(now, &mut outputs),
         }
@@ -289,7 +290,7 @@
         if let Some(at) = self.agent.next_at() {
             wake = wake.min(at);
         }
-        if let Some(at) = self.office.as_ref().and_then(Office::wake) {
+        if let Some(at) = self.controller.as_ref().and_then(Controller::next_at) {
             wake = wake.min(at);
         }
         wake
@@ -326,8 +327,8 @@
     }
 
     /// State of the replicated log, on a control.
-    pub fn office(&self) -> Option<&Office> {
-        self.office.as_ref()
+    pub fn controller(&self) -> Option<&Controller> {
+        self.controller.as_ref()
     }
 
     /// Health monitor of each service.
@@ -342,14 +343,14 @@
             self.publish_members(now, outputs);
         }
         self.step_member(now, fleet::Input::Tick, outputs);
-        self.step_office(now, office::Input::Tick, outputs);
+        self.step_controller(now, controller::Input::Tick, outputs);
         self.step_holder(now, config::Input::Tick, outputs);
         self.step_agent(now, claim::Input::Tick, outputs);
         self.tick_registry(now, outputs);
         self.probe_homed_upstreams(now, outputs);
         self.tick_monitors(now, outputs);
-        let done = self.clerk.tick(now);
-        self.handle_clerk_outputs(now, done, outputs);
+        let done = self.forwarder.tick(now);
+        self.handle_forwarder_outputs(now, done, outputs);
     }
 
     fn receive(&mut self, now: Moment, from: NodeId, frame: Frame, outputs: &mut Vec<Output>) {
@@ -359,7 +360,7 @@
                 self.step_holder(now, config::Input::Receive { from, message }, outputs);
             }
             Frame::Order { ticket, order: Order::Quota(ask) } => {
-                self.step_office(now, office::Input::Quota(from, ticket, ask), outputs);
+                self.step_controller(now, controller::Input::Quota(from, ticket, ask), outputs);
             }
             Frame::Feed(_) | Frame::Order { .. } => {
                 tracing::warn!(target: "hemlockfield::link", peer = %from, "unexpected frame kind");
@@ -371,17 +372,21 @@
                 self.step_monitor(now, &service, health::Input::Digest(digest), outputs);
             }
             Frame::Quorum(message) => {
-                self.step_office(now, office::Input::Receive(from, message), outputs);
+                self.step_controller(now, controller::Input::Receive(from, message), outputs);
             }
             Frame::Registry(message) => {
                 self.step_registry(now, registry::Input::Receive { from, message }, outputs);
             }
             Frame::Submit { ticket, version } => {
-                self.step_office(now, office::Input::Submit(from, ticket, version), outputs);
+                self.step_controller(
+                    now,
+                    controller::Input::Submit(from, ticket, version),
+                    outputs,
+                );
             }
             Frame::Verdict { ticket, verdict } => {
-                let done = self.clerk.verdict(now, ticket, verdict);
-                self.handle_clerk_outputs(now, done, outputs);
+                let done = self.forwarder.verdict(now, ticket, verdict);
+                self.handle_forwarder_outputs(now, done, outputs);
             }
         }
     }
--- a/src/node/core/membership.rs
+++ b/src/node/core/membership.rs
@@ -43,7 +43,7 @@
     pub(super) fn publish_members(&mut self, now: Moment, outputs: &mut Vec<Output>) {
         self.is_view_stale = true;
         let controls = self.all_controls();
-        self.clerk.set_controls(controls.clone());
+        self.forwarder.set_controls(controls.clone());
         self.step_agent(now, claim::Input::Controls(controls.clone()), outputs);
         let peers = self.config_peers(&controls);
         self.step_holder(now, config::Input::Peers(peers), outputs);
--- a/src/node/core/view.rs
+++ b/src/node/core/view.rs
@@ -5,7 +5,7 @@
 use crate::clock::Moment;
 use crate::health;
 use crate::id::ServiceId;
-use crate::node::Office;
+use crate::node::Controller;
 use crate::node::View;
 use crate::node::core::Core;
 use crate::node::status;
@@ -49,25 +49,28 @@
 
     /// Status of the replicated log, for operators; `None` on a process without one.
     pub fn control(&self, now: Moment) -> Option<status::Control> {
-        if self.office.is_none() && self.stop_reason.is_none() {
+        if self.controller.is_none() && self.stop_reason.is_none() {
             return None;
         }
         Some(status::Control {
-            claims: self.office.as_ref().map_or(0, super::super::office::Office::claims_kept),
-            log: self.office.as_ref().map(|office| office.status(now)),
+            claims: self
+                .controller
+                .as_ref()
+                .map_or(0, super::super::controller::Controller::remembered_claims),
+            log: self.controller.as_ref().map(|controller| controller.status(now)),
             stopped: self.stop_reason.clone(),
         })
     }
 
     /// Stops the replicated log on this control, for `reason`.
-    pub fn close_office(&mut self, reason: String) {
-        self.office = None;
+    pub fn close_controller(&mut self, reason: String) {
+        self.controller = None;
         self.stop_reason = Some(reason);
     }
 
     /// Resumes the replicated log from the state recovered from disk.
-    pub fn open_office(&mut self, office: Office) {
-        self.office = Some(office);
+    pub fn open_controller(&mut self, controller: Controller) {
+        self.controller = Some(controller);
         self.stop_reason = None;
     }
 
--- a/src/node/attached.rs
+++ b/src/node/feed_core.rs
@@ -25,7 +25,7 @@
 use crate::id::RegionId;
 use crate::wire::Frame;
 
-use super::Office;
+use super::Controller;
 use super::View;
 use super::core::Input;
 use super::core::Output;
@@ -36,13 +36,13 @@
 
 /// Control state of a process in a fleet whose entries follow the controls.
 #[derive(Debug)]
-pub(super) struct Attached {
+pub(super) struct FeedCore {
     hub: Option<Hub>,
     id: NodeId,
     spoke: Option<Spoke>,
 }
 
-impl Attached {
+impl FeedCore {
     pub(super) fn new(now: Moment, setup: Setup) -> Self {
         let id = setup.id.clone();
         let spoke = setup.is_entry.then(|| Spoke::new(now, &setup));
@@ -77,7 +77,7 @@
     }
 }
 
-impl StateMachine for Attached {
+impl StateMachine for FeedCore {
     fn handle(&mut self, now: Moment, wall: Epoch, input: Input) -> Vec<Output> {
         let mut outputs = Vec::new();
         let mut inputs = VecDeque::from([input]);
@@ -139,15 +139,15 @@
         0
     }
 
-    fn close_office(&mut self, reason: String) {
+    fn close_controller(&mut self, reason: String) {
         if let Some(hub) = &mut self.hub {
-            hub.close_office(reason);
+            hub.close_controller(reason);
         }
     }
 
-    fn open_office(&mut self, office: Office) {
+    fn open_controller(&mut self, controller: Controller) {
         if let Some(hub) = &mut self.hub {
-            hub.open_office(office);
+            hub.open_controller(controller);
         }
     }
 }
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -25,13 +25,13 @@
 use super::InputSender;
 use super::builder;
 use super::builder::Components;
-use super::doors;
 use super::links;
 use super::metrics::Metrics;
 use super::metrics_server;
-use super::nowhere::Nowhere;
+use super::null_recorder::NullRecorder;
 use super::operators;
 use super::operators::Operators;
+use super::orders;
 use super::thread::Thread;
 use super::thread::Tickets;
 use super::thread::wall_clock;
@@ -70,9 +70,9 @@
         let callers = bind(settings.listen.callers).await?;
         let operators = bind(settings.listen.operators).await?;
         let operator_address = operators.as_ref().map(local_address).transpose()?;
-        let mut doors = Vec::new();
+        let mut order_listeners = Vec::new();
         for address in &settings.listen.orders {
-            doors.extend(bind(Some(*address)).await?);
+            order_listeners.extend(bind(Some(*address)).await?);
         }
         let caller_address = callers.as_ref().map(local_address).transpose()?;
         let metrics = Metrics::new(settings.metrics.as_ref())?;
@@ -95,13 +95,13 @@
         let now = started.elapsed();
         let components =
             builder::build(now, &settings, caller_address, is_founding, recorder, boundary)?;
-        let Components { held, log, state, opener } = components;
-        let carrier = links::start(&settings, control.clone())?;
+        let Components { config_store, log, state, opener } = components;
+        let transport = links::start(&settings, control.clone())?;
         let thread = Thread {
-            carrier,
+            transport,
             closed_at: None,
             control: control.clone(),
-            held,
+            config_store,
             inputs,
             journal,
             log,
@@ -130,8 +130,8 @@
         if let Some(listener) = metrics_listener {
             runtime::spawn(metrics_server::serve(listener, Arc::clone(&proxy)));
         }
-        for listener in doors {
-            runtime::spawn(doors::serve(listener, control.clone(), Arc::clone(&proxy)));
+        for listener in order_listeners {
+            runtime::spawn(orders::serve(listener, control.clone(), Arc::clone(&proxy)));
         }
         if let Some(listener) = callers {
             runtime::spawn(traffic::listen(listener, Arc::clone(&proxy)));
@@ -257,7 +257,9 @@
 
 fn open_journal(settings: &Settings) -> Result<Journal, Error> {
     let id = settings.node.id.clone();
-    let Some(path) = &settings.timeline else { return Ok(Journal::new(id, Arc::new(Nowhere))) };
+    let Some(path) = &settings.timeline else {
+        return Ok(Journal::new(id, Arc::new(NullRecorder)));
+    };
     // If the folder can't be created, opening the file reports the cause.
     path.parent().and_then(|folder| std::fs::create_dir_all(folder).ok());
     let recorder = FileRecorder::open(path)?;
--- a/src/node/thread.rs
+++ b/src/node/thread.rs
@@ -23,14 +23,13 @@
 use crate::wire::Envelope;
 use crate::wire::Verdict;
 
+use super::Controller;
 use super::Error;
 use super::Input;
 use super::InputSender;
-use super::Office;
 use super::Status;
-use super::carrier::Carrier;
+use super::config_store::ConfigStore;
 use super::core;
-use super::held::Held;
 use super::input::ClaimDecision;
 use super::input_channel::InputReceiver;
 use super::probe::probe;
@@ -38,6 +37,7 @@
 use super::traffic::Observation;
 use super::traffic::Proxy;
 use super::traffic::Trial;
+use super::transport::Transport;
 
 /// Most inputs handled before one sync of the disk for all of them.
 const MAX_BATCH: usize = 512;
@@ -57,16 +57,16 @@
 const MIN_VIEW_PAUSE: Duration = Duration::from_millis(20);
 
 /// Reopens the log after a disk failure.
-pub(super) type Opener = Box<dyn Fn() -> Result<(Office, Log), Error> + Send>;
+pub(super) type Opener = Box<dyn Fn() -> Result<(Controller, Log), Error> + Send>;
 
 /// State of the control thread.
 pub(super) struct Thread {
-    pub(super) carrier: Box<dyn Carrier>,
+    pub(super) transport: Box<dyn Transport>,
     /// Time at which a disk failure closed the log.
     pub(super) closed_at: Option<Moment>,
     /// Returns the results of probes to this thread.
     pub(super) control: InputSender,
-    pub(super) held: Option<Held>,
+    pub(super) config_store: Option<ConfigStore>,
     pub(super) inputs: InputReceiver,
     pub(super) journal: Arc<Journal>,
     pub(super) log: Option<Log>,
@@ -164,11 +164,11 @@
         let due = self.closed_at.is_some_and(|at| now >= at + REOPEN_DELAY);
         let Some(opener) = self.opener.as_ref().filter(|_| due) else { return };
         match opener() {
-            Ok((office, log)) => {
+            Ok((controller, log)) => {
                 tracing::info!(target: "hemlockfield::storage", "log reopened");
                 self.closed_at = None;
                 self.log = Some(log);
-                self.state.open_office(office);
+                self.state.open_controller(controller);
             }
             Err(error) => {
                 tracing::warn!(target: "hemlockfield::storage", "log can't be reopened: {error}");
@@ -259,8 +259,8 @@
                 answer(self.tickets.announcements.remove(&ticket), result);
             }
             core::Output::Apply(version) => {
-                if let Some(held) = &mut self.held {
-                    held.keep(&version);
+                if let Some(config_store) = &mut self.config_store {
+                    config_store.save(&version);
                 }
             }
             core::Output::MembersChanged(ticket, result) => {
@@ -284,7 +284,7 @@
             core::Output::Send(to, address, frame) => {
                 let stamp = self.journal.stamp(wall_clock());
                 match (Envelope { frame, stamp }).encode() {
-                    Ok(bytes) => self.carrier.send(&to, address, bytes),
+                    Ok(bytes) => self.transport.send(&to, address, bytes),
                     Err(error) => tracing::error!(target: "hemlockfield::link", "{error}"),
                 }
             }
@@ -314,7 +314,7 @@
         tracing::error!(target: "hemlockfield::storage", "log closed: {error}");
         self.log = None;
         self.closed_at = Some(self.now());
-        self.state.close_office(error.to_string());
+        self.state.close_controller(error.to_string());
     }
 
     fn record(&self, event: Event) {
@@ -334,12 +334,12 @@
         }
         let cost = self.now().saturating_sub(now);
         self.proxy.open_claims.store(self.state.open_claims(), Ordering::Release);
-        self.carrier.keep(&self.state.neighbours());
+        self.transport.set_neighbours(&self.state.neighbours());
         cost
     }
 
     fn status(&self) -> Status {
-        Status::of(self.state.report(self.now()), &self.proxy, self.carrier.as_ref())
+        Status::of(self.state.report(self.now()), &self.proxy, self.transport.as_ref())
     }
 
     fn now(&self) -> Moment {
--- a/tests/suite/core_fleet/cluster.rs
+++ b/tests/suite/core_fleet/cluster.rs
@@ -21,8 +21,8 @@
 use hemlockfield::id::NodeId;
 use hemlockfield::id::UpstreamId;
 use hemlockfield::node::ClaimDecision;
+use hemlockfield::node::Controller;
 use hemlockfield::node::Core;
-use hemlockfield::node::Office;
 use hemlockfield::node::Output;
 use hemlockfield::node::Setup;
 use hemlockfield::node::View;
@@ -150,14 +150,14 @@
     pub(super) fn start(&mut self, id: &NodeId, is_founding: bool) {
         self.seed += 1;
         let folder = self.folders.entry(id.clone()).or_default();
-        let (office, log) = if id.starts_with('c') {
+        let (controller, log) = if id.starts_with('c') {
             let disk = folder.log.get_or_insert_with(|| Disk::new(self.seed)).clone();
             let (log, recovered) = Log::open(Box::new(disk)).unwrap();
             let mut setup = quorum::Setup::new(id.clone());
             if is_founding {
                 setup.founders = Some(Membership::founding(self.controls.clone()));
             }
-            (Some(Office::new(setup, recovered, self.seed)), Some(log))
+            (Some(Controller::new(setup, recovered, self.seed)), Some(log))
         } else {
             (None, None)
         };
@@ -166,7 +166,7 @@
             controls: self.controls.clone(),
             kept,
             me: self.record(id),
-            office,
+            controller,
             recorder: Recorder::open(None).unwrap(),
             seeds: self.seeds(id),
             seed: self.seed,
--- a/tests/suite/core_fleet/cluster/queries.rs
+++ b/tests/suite/core_fleet/cluster/queries.rs
@@ -31,7 +31,7 @@
     }
 
     pub(in crate::core_fleet) fn quorum(&self, id: &NodeId) -> quorum::Status {
-        self.core(id).office().unwrap().status(self.now)
+        self.core(id).controller().unwrap().status(self.now)
     }
 
     /// Running controls that consider themselves leader.
