--- a/src/node.rs
+++ b/src/node.rs
@@ -1,29 +1,29 @@
-//! One process: its control thread, its traffic threads and what joins them.
+//! A process: its control thread, its traffic threads and what connects them.
 //!
-//! [`Core`] owns all control state and decides; it has no socket, disk or clock. The
-//! control thread carries its inputs and outputs. Traffic threads read immutable
-//! [`View`]s of it and send outcomes back, and never wait for it.
+//! The control state, a [`Core`] in a fleet of peers, has no socket, disk or clock. The
+//! control thread feeds it inputs and carries out its outputs. Traffic threads read
+//! immutable [`View`]s of it and send back request outcomes; they never wait for it.
 
+mod builder;
 mod config_store;
 mod controller;
 pub mod core;
 mod error;
 mod feed_core;
 mod forwarder;
-mod inbox;
 mod input;
-mod judges;
+mod input_channel;
 mod links;
 mod logs;
-mod machine;
-mod make;
 mod metrics;
-mod metrics_door;
+mod metrics_server;
+mod monitors;
 mod null_recorder;
 mod operators;
 mod orders;
 mod probe;
 mod snapshot;
+mod state_machine;
 mod status;
 mod thread;
 mod traffic;
@@ -38,13 +38,13 @@
 pub use self::core::Setup;
 pub use controller::Controller;
 pub use error::Error;
-pub use inbox::Inbox;
-pub use input::Claimed;
+pub use input::ClaimDecision;
 pub use input::Input;
-pub use logs::Logs;
+pub use input_channel::InputSender;
+pub use logs::LogGuard;
+pub use logs::set_traffic_threads;
 pub use logs::start_logs;
-pub use logs::start_threads;
-pub use node::Leaving;
+pub use node::Handle;
 pub use node::Node;
 pub use status::Status;
 pub use traffic::DIRECTORY_PATH;
@@ -53,8 +53,8 @@
 
 use crate::id::Incarnation;
 
-/// Restart counter of a process that starts now: microseconds of the wall clock, so
-/// that no state has to be kept for it.
+/// Incarnation of a process that starts now: the wall clock in microseconds, which grows
+/// over restarts without stored state.
 pub fn incarnation() -> Incarnation {
     let epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     epoch.map_or(0, |epoch| u64::try_from(epoch.as_micros()).unwrap_or(u64::MAX))
--- a/src/node/feed_core/spoke.rs
+++ b/src/node/feed_core/spoke.rs
@@ -127,7 +127,7 @@
                 self.tell_subscriber(now, input, &mut outputs);
             }
             Input::Frame(_, Frame::Feed(Message::Grant { ticket, grant })) => {
-                outputs.push(Output::Granted(*ticket, grant.clone()));
+                outputs.push(Output::QuotaGranted(*ticket, grant.clone()));
             }
             Input::Quota(ticket, ask) => {
                 // Without a control it is asked again before long.
@@ -144,14 +144,14 @@
                     &mut outputs,
                 );
             }
-            Input::Tried { is_repeatable, kind, latency, service, upstream } => {
+            Input::TrialOutcome { is_repeatable, kind, latency, service, upstream } => {
                 let counts = Counts::from_trial(*kind, *latency, *is_repeatable);
                 self.note(now, service, upstream, &counts, &mut outputs);
             }
             Input::Overdue(service, upstream, ages) => {
                 self.overdue(now, service, upstream, ages, &mut outputs);
             }
-            Input::Carried(arrivals, bytes) => self.subscriber.note_traffic(*arrivals, *bytes),
+            Input::Throughput(arrivals, bytes) => self.subscriber.note_traffic(*arrivals, *bytes),
             Input::Seeds(seeds) => self.subscriber.set_seeds(seeds.clone()),
             Input::Tick => self.tick(now, &mut outputs),
             _ => (),
@@ -177,16 +177,16 @@
         }
         self.viewed_at = now;
         let services = self.services(now);
-        if !self.dirty && last.has(&services) {
+        if !self.dirty && last.has_same_services(&services) {
             return None;
         }
         self.dirty = false;
         Some(View {
             entries: Arc::clone(&self.named),
-            leaving: self.leaving,
+            is_leaving: self.leaving,
             number: self.version.as_ref().map(|version| version.number),
             rules: self.rules.clone(),
-            services: last.succeed(services, &mut self.published),
+            services: last.next_services(services, &mut self.published),
             standing: self.standing,
         })
     }
@@ -368,13 +368,13 @@
 
     fn services(&self, now: Moment) -> BTreeMap<ServiceId, view::Service> {
         let mut services: BTreeMap<ServiceId, view::Service> = BTreeMap::new();
-        let sharing = self.participants.count(now);
+        let retry_sharers = self.participants.count(now);
         let ready = |known: &&Known| known.said.state == registry::State::Ready;
         for known in self.upstreams.values().filter(ready) {
             let said = &known.said;
             let service = services.entry(said.service.clone()).or_default();
             service.entries = self.entries;
-            service.sharing = sharing;
+            service.retry_sharers = retry_sharers;
             service.addresses.insert(said.upstream.clone(), said.address);
             service.members.push(self.member(now, known));
         }
@@ -383,7 +383,7 @@
             service.weights = group.weights().into_iter().collect();
             service.trials = group.trials();
             service.suspects = group.suspects();
-            service.settle(!service.suspects.is_empty());
+            service.update_state(!service.suspects.is_empty());
         }
         services
     }
--- a/src/node/traffic/claims.rs
+++ b/src/node/traffic/claims.rs
@@ -16,7 +16,7 @@
 use crate::exchange::Response;
 use crate::exchange::refuse;
 use crate::node::Input;
-use crate::node::input::Claimed;
+use crate::node::input::ClaimDecision;
 
 use super::Proxy;
 use super::job::Job;
@@ -57,12 +57,12 @@
         let claim = Self { ended: false, proxy, ticket: job.ticket };
         let claimed = timeout(left + CONTROL_REPLY_MARGIN, receiver.recv()).await;
         match claimed {
-            Ok(Ok(Claimed::Granted)) => Ok(Some(claim)),
-            Ok(Ok(Claimed::Answer(answer))) => {
+            Ok(Ok(ClaimDecision::Granted)) => Ok(Some(claim)),
+            Ok(Ok(ClaimDecision::Answer(answer))) => {
                 claim.disarm();
                 Err(Box::new(response_to_resend(answer)))
             }
-            Ok(Ok(Claimed::Refused(after))) => {
+            Ok(Ok(ClaimDecision::Refused(after))) => {
                 claim.disarm();
                 Err(Box::new(unconfirmed(after)))
             }
@@ -114,27 +114,21 @@
 
 fn response_to_resend(answer: Answer) -> Response {
     match answer {
-        Answer::Conflict => refuse(
-            422,
-            exchange::Outcome::NotRun,
-            "the idempotency key was used for a different request",
-            None,
-        ),
+        Answer::Conflict => {
+            refuse(422, exchange::Outcome::NotRun, "the key stands for another request", None)
+        }
         Answer::Done(Outcome::Ran { answer: Some(answer), status }) => replay(status, answer),
         Answer::Done(Outcome::Ran { answer: None, status }) => {
-            let text = format!("the request already ran, with status `{status}`");
+            let text = format!("the request ran already, with status `{status}`");
             refuse(409, exchange::Outcome::AlreadyRun, &text, None)
         }
         Answer::InProgress { by, .. } => {
-            let text = format!("the request is in progress through `{by}`");
+            let text = format!("the request is being run, through `{by}`");
             refuse(409, exchange::Outcome::InProgress, &text, Some(RETRY_AFTER))
         }
-        Answer::Done(Outcome::Unknown) | Answer::Unknown => refuse(
-            409,
-            exchange::Outcome::Unknown,
-            "an earlier send of the request may have run",
-            None,
-        ),
+        Answer::Done(Outcome::Unknown) | Answer::Unknown => {
+            refuse(409, exchange::Outcome::Unknown, "the request may have run before", None)
+        }
     }
 }
 
@@ -153,6 +147,6 @@
 }
 
 fn unconfirmed(after: Duration) -> Response {
-    let text = "the idempotency key could not be claimed; the request was not run";
+    let text = "the request could not be claimed, and was not run";
     refuse(503, exchange::Outcome::NotRun, text, Some(after))
 }
