--- a/src/node/controller.rs
+++ b/src/node/controller.rs
@@ -9,8 +9,8 @@
 use crate::clock::Epoch;
 use crate::clock::Moment;
 use crate::config;
-use crate::config::Book;
 use crate::config::Patch;
+use crate::config::Submissions;
 use crate::config::Version;
 use crate::id::Index;
 use crate::id::NodeId;
@@ -25,7 +25,7 @@
 
 use super::snapshot::Body;
 use super::snapshot::Command;
-use super::snapshot::Image;
+use super::snapshot::Snapshot;
 
 /// Log entries applied between two snapshots; a restart replays at most these.
 const SNAPSHOT_INTERVAL: Index = 5_000;
@@ -44,7 +44,7 @@
 #[derive(Debug)]
 pub struct Controller {
     applied: Index,
-    book: Book,
+    submissions: Submissions,
     catalog: Catalog,
     /// Log index of the configuration in force.
     configuration_index: Index,
@@ -145,7 +145,7 @@
     pub fn new(setup: quorum::Setup, recovered: Recovered, seed: u64) -> Self {
         Self {
             applied: 0,
-            book: Book::default(),
+            submissions: Submissions::default(),
             catalog: Catalog::default(),
             configuration_index: 0,
             claim_queue: Desk::default(),
@@ -218,7 +218,7 @@
 
     /// The configuration in force, as of the entries applied here.
     pub fn in_force(&self) -> Option<&Version> {
-        self.book.in_force()
+        self.submissions.in_force()
     }
 
     /// Number of claims in the ledger.
@@ -271,7 +271,7 @@
 
     /// The configuration in force and the log index that put it in force.
     pub fn configuration(&self) -> Option<(&Version, Index)> {
-        self.book.in_force().map(|version| (version, self.configuration_index))
+        self.submissions.in_force().map(|version| (version, self.configuration_index))
     }
 
     /// The replica of the log.
@@ -296,7 +296,7 @@
         let Proposal::Catalog { from, ticket } = &proposal else { return };
         if !self.is_leader {
             outputs.push(verdict_output(from, *ticket, Verdict::NotLeader(self.leader())));
-        } else if self.catalog.is_news(&action) {
+        } else if self.catalog.would_change(&action) {
             self.propose(now, wall, proposal, Body::Catalog(action), outputs);
         } else {
             // What the table contains is already committed.
@@ -317,7 +317,7 @@
             outputs.push(verdict_output(from, *ticket, verdict));
             return;
         }
-        let command = match self.book.in_force() {
+        let command = match self.submissions.in_force() {
             Some(base) => smaller_command(Patch::between(base, version), version),
             None => config::Command::Submit(version.clone()),
         };
@@ -455,9 +455,10 @@
                 }
             }
             Body::Config(change) => {
-                let before = self.book.in_force().map(|version| version.number);
-                let reply = self.book.apply(command.at, change);
-                let now = self.book.in_force().filter(|version| Some(version.number) != before);
+                let before = self.submissions.in_force().map(|version| version.number);
+                let reply = self.submissions.apply(command.at, change);
+                let now =
+                    self.submissions.in_force().filter(|version| Some(version.number) != before);
                 if now.is_some() {
                     self.configuration_index = index;
                 }
@@ -545,18 +546,18 @@
     }
 
     fn install(&mut self, snapshot: &quorum::Snapshot, outputs: &mut Vec<Output>) {
-        let Some(image) = Image::decode(&snapshot.bytes) else {
+        let Some(image) = Snapshot::decode(&snapshot.bytes) else {
             tracing::error!(target: "hemlockfield::quorum", "snapshot can't be decoded");
             return;
         };
-        self.book = image.book;
+        self.submissions = image.book;
         self.catalog = image.catalog;
         self.configuration_index = snapshot.index;
         self.claim_ledger = image.ledger;
         self.quota_ledger = image.quotas;
         self.applied = snapshot.index;
         self.snapshot_index = snapshot.index;
-        outputs.extend(self.book.in_force().cloned().map(Output::Committed));
+        outputs.extend(self.submissions.in_force().cloned().map(Output::Committed));
         outputs.push(Output::SnapshotInstalled);
     }
 
@@ -567,8 +568,12 @@
             return;
         }
         self.snapshot_index = self.applied;
-        let image =
-            Image::encode(&self.book, &self.claim_ledger, &self.catalog, &self.quota_ledger);
+        let image = Snapshot::encode(
+            &self.submissions,
+            &self.claim_ledger,
+            &self.catalog,
+            &self.quota_ledger,
+        );
         let Some(bytes) = image else { return };
         let index = self.applied;
         self.step_replica(now, quorum::Input::Snapshot { index, bytes }, outputs);
--- a/src/node/feed_core.rs
+++ b/src/node/feed_core.rs
@@ -29,7 +29,7 @@
 use super::View;
 use super::core::Input;
 use super::core::Output;
-use super::machine::Machine;
+use super::state_machine::StateMachine;
 use super::status::Report;
 use control_role::ControlRole;
 use entry_role::EntryRole;
@@ -52,7 +52,7 @@
 
     fn dispatch(&mut self, now: Moment, wall: Epoch, input: Input) -> Vec<Output> {
         let is_for_entry = match &input {
-            Input::Carried(..)
+            Input::Throughput(..)
             | Input::Drain
             | Input::Outcome(..)
             | Input::Overdue(..)
@@ -60,7 +60,7 @@
             | Input::Quota(..)
             | Input::Seeds(_)
             | Input::Tick
-            | Input::Tried { .. } => true,
+            | Input::TrialOutcome { .. } => true,
             Input::Frame(_, Frame::Feed(message)) => entry_role::is_for_entry(message),
             _ => false,
         };
@@ -77,7 +77,7 @@
     }
 }
 
-impl Machine for FeedCore {
+impl StateMachine for FeedCore {
     fn handle(&mut self, now: Moment, wall: Epoch, input: Input) -> Vec<Output> {
         let mut outputs = Vec::new();
         let mut inputs = VecDeque::from([input]);
@@ -94,7 +94,7 @@
         outputs
     }
 
-    fn wake(&self, now: Moment) -> Moment {
+    fn next_at(&self, now: Moment) -> Moment {
         let control = self.control.as_ref().map(|control| control.next_at(now));
         let entry = self.entry.as_ref().map(EntryRole::next_at);
         control.into_iter().chain(entry).min().unwrap_or(now)
@@ -160,12 +160,12 @@
         Input::Announce(ticket, _) | Input::Catalog(ticket, _) => {
             Some(Output::Announced(ticket, Err(text())))
         }
-        Input::Change(ticket, _) => Some(Output::Changed(ticket, Err(text()))),
+        Input::ChangeMembers(ticket, _) => Some(Output::MembersChanged(ticket, Err(text()))),
         Input::Claim(ticket, _, _) => {
             let after = std::time::Duration::from_secs(1);
-            Some(Output::Claimed(ticket, super::Claimed::Refused(after)))
+            Some(Output::ClaimDecision(ticket, super::ClaimDecision::Refused(after)))
         }
-        Input::Read(ticket) => Some(Output::Read(ticket, None)),
+        Input::ReadConfiguration(ticket) => Some(Output::Configuration(ticket, None)),
         Input::Submit(ticket, _) => {
             Some(Output::Verdict(ticket, crate::wire::Verdict::Unconfirmed))
         }
--- a/src/node/feed_core/control_role.rs
+++ b/src/node/feed_core/control_role.rs
@@ -112,7 +112,7 @@
             Input::Catalog(ticket, action) => {
                 self.forward_announcement(now, ticket, action, &mut outputs);
             }
-            Input::Change(ticket, change) => {
+            Input::ChangeMembers(ticket, change) => {
                 self.step_controller(
                     now,
                     wall,
@@ -121,7 +121,7 @@
                 );
             }
             Input::Frame(from, frame) => self.receive(now, wall, from, frame, &mut outputs),
-            Input::Read(ticket) => {
+            Input::ReadConfiguration(ticket) => {
                 self.forward(now, ticket, Pending::Read, Order::Read, ORDER_TIMEOUT, &mut outputs);
             }
             Input::Seeds(seeds) => {
@@ -329,7 +329,7 @@
             outputs.push(Output::Announced(ticket, Err("no disk to write to".to_owned())));
             return;
         };
-        if !controller.catalog().is_news(&action) {
+        if !controller.catalog().would_change(&action) {
             outputs.push(Output::Announced(ticket, Ok(())));
             return;
         }
@@ -423,7 +423,7 @@
             (Some(Pending::Read), Verdict::Readable(index)) => {
                 self.reads.push(PendingRead { index, ticket, deadline: now + ORDER_TIMEOUT });
             }
-            (Some(Pending::Read), _) => outputs.push(Output::Read(ticket, None)),
+            (Some(Pending::Read), _) => outputs.push(Output::Configuration(ticket, None)),
             (Some(Pending::Submit) | None, verdict) => {
                 outputs.push(Output::Verdict(ticket, verdict));
             }
@@ -437,9 +437,9 @@
         let applied = self.controller.as_ref().map(Controller::applied);
         for read in std::mem::take(&mut self.reads) {
             if applied.is_some_and(|applied| applied >= read.index) {
-                outputs.push(Output::Read(read.ticket, Some(self.version().cloned())));
+                outputs.push(Output::Configuration(read.ticket, Some(self.version().cloned())));
             } else if read.deadline <= now {
-                outputs.push(Output::Read(read.ticket, None));
+                outputs.push(Output::Configuration(read.ticket, None));
             } else {
                 self.reads.push(read);
             }
@@ -458,7 +458,7 @@
         for output in controller.handle(now, wall, input) {
             match output {
                 controller::Output::Changed(ticket, result) => {
-                    outputs.push(Output::Changed(ticket, result));
+                    outputs.push(Output::MembersChanged(ticket, result));
                 }
                 controller::Output::Committed(version) => {
                     changed = true;
--- a/src/node/feed_core/entry_role.rs
+++ b/src/node/feed_core/entry_role.rs
@@ -132,7 +132,7 @@
                 self.step_subscriber(now, input, &mut outputs);
             }
             Input::Frame(_, Frame::Feed(Message::Grant { ticket, grant })) => {
-                outputs.push(Output::Granted(*ticket, grant.clone()));
+                outputs.push(Output::QuotaGranted(*ticket, grant.clone()));
             }
             Input::Quota(ticket, demand) => {
                 // Without a control it is dropped; the limiter repeats it.
@@ -149,14 +149,14 @@
                     &mut outputs,
                 );
             }
-            Input::Tried { is_repeatable, kind, latency, service, upstream } => {
+            Input::TrialOutcome { is_repeatable, kind, latency, service, upstream } => {
                 let counts = Counts::from_trial(*kind, *latency, *is_repeatable);
                 self.record_own(now, service, upstream, &counts, &mut outputs);
             }
             Input::Overdue(service, upstream, ages) => {
                 self.record_overdue(now, service, upstream, ages, &mut outputs);
             }
-            Input::Carried(arrivals, bytes) => self.subscriber.note_traffic(*arrivals, *bytes),
+            Input::Throughput(arrivals, bytes) => self.subscriber.note_traffic(*arrivals, *bytes),
             Input::Seeds(seeds) => self.subscriber.set_seeds(seeds.clone()),
             Input::Tick => self.tick(now, &mut outputs),
             _ => (),
@@ -182,16 +182,16 @@
         }
         self.viewed_at = now;
         let services = self.services(now);
-        if !self.is_dirty && last.has(&services) {
+        if !self.is_dirty && last.has_same_services(&services) {
             return None;
         }
         self.is_dirty = false;
         Some(View {
             entries: Arc::clone(&self.directory),
-            leaving: self.is_leaving,
+            is_leaving: self.is_leaving,
             number: self.version.as_ref().map(|version| version.number),
             rules: self.rules.clone(),
-            services: last.succeed(services, &mut self.service_version),
+            services: last.next_services(services, &mut self.service_version),
             standing: self.standing,
         })
     }
@@ -383,13 +383,13 @@
 
     fn services(&self, now: Moment) -> BTreeMap<ServiceId, view::Service> {
         let mut services: BTreeMap<ServiceId, view::Service> = BTreeMap::new();
-        let sharing = self.participants.count(now);
+        let retry_sharers = self.participants.count(now);
         let ready = |known: &&Known| known.announcement.state == registry::State::Ready;
         for known in self.upstreams.values().filter(ready) {
             let announcement = &known.announcement;
             let service = services.entry(announcement.service.clone()).or_default();
             service.entries = self.entries;
-            service.sharing = sharing;
+            service.retry_sharers = retry_sharers;
             service.addresses.insert(announcement.upstream.clone(), announcement.address);
             service.members.push(self.member(now, known));
         }
@@ -398,7 +398,7 @@
             service.weights = group.weights().into_iter().collect();
             service.trials = group.trials();
             service.suspects = group.suspects();
-            service.settle(!service.suspects.is_empty());
+            service.update_state(!service.suspects.is_empty());
         }
         services
     }
--- a/src/node/links/tcp.rs
+++ b/src/node/links/tcp.rs
@@ -30,8 +30,8 @@
 use crate::id::NodeId;
 use crate::link;
 use crate::node::Error;
-use crate::node::Inbox;
 use crate::node::Input;
+use crate::node::InputSender;
 use crate::node::Transport;
 use crate::runtime;
 use crate::settings::Settings;
@@ -57,7 +57,7 @@
 }
 
 struct Shared {
-    control: Inbox,
+    control: InputSender,
     peers: Mutex<BTreeMap<NodeId, Arc<Peer>>>,
     me: NodeId,
     port: u16,
@@ -81,7 +81,10 @@
     unanswered_since: Option<Instant>,
 }
 
-pub(super) fn start(settings: &Settings, control: Inbox) -> Result<Box<dyn Transport>, Error> {
+pub(super) fn start(
+    settings: &Settings,
+    control: InputSender,
+) -> Result<Box<dyn Transport>, Error> {
     let address = settings.listen.links;
     let listen = |source| Error::Listen { address, source };
     let listener = std::net::TcpListener::bind(address).map_err(listen)?;
--- a/src/node/orders.rs
+++ b/src/node/orders.rs
@@ -13,8 +13,8 @@
 use async_std::net::TcpStream;
 use async_std::task;
 
-use super::Inbox;
 use super::Input;
+use super::InputSender;
 use super::traffic::Proxy;
 use crate::boundary::Done;
 use crate::boundary::Order;
@@ -40,7 +40,7 @@
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
 /// Serves the orders that arrive at `listener`.
-pub(super) async fn serve(listener: TcpListener, inbox: Inbox, proxy: Arc<Proxy>) {
+pub(super) async fn serve(listener: TcpListener, inbox: InputSender, proxy: Arc<Proxy>) {
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
@@ -54,7 +54,12 @@
     }
 }
 
-async fn serve_connection(stream: TcpStream, peer: SocketAddr, inbox: Inbox, proxy: Arc<Proxy>) {
+async fn serve_connection(
+    stream: TcpStream,
+    peer: SocketAddr,
+    inbox: InputSender,
+    proxy: Arc<Proxy>,
+) {
     let mut reader = RequestReader::new(stream, peer);
     while let Some((request, mut writer)) = reader.next(IDLE_TIMEOUT).await {
         serve_order(request, &mut writer, &inbox, &proxy).await;
@@ -68,7 +73,7 @@
 async fn serve_order(
     mut request: Request,
     writer: &mut ResponseWriter,
-    inbox: &Inbox,
+    inbox: &InputSender,
     proxy: &Proxy,
 ) {
     let body = match Payload::take(&mut request, BODY_BYTES_MAX, BODY_BYTES_MAX, IDLE_TIMEOUT).await
@@ -98,7 +103,7 @@
     }
 }
 
-async fn carry_out(order: Order, inbox: &Inbox, proxy: &Proxy) -> Done {
+async fn carry_out(order: Order, inbox: &InputSender, proxy: &Proxy) -> Done {
     match order {
         Order::Announce(change) => announce(Action::Announce(*change), inbox).await,
         Order::Leave(upstream) => announce(Action::Leave(upstream), inbox).await,
@@ -106,13 +111,13 @@
         Order::Read => read(inbox).await,
         Order::Ready => {
             let view = proxy.view.load();
-            Done::Readiness(view.serves() && !view.leaving)
+            Done::Readiness(view.serves() && !view.is_leaving)
         }
         Order::Submit(version) => submit(version, inbox).await,
     }
 }
 
-async fn announce(action: Action, inbox: &Inbox) -> Done {
+async fn announce(action: Action, inbox: &InputSender) -> Done {
     let (sender, receiver) = bounded(1);
     match ask(inbox, Input::Catalog(action, sender), &receiver).await {
         Some(Ok(())) => Done::Announced(None),
@@ -130,15 +135,15 @@
     Done::Entries(entries, proxy.settings.directory.lifetime)
 }
 
-async fn read(inbox: &Inbox) -> Done {
+async fn read(inbox: &InputSender) -> Done {
     let (sender, receiver) = bounded(1);
-    match ask(inbox, Input::Read(sender), &receiver).await {
+    match ask(inbox, Input::ReadConfiguration(sender), &receiver).await {
         Some(Some(version)) => Done::Configuration(version),
         Some(None) | None => Done::Busy("which configuration is the newest is not sure".into()),
     }
 }
 
-async fn submit(version: crate::config::Version, inbox: &Inbox) -> Done {
+async fn submit(version: crate::config::Version, inbox: &InputSender) -> Done {
     let (sender, receiver) = bounded(1);
     match ask(inbox, Input::Submit(version, sender), &receiver).await {
         // A version that is not higher than the one in force is superseded, which is no error.
@@ -152,7 +157,7 @@
     }
 }
 
-async fn ask<T>(inbox: &Inbox, input: Input, receiver: &Receiver<T>) -> Option<T> {
+async fn ask<T>(inbox: &InputSender, input: Input, receiver: &Receiver<T>) -> Option<T> {
     if !inbox.send(input).await {
         return None;
     }
