--- a/src/node/controller.rs
+++ b/src/node/controller.rs
@@ -90,7 +90,7 @@
     Submit(NodeId, u64, Version),
     /// All records up to this number are synced to disk.
     Synced(u64),
-    /// [`Controller::next_at`] has passed.
+    /// Time has passed; due at [`Controller::next_at`].
     Tick,
 }
 
--- a/src/node/feed_core/breakers.rs
+++ b/src/node/feed_core/breakers.rs
@@ -36,7 +36,8 @@
 /// Effect of one recorded outcome on the breaker of its upstream.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Effect {
-    /// Whether errors of the group recur, so that other entries should learn of them at once.
+    /// Whether errors recur in the service, so that a single one is a sign of a fault and other
+    /// entries should learn of it at once.
     pub(super) is_alarming: bool,
     /// State of the breaker before the outcome.
     pub(super) before: State,
--- a/src/node/feed_core/entry_role.rs
+++ b/src/node/feed_core/entry_role.rs
@@ -44,9 +44,9 @@
 
 /// Default share of a service's slots that stays in use, for services without rules.
 const DEFAULT_FLOOR: f64 = 0.7;
-/// Interval at which views follow what changes with time or with successful answers, such as
-/// weights and warm-up. A view of 600 upstreams costs half a millisecond, and under load
-/// something changes all the time.
+/// Interval at which views follow what changes with time or with successful answers, such as the
+/// weights of slow upstreams and warm-up. A view of 600 upstreams costs half a millisecond, and
+/// under load something changes all the time.
 const VIEW_INTERVAL: Duration = Duration::from_millis(250);
 /// An entry reports `ServingAlone` after this long without news from a control in touch with a
 /// leader.
@@ -57,7 +57,7 @@
 pub(super) struct EntryRole {
     boundary: Arc<dyn Boundary>,
     breakers: Breakers,
-    /// Whether something has changed since the last view.
+    /// Whether a change since the last view is to be published without waiting.
     is_dirty: bool,
     entries: usize,
     id: NodeId,
--- a/src/node/feed_core/peers.rs
+++ b/src/node/feed_core/peers.rs
@@ -9,8 +9,8 @@
 use crate::id::NodeId;
 use crate::quorum::DiskId;
 
-/// A control counts as live for this long after a greeting: three greeting intervals, so that
-/// one lost greeting does not matter.
+/// A control counts as live for this long after a greeting: three greeting intervals and some
+/// delay, so that a lost greeting does not matter.
 const LIVE_TIMEOUT: Duration = Duration::from_millis(1600);
 /// A control that is neither member nor seed is removed this long after its last greeting.
 const REMOVAL_TIMEOUT: Duration = Duration::from_secs(30);
--- a/src/node/orders.rs
+++ b/src/node/orders.rs
@@ -30,7 +30,7 @@
 use crate::runtime;
 use crate::wire::Verdict;
 
-/// Largest body of an order, in bytes: several times the largest planned configuration.
+/// Largest body of an order, in bytes: many times the planned size of a configuration.
 const BODY_BYTES_MAX: u64 = 16 << 20;
 /// Longest pause within a request, and longest time for which a connection stays idle.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
