--- a/src/quorum.rs
+++ b/src/quorum.rs
@@ -1,21 +1,23 @@
-//! Replicated, durable log behind configuration and claims.
+//! Replicated, durable log that holds configurations and claims.
 //!
-//! [`Replica`] is Raft with pre-vote, check-quorum, read-index reads, chunked
-//! snapshots, learners and single-step membership changes, as a state machine
-//! without socket, disk or clock. `docs/design/quorum.md` says what was weighed.
+//! [`Replica`] implements Raft with pre-vote, check-quorum, read-index reads,
+//! chunked snapshots, learners and single-server membership changes. It is a state
+//! machine that performs no I/O and reads no clock. `docs/design/quorum.md` explains
+//! the design choices.
 //!
-//! Load pattern: bursts of small claims and a trickle of configurations, while
-//! any minority of the replicas is cut off, slow or lost. Without the window and
-//! the pending limit of [`Limits`], one slow follower or a burst during a cut
+//! Load pattern: bursts of small claims and a few configurations, while any minority
+//! of the replicas is partitioned, slow or lost. Without the window and the limit on
+//! uncommitted bytes in [`Limits`], one slow follower or a burst during a partition
 //! would grow the leader's memory without bound.
 
 mod change;
 mod commit;
 mod election;
 mod entry;
-mod follow;
+mod follower;
 mod input;
-mod lead;
+mod leader;
+mod log;
 mod membership;
 pub mod mend;
 mod message;
@@ -28,7 +30,6 @@
 mod setup;
 mod snapshot;
 mod status;
-mod trail;
 mod transfer;
 
 pub use entry::Entry;
--- a/src/quorum/change.rs
+++ b/src/quorum/change.rs
@@ -1,13 +1,13 @@
-//! Membership changes, one member at a time, and the verdict on them.
+//! Membership changes, one member at a time, and the status that operators see.
 
 use super::entry::Payload;
 use super::input::Change;
 use super::membership::DiskId;
 use super::membership::Membership;
 use super::output::Reason;
-use super::progress::Lead;
+use super::progress::Leader;
 use super::replica::Replica;
-use super::replica::Stance;
+use super::replica::State;
 use super::status::Member;
 use super::status::Role;
 use super::status::Status;
@@ -16,38 +16,40 @@
 
 impl Replica {
     pub(super) fn change(&mut self, ticket: u64, change: &Change) {
-        match self.changed(change) {
+        match self.changed_membership(change) {
             Ok(membership) => {
                 let index = self.append(Payload::Change(membership));
-                self.follow_membership();
+                self.update_members();
                 self.await_commit(ticket, index);
             }
             Err(reason) => self.refuse(ticket, reason),
         }
     }
 
-    /// One change at a time, and only after an entry of the own term is
-    /// committed: two leaders could otherwise each count a majority of a
-    /// membership that the other doesn't know, and the majorities not meet.
-    fn changed(&self, change: &Change) -> Result<Membership, Reason> {
-        let Stance::Leader(lead) = &self.stance else { return Err(Reason::NotLeader) };
-        if self.commit < lead.first || self.trail.changed_at() > self.commit {
+    /// Returns the membership after `change`. Only one change may be uncommitted,
+    /// and only after an entry of this leader's term is committed. Otherwise two
+    /// leaders could each count a majority of a membership that the other doesn't
+    /// know, and the two majorities might not overlap.
+    fn changed_membership(&self, change: &Change) -> Result<Membership, Reason> {
+        let State::Leader(leader) = &self.state else { return Err(Reason::NotLeader) };
+        if self.commit < leader.first_index || self.log.membership_index() > self.commit {
             return Err(Reason::Busy);
         }
-        let mut membership = self.trail.membership().clone();
+        let mut membership = self.log.membership().clone();
         match change {
             Change::AddLearner { disk, node } => add(&mut membership, node, *disk)?,
-            Change::Promote { node } => self.promote(lead, &mut membership, node)?,
-            Change::Remove { node } => self.remove(lead, &mut membership, node)?,
+            Change::Promote { node } => self.promote(leader, &mut membership, node)?,
+            Change::Remove { node } => self.remove(leader, &mut membership, node)?,
         }
         Ok(membership)
     }
 
-    /// A learner that is behind would count towards the majority's size before
-    /// it can be part of one: a second loss would then stop the group.
+    /// Refuses a learner that is behind: as a voter it would raise the size of the
+    /// majority before it can be part of one, and one more loss would then stop the
+    /// group.
     fn promote(
         &self,
-        lead: &Lead,
+        leader: &Leader,
         membership: &mut Membership,
         node: &NodeId,
     ) -> Result<(), Reason> {
@@ -55,18 +57,18 @@
             return Err(Reason::Unchanged);
         }
         let disk = membership.learners.remove(node).ok_or(Reason::Unknown)?;
-        if !self.is_up_to_date(lead, node) {
+        if !self.is_up_to_date(leader, node) {
             return Err(Reason::Behind);
         }
         membership.voters.insert(node.clone(), disk);
         Ok(())
     }
 
-    /// Removing one of the last up-to-date voters would leave a group that can
-    /// never commit again, nor change its members back.
+    /// Refuses to remove one of the last up-to-date voters: the group could never
+    /// commit again, not even a change that restores the membership.
     fn remove(
         &self,
-        lead: &Lead,
+        leader: &Leader,
         membership: &mut Membership,
         node: &NodeId,
     ) -> Result<(), Reason> {
@@ -74,85 +76,85 @@
             return Ok(());
         }
         membership.voters.remove(node).ok_or(Reason::Unchanged)?;
-        let good = membership.voters.keys().filter(|voter| self.is_up_to_date(lead, voter));
-        if good.count() < membership.quorum() {
+        let up_to_date = membership.voters.keys().filter(|voter| self.is_up_to_date(leader, voter));
+        if up_to_date.count() < membership.quorum() {
             return Err(Reason::WouldStall);
         }
         Ok(())
     }
 
-    /// Whether a member is heard and has synced all that was committed a
-    /// heartbeat ago. Not all that is committed now: under load the slowest of
-    /// three is always a message behind, and loses nothing by it, since an entry
-    /// that it lacks is on every other majority.
-    fn is_up_to_date(&self, lead: &Lead, node: &NodeId) -> bool {
-        let wanted = lead.marks.1.max(self.trail.changed_at().min(self.commit));
-        if lead.marks.1 < lead.first {
+    /// Whether a member answers and has synced everything that was committed one
+    /// heartbeat ago. The current commit index would be too strict: under load the
+    /// slowest of three members is always one message behind. That loses nothing,
+    /// since a majority of the others holds the entries that it lacks.
+    fn is_up_to_date(&self, leader: &Leader, node: &NodeId) -> bool {
+        let required = leader.heartbeat_commits.1.max(self.log.membership_index().min(self.commit));
+        if leader.heartbeat_commits.1 < leader.first_index {
             return false;
         }
-        if *node == self.setup.me {
-            return self.durable >= wanted;
+        if *node == self.setup.id {
+            return self.durable >= required;
         }
-        let progress = lead.members.get(node);
-        progress.is_some_and(|it| it.matched >= wanted && self.is_heard(it.heard))
+        let progress = leader.members.get(node);
+        progress.is_some_and(|it| it.matched >= required && self.is_heard(it.heard))
     }
 
-    /// The verdict "repaired": after the loss of any one more VM and its disk, a
-    /// majority is left that holds all that was committed. A learner doesn't
-    /// count, whatever it holds, for it can't take part in an election.
+    /// Whether, after the loss of any one more VM and its disk, a majority remains
+    /// that holds everything committed. Learners don't count, whatever they hold,
+    /// since they can't take part in an election.
     pub fn repaired(&self) -> bool {
-        let Stance::Leader(lead) = &self.stance else { return false };
-        if self.trail.changed_at() > self.commit {
+        let State::Leader(leader) = &self.state else { return false };
+        if self.log.membership_index() > self.commit {
             return false;
         }
-        let membership = self.trail.membership();
-        let good = membership.voters.keys().filter(|node| self.is_up_to_date(lead, node));
-        good.count() > membership.quorum()
+        let membership = self.log.membership();
+        let up_to_date = membership.voters.keys().filter(|node| self.is_up_to_date(leader, node));
+        up_to_date.count() > membership.quorum()
     }
 
-    /// What operators see, as of `now`.
+    /// Status for operators as of `now`.
     pub fn status(&self, now: Moment) -> Status {
-        let members = self.trail.membership().members();
+        let members = self.log.membership().members();
         Status {
             commit: self.commit,
-            disk: self.named.then_some(self.disk),
-            entries: self.trail.bytes_from(0),
-            last: self.trail.last(),
+            disk: self.is_identity_synced.then_some(self.disk),
+            entries: self.log.bytes_from(0),
+            last: self.log.last(),
             leader: self.leader.clone(),
             members: members.map(|(node, disk)| self.member(now, node, disk)).collect(),
             role: self.role(),
-            snapshot: self.trail.snapshot.as_ref().map_or(0, |snapshot| snapshot.index),
+            snapshot: self.log.snapshot.as_ref().map_or(0, |snapshot| snapshot.index),
             term: self.term,
             tolerates_one_more_loss: self.repaired(),
         }
     }
 
     fn member(&self, now: Moment, node: &NodeId, disk: DiskId) -> Member {
-        let me = *node == self.setup.me && disk == self.disk;
-        let lead = if let Stance::Leader(lead) = &self.stance { Some(lead) } else { None };
-        let progress = lead.and_then(|lead| lead.members.get(node));
+        let is_self = *node == self.setup.id && disk == self.disk;
+        let leader = if let State::Leader(leader) = &self.state { Some(leader) } else { None };
+        let progress = leader.and_then(|leader| leader.members.get(node));
         let heard = progress.and_then(|it| it.heard).map(|at| now.saturating_sub(at));
-        let heard = if me { Some(Moment::ZERO) } else { heard };
-        let matched = if me { self.durable } else { progress.map_or(0, |it| it.matched) };
+        let heard = if is_self { Some(Moment::ZERO) } else { heard };
+        let matched = if is_self { self.durable } else { progress.map_or(0, |it| it.matched) };
         Member {
             disk,
             heard,
-            lag: self.trail.last().saturating_sub(matched),
+            lag: self.log.last().saturating_sub(matched),
             matched,
             node: node.clone(),
             silent: heard.is_none_or(|heard| heard >= self.setup.timing.election),
-            up_to_date: lead.is_some_and(|lead| self.is_up_to_date(lead, node)),
-            voter: self.trail.membership().votes(node, disk),
+            up_to_date: leader.is_some_and(|leader| self.is_up_to_date(leader, node)),
+            voter: self.log.membership().is_voter(node, disk),
         }
     }
 
     fn role(&self) -> Role {
-        match &self.stance {
-            Stance::Leader(_) => Role::Leader,
-            Stance::Candidate { .. } | Stance::PreCandidate { .. } => Role::Candidate,
-            Stance::Follower if self.is_voter() => Role::Follower,
-            Stance::Follower => {
-                let disk = self.trail.membership().disk(&self.setup.me);
+        match &self.state {
+            State::Leader(_) => Role::Leader,
+            State::Candidate { .. } | State::PreCandidate { .. } => Role::Candidate,
+            State::Follower if self.is_voter() => Role::Follower,
+            State::Follower => {
+                let disk = self.log.membership().disk(&self.setup.id);
                 if disk == Some(self.disk) { Role::Learner } else { Role::Blank }
             }
         }
--- a/src/quorum/commit.rs
+++ b/src/quorum/commit.rs
@@ -1,28 +1,28 @@
-//! What is committed, and what that lets happen.
+//! Advances the commit index and completes the proposals and reads that wait for it.
 
 use super::entry::Payload;
 use super::output::Output;
-use super::progress::Lead;
+use super::progress::Leader;
 use super::progress::Progress;
 use super::progress::Read;
 use super::replica::Replica;
-use super::replica::Stance;
+use super::replica::State;
 use super::setup::Fault;
 use crate::id::Index;
 use crate::id::NodeId;
 
 impl Replica {
-    /// Does what the last input made possible.
+    /// Advances the election, the commit index and the reads after an input.
     pub(super) fn advance(&mut self) {
         self.advance_election();
         self.advance_commit();
         self.advance_reads();
     }
 
-    /// Commits and hands out everything up to `index`.
+    /// Commits every entry up to `index` and emits an output for each.
     pub(super) fn commit_to(&mut self, index: Index) {
         while self.commit < index {
-            let Some(entry) = self.trail.get(self.commit + 1).cloned() else { return };
+            let Some(entry) = self.log.get(self.commit + 1).cloned() else { return };
             self.commit = entry.index;
             let size = entry.size();
             let (index, term) = (entry.index, entry.term);
@@ -35,77 +35,80 @@
                     self.outputs.push(Output::Commit { index, term, command });
                 }
             }
-            self.accept(index, size);
+            self.complete_ticket(index, size);
         }
     }
 
-    fn accept(&mut self, index: Index, size: usize) {
-        let Stance::Leader(lead) = &mut self.stance else { return };
-        lead.pending = lead.pending.saturating_sub(size);
-        if let Some(ticket) = lead.tickets.remove(&index) {
+    fn complete_ticket(&mut self, index: Index, size: usize) {
+        let State::Leader(leader) = &mut self.state else { return };
+        leader.pending_bytes = leader.pending_bytes.saturating_sub(size);
+        if let Some(ticket) = leader.tickets.remove(&index) {
             self.outputs.push(Output::Accepted { ticket, index });
         }
     }
 
-    /// Commits what a majority has synced. Only an entry of the leader's own
-    /// term is counted; older ones follow it. An older entry on a majority can
-    /// still be overwritten by a leader that was elected without it.
+    /// Commits the entries that a majority has synced. Copies are counted only for
+    /// entries of the leader's own term; older entries commit along with them. An
+    /// older entry on a majority can still be overwritten by a leader that was
+    /// elected without it.
     fn advance_commit(&mut self) {
-        let Stance::Leader(lead) = &self.stance else { return };
-        let majority = self.majority(lead, self.durable, |progress| progress.matched);
-        let own_term = self.trail.term(majority) == Some(self.term);
-        let counts = own_term || self.setup.fault == Some(Fault::OldTermCommit);
-        if majority <= self.commit || !counts {
+        let State::Leader(leader) = &self.state else { return };
+        let majority = self.majority(leader, self.durable, |progress| progress.matched);
+        let own_term = self.log.term(majority) == Some(self.term);
+        let can_commit = own_term || self.setup.fault == Some(Fault::OldTermCommit);
+        if majority <= self.commit || !can_commit {
             return;
         }
         self.commit_to(majority);
         self.leave_if_removed();
     }
 
-    /// A leader whose own removal is committed tells the others, and stops.
+    /// Steps down once this leader's own removal is committed, after a last heartbeat
+    /// that tells the others the commit index.
     fn leave_if_removed(&mut self) {
-        if self.is_voter() || self.trail.changed_at() > self.commit {
+        if self.is_voter() || self.log.membership_index() > self.commit {
             return;
         }
-        self.beat();
+        self.send_heartbeats();
         self.step_down();
     }
 
     fn advance_reads(&mut self) {
-        let Stance::Leader(lead) = &mut self.stance else { return };
-        if lead.reads.is_empty() {
+        let State::Leader(leader) = &mut self.state else { return };
+        if leader.reads.is_empty() {
             return;
         }
-        let waits = lead.reads.iter().any(|read| read.round <= lead.round);
-        if !waits {
-            self.beat();
+        let is_round_started = leader.reads.iter().any(|read| read.round <= leader.round);
+        if !is_round_started {
+            self.send_heartbeats();
         }
-        let Stance::Leader(lead) = &self.stance else { return };
-        let mut confirmed = self.majority(lead, u64::MAX, |progress| progress.round);
+        let State::Leader(leader) = &self.state else { return };
+        let mut confirmed = self.majority(leader, u64::MAX, |progress| progress.round);
         if self.setup.fault == Some(Fault::UncheckedRead) {
             confirmed = u64::MAX;
         }
         let commit = self.commit;
-        let Stance::Leader(lead) = &mut self.stance else { return };
+        let State::Leader(leader) = &mut self.state else { return };
         let ready = |read: &Read| read.round <= confirmed && read.index <= commit;
-        let reads = std::mem::take(&mut lead.reads);
+        let reads = std::mem::take(&mut leader.reads);
         let (done, waiting): (Vec<_>, Vec<_>) = reads.into_iter().partition(ready);
-        lead.reads = waiting;
+        leader.reads = waiting;
         for read in done {
             self.outputs.push(Output::Readable { ticket: read.ticket });
         }
     }
 
-    /// Highest value that a majority of the voters has reached.
-    fn majority(&self, lead: &Lead, own: u64, value: impl Fn(&Progress) -> u64) -> u64 {
-        let membership = self.trail.membership();
-        let of = |node: &NodeId| {
-            if *node == self.setup.me {
+    /// Highest value that a majority of the voters has reached; `own` is this
+    /// replica's.
+    fn majority(&self, leader: &Leader, own: u64, value: impl Fn(&Progress) -> u64) -> u64 {
+        let membership = self.log.membership();
+        let value_of = |node: &NodeId| {
+            if *node == self.setup.id {
                 return own;
             }
-            lead.members.get(node).map_or(0, &value)
+            leader.members.get(node).map_or(0, &value)
         };
-        let mut values: Vec<_> = membership.voters.keys().map(of).collect();
+        let mut values: Vec<_> = membership.voters.keys().map(value_of).collect();
         values.sort_unstable_by(|a, b| b.cmp(a));
         values.get(membership.quorum() - 1).copied().unwrap_or(0)
     }
--- a/src/quorum/election.rs
+++ b/src/quorum/election.rs
@@ -1,8 +1,8 @@
-//! Elections: pre-vote, vote, and the refusal to depose a leader that is heard.
+//! Elections: pre-vote, vote, and protection of a leader that is still reachable.
 //!
-//! A replica that can't hear the leader, but is heard, would raise the term again
-//! and again and depose a leader that serves everyone else. The pre-vote asks
-//! first, without a new term, and whoever still hears a leader says no.
+//! A replica that receives nothing from the leader, but can send, would raise the
+//! term repeatedly and depose a leader that serves all others. A pre-vote asks first
+//! without raising the term, and every replica that still hears a leader refuses it.
 
 use std::collections::BTreeSet;
 
@@ -11,14 +11,14 @@
 use super::output::Output;
 use super::output::Reason;
 use super::replica::Replica;
-use super::replica::Stance;
+use super::replica::State;
 use crate::id::Index;
 use crate::id::NodeId;
 use crate::id::Term;
 
 impl Replica {
     pub(super) fn tick(&mut self) {
-        if matches!(self.stance, Stance::Leader(_)) {
+        if matches!(self.state, State::Leader(_)) {
             return self.tick_leader();
         }
         if self.deadline.is_some_and(|deadline| self.now < deadline) {
@@ -27,22 +27,22 @@
         self.reset_deadline();
         self.leader = None;
         if self.is_voter() {
-            self.ask_pre_votes();
+            self.start_pre_vote();
         }
     }
 
-    /// Whether a leader was heard within the shortest election timeout, or this
-    /// replica leads; a leader that hears no majority steps down by itself.
+    /// Whether this replica leads or has heard a leader within the shortest election
+    /// timeout. A leader that hears no majority steps down by itself.
     pub(super) fn has_leader(&self) -> bool {
-        if matches!(self.stance, Stance::Leader(_)) {
+        if matches!(self.state, State::Leader(_)) {
             return true;
         }
         let election = self.setup.timing.election;
-        self.leader.is_some() && self.heard_leader.is_some_and(|at| self.now < at + election)
+        self.leader.is_some() && self.leader_heard_at.is_some_and(|at| self.now < at + election)
     }
 
-    /// Takes over a newer term, as a follower of nobody yet.
-    pub(super) fn adopt(&mut self, term: Term) {
+    /// Adopts a newer term as a follower that knows no leader yet.
+    pub(super) fn adopt_term(&mut self, term: Term) {
         self.step_down();
         self.term = term;
         self.vote = None;
@@ -50,44 +50,44 @@
         self.record_ballot();
     }
 
-    /// Stops leading or standing. What was proposed and not committed may yet
-    /// be committed by the next leader, so the answer is neither yes nor no.
+    /// Becomes a follower. The next leader may still commit the uncommitted
+    /// proposals, so their outcome is reported as uncertain.
     pub(super) fn step_down(&mut self) {
-        let stance = std::mem::replace(&mut self.stance, Stance::Follower);
+        let state = std::mem::replace(&mut self.state, State::Follower);
         self.leader = None;
-        self.heard_leader = None;
-        let Stance::Leader(lead) = stance else { return };
+        self.leader_heard_at = None;
+        let State::Leader(leader) = state else { return };
         self.reset_deadline();
         self.outputs.push(Output::SteppedDown { term: self.term });
-        for ticket in lead.tickets.into_values() {
+        for ticket in leader.tickets.into_values() {
             self.outputs.push(Output::Uncertain { ticket });
         }
-        for read in lead.reads {
+        for read in leader.reads {
             self.refuse(read.ticket, Reason::NotLeader);
         }
     }
 
-    fn ask_pre_votes(&mut self) {
-        let granted = BTreeSet::from([self.setup.me.clone()]);
-        self.stance = Stance::PreCandidate { granted };
-        let body =
-            Body::PreVote { last_index: self.trail.last(), last_term: self.trail.last_term() };
+    fn start_pre_vote(&mut self) {
+        let granted = BTreeSet::from([self.setup.id.clone()]);
+        self.state = State::PreCandidate { granted };
+        let body = Body::PreVote { last_index: self.log.last(), last_term: self.log.last_term() };
         for (node, disk) in self.other_voters() {
             let mut message = self.message(disk, body.clone());
             message.term = message.term.saturating_add(1);
-            self.push_message(&node, message);
+            self.queue_message(&node, message);
         }
     }
 
-    fn ask_votes(&mut self) {
+    fn start_election(&mut self) {
         self.term = self.term.saturating_add(1);
-        self.vote = Some(self.setup.me.clone());
+        self.vote = Some(self.setup.id.clone());
         self.incoming = None;
         self.record_ballot();
-        self.stance = Stance::Candidate { granted: BTreeSet::new(), own: self.next_persist() };
+        self.state =
+            State::Candidate { granted: BTreeSet::new(), vote_persist: self.next_persist() };
         self.reset_deadline();
-        let last_index = self.trail.last();
-        let last_term = self.trail.last_term();
+        let last_index = self.log.last();
+        let last_term = self.log.last_term();
         for (node, disk) in self.other_voters() {
             self.send(&node, disk, Body::Vote { last_index, last_term });
         }
@@ -100,21 +100,22 @@
         last: (Term, Index),
     ) {
         let newer = message.term > self.term;
-        let granted = newer && !self.has_leader() && self.is_behind_or_equal(last);
+        let granted = newer && !self.has_leader() && self.is_candidate_up_to_date(last);
         let mut answer = self.message(message.disk, Body::PreVoted { granted });
         if granted {
             answer.term = message.term;
         }
-        self.push_message(from, answer);
+        self.queue_message(from, answer);
     }
 
     pub(super) fn answer_vote(&mut self, from: &NodeId, disk: u64, last: (Term, Index)) {
-        let free = self.vote.as_ref().is_none_or(|vote| vote == from);
-        let follows = matches!(self.stance, Stance::Follower | Stance::PreCandidate { .. });
-        let granted = free && follows && self.leader.is_none() && self.is_behind_or_equal(last);
+        let is_vote_free = self.vote.as_ref().is_none_or(|vote| vote == from);
+        let follows = matches!(self.state, State::Follower | State::PreCandidate { .. });
+        let granted =
+            is_vote_free && follows && self.leader.is_none() && self.is_candidate_up_to_date(last);
         if granted && self.vote.is_none() {
             self.vote = Some(from.clone());
-            self.stance = Stance::Follower;
+            self.state = State::Follower;
             self.record_ballot();
             self.reset_deadline();
         }
@@ -125,48 +126,48 @@
         if message.term != self.term.saturating_add(1) {
             return;
         }
-        let counts = self.trail.membership().votes(from, message.disk);
-        if let Stance::PreCandidate { granted } = &mut self.stance
-            && counts
+        let is_voter = self.log.membership().is_voter(from, message.disk);
+        if let State::PreCandidate { granted } = &mut self.state
+            && is_voter
         {
             granted.insert(from.clone());
         }
     }
 
     pub(super) fn count_vote(&mut self, from: &NodeId, disk: u64) {
-        let counts = self.trail.membership().votes(from, disk);
-        if let Stance::Candidate { granted, .. } = &mut self.stance
-            && counts
+        let is_voter = self.log.membership().is_voter(from, disk);
+        if let State::Candidate { granted, .. } = &mut self.state
+            && is_voter
         {
             granted.insert(from.clone());
         }
     }
 
-    /// Goes on to the next stage once a majority agrees. The own vote counts
-    /// only when it is synced, as every other one.
+    /// Starts the election or becomes leader once a majority has granted its votes.
+    /// The replica's own vote, like all others, counts only when it is synced.
     pub(super) fn advance_election(&mut self) {
-        let quorum = self.trail.membership().quorum();
-        match &mut self.stance {
-            Stance::PreCandidate { granted } if granted.len() >= quorum => self.ask_votes(),
-            Stance::Candidate { granted, own } => {
-                if *own <= self.synced {
-                    granted.insert(self.setup.me.clone());
+        let quorum = self.log.membership().quorum();
+        match &mut self.state {
+            State::PreCandidate { granted } if granted.len() >= quorum => self.start_election(),
+            State::Candidate { granted, vote_persist } => {
+                if *vote_persist <= self.synced_persist {
+                    granted.insert(self.setup.id.clone());
                 }
                 if granted.len() >= quorum {
-                    self.lead();
+                    self.become_leader();
                 }
             }
             _ => {}
         }
     }
 
-    fn is_behind_or_equal(&self, last: (Term, Index)) -> bool {
-        last >= (self.trail.last_term(), self.trail.last())
+    fn is_candidate_up_to_date(&self, last: (Term, Index)) -> bool {
+        last >= (self.log.last_term(), self.log.last())
     }
 
     fn other_voters(&self) -> Vec<(NodeId, u64)> {
-        let voters = &self.trail.membership().voters;
-        let others = voters.iter().filter(|(node, _)| **node != self.setup.me);
+        let voters = &self.log.membership().voters;
+        let others = voters.iter().filter(|(node, _)| **node != self.setup.id);
         others.map(|(node, disk)| (node.clone(), *disk)).collect()
     }
 }
--- a/src/quorum/entry.rs
+++ b/src/quorum/entry.rs
@@ -1,4 +1,4 @@
-//! One position of the replicated log.
+//! Entry of the replicated log.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,25 +7,25 @@
 use crate::id::Index;
 use crate::id::Term;
 
-/// What an entry carries.
+/// Content of an entry.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Payload {
-    /// Nothing; a new leader appends one, so that entries of older terms commit.
+    /// No-op; a new leader appends one so that entries of older terms can commit.
     Blank,
     /// Membership in force from the moment this entry is appended.
     Change(Membership),
-    /// Command of the application.
+    /// Command, encoded by the application.
     Command(Vec<u8>),
 }
 
-/// One position of the replicated log.
+/// Entry of the replicated log.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Entry {
-    /// Position, from 1.
+    /// Position in the log, from 1.
     pub index: Index,
     /// Term of the leader that appended it.
     pub term: Term,
-    /// What it carries.
+    /// Content.
     pub payload: Payload,
 }
 
--- a/src/quorum/follow.rs
+++ b/src/quorum/follower.rs
@@ -1,4 +1,4 @@
-//! A follower takes entries.
+//! Appends a leader's entries to a follower's log.
 
 use super::entry::Entry;
 use super::message::Body;
@@ -9,19 +9,19 @@
 use crate::id::Term;
 
 impl Replica {
-    /// Takes the entries where the position before them is equal to the
-    /// leader's; gives the last position known to be equal, or the last one that
-    /// may be.
-    pub(super) fn take_entries(
+    /// Appends the entries if the log matches the leader's at the position before
+    /// them. Returns the last index known to match, or as an error the last index
+    /// that may match.
+    pub(super) fn append_entries(
         &mut self,
         prev: (Index, Term),
         entries: Vec<Entry>,
     ) -> Result<Index, Index> {
         let (prev_index, _) = prev;
-        self.check_position(prev)?;
+        self.check_previous(prev)?;
         let mut matched = prev_index;
         for entry in entries {
-            if entry.index != matched + 1 || !self.take_entry(entry) {
+            if entry.index != matched + 1 || !self.append_entry(entry) {
                 return Ok(matched);
             }
             matched += 1;
@@ -45,36 +45,36 @@
         }
     }
 
-    fn check_position(&self, (index, term): (Index, Term)) -> Result<(), Index> {
-        if index < self.trail.base() {
+    fn check_previous(&self, (index, term): (Index, Term)) -> Result<(), Index> {
+        if index < self.log.base() {
             return Ok(());
         }
-        let Some(own) = self.trail.term(index) else {
-            return Err(self.trail.last());
+        let Some(own) = self.log.term(index) else {
+            return Err(self.log.last());
         };
         if own == term || self.setup.fault == Some(Fault::BlindAppend) {
             return Ok(());
         }
-        Err((self.trail.run_start(index) - 1).max(self.commit))
+        Err((self.log.term_start(index) - 1).max(self.commit))
     }
 
-    /// Takes one entry; `false` if it contradicts what is committed here, which
-    /// a correct leader never sends: committed state is worth more than it.
-    fn take_entry(&mut self, entry: Entry) -> bool {
-        if entry.index <= self.trail.base() {
+    /// Appends one entry. Returns `false` if it conflicts with an entry that is
+    /// committed here, which a correct leader never sends; the committed entry stays.
+    fn append_entry(&mut self, entry: Entry) -> bool {
+        if entry.index <= self.log.base() {
             return true;
         }
-        match self.trail.term(entry.index) {
+        match self.log.term(entry.index) {
             Some(term) if term == entry.term => return true,
             Some(_) if entry.index <= self.commit => return false,
             Some(_) => {
-                self.trail.truncate(entry.index);
-                self.forget_from(entry.index);
+                self.log.truncate(entry.index);
+                self.mark_unsynced_from(entry.index);
             }
             None => {}
         }
         self.record(Record::Entry(entry.clone()));
-        self.trail.push(entry);
+        self.log.push(entry);
         true
     }
 }
--- a/src/quorum/input.rs
+++ b/src/quorum/input.rs
@@ -1,4 +1,4 @@
-//! What a replica is told.
+//! Inputs of a replica.
 
 use super::membership::DiskId;
 use super::message::Message;
@@ -8,57 +8,59 @@
 /// Change of the membership by one member.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Change {
-    /// Adds a member that receives entries but does not count.
+    /// Adds a member that receives entries but has no vote.
     AddLearner {
-        /// Identity of its data folder, from its [`super::Status::disk`].
+        /// Data folder of the member, from its [`super::Status::disk`].
         disk: DiskId,
-        /// Its name.
+        /// Name of the member.
         node: NodeId,
     },
-    /// Lets a learner that has caught up vote.
+    /// Makes a learner that has caught up a voter.
     Promote {
-        /// Its name.
+        /// Name of the member.
         node: NodeId,
     },
     /// Removes a voter or learner.
     Remove {
-        /// Its name.
+        /// Name of the member.
         node: NodeId,
     },
 }
 
-/// What a replica is told.
+/// Input of a replica.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Input {
-    /// Operator's change of the membership.
+    /// Change of the membership, by an operator or by [`super::repair`].
     Change {
-        /// Named again in the answer.
+        /// Identifies the answer.
         ticket: u64,
         /// What to change.
         change: Change,
     },
     /// Command to replicate.
     Propose {
-        /// Named again in the answer.
+        /// Identifies the answer.
         ticket: u64,
         /// Command, encoded by the application.
         command: Vec<u8>,
     },
-    /// Asks when local state is as new as anything accepted before this input.
+    /// Linearizable read: asks when the local state includes everything accepted
+    /// before this input.
     Read {
-        /// Named again in the answer.
+        /// Identifies the answer.
         ticket: u64,
     },
     /// Message from another replica.
     Receive {
-        /// Its sender, as its certificate says.
+        /// Sender, as named by its certificate.
         from: NodeId,
         /// The message.
         message: Message,
     },
-    /// Application's state after the command at `index`, to shorten the log.
+    /// Application's state after the command at `index`, with which the log is
+    /// compacted.
     Snapshot {
-        /// Last position it covers; at most the last one committed.
+        /// Last index it covers; at most the commit index.
         index: Index,
         /// State, encoded by the application.
         bytes: Vec<u8>,
--- a/src/quorum/membership.rs
+++ b/src/quorum/membership.rs
@@ -1,4 +1,4 @@
-//! Who votes and who learns.
+//! Voters and learners of the group.
 
 use std::collections::BTreeMap;
 
@@ -7,9 +7,9 @@
 
 use crate::id::NodeId;
 
-/// Identity of one data folder. A VM that lost its disk comes back with another
-/// one, so that nobody counts a vote or an acknowledgement that the new folder
-/// knows nothing of.
+/// Identity of one data folder. A VM that lost its disk comes back with a new
+/// identity, so that votes and acknowledgements of the lost folder are not counted
+/// for the new one.
 pub type DiskId = u64;
 
 /// Identity of the data folder of each founding member.
@@ -18,14 +18,14 @@
 /// Members of the group, each with the data folder under which it was added.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Membership {
-    /// Members that receive entries but do not count.
+    /// Members that receive entries but have no vote.
     pub learners: BTreeMap<NodeId, DiskId>,
     /// Members whose votes and acknowledgements count.
     pub voters: BTreeMap<NodeId, DiskId>,
 }
 
 impl Membership {
-    /// Founding membership: every one of `voters` on its first disk.
+    /// Founding membership, in which every voter uses [`FOUNDER_DISK`].
     pub fn founding(voters: impl IntoIterator<Item = NodeId>) -> Self {
         let voters = voters.into_iter().map(|node| (node, FOUNDER_DISK)).collect();
         Self { learners: BTreeMap::new(), voters }
@@ -36,7 +36,7 @@
         self.voters.get(node).or_else(|| self.learners.get(node)).copied()
     }
 
-    /// Whether nobody is a member.
+    /// Whether there are no members.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -46,18 +46,18 @@
         self.voters.len() + self.learners.len()
     }
 
-    /// Voters and learners with their data folders, by kind and name.
+    /// Voters, then learners, each sorted by name, with their data folders.
     pub fn members(&self) -> impl Iterator<Item = (&NodeId, DiskId)> {
         self.voters.iter().chain(&self.learners).map(|(node, disk)| (node, *disk))
     }
 
-    /// Smallest number of voters that is a majority.
+    /// Number of voters that form a majority.
     pub fn quorum(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Whether `node` votes with the data folder `disk`.
-    pub fn votes(&self, node: &NodeId, disk: DiskId) -> bool {
+    /// Whether `node` is a voter with the data folder `disk`.
+    pub fn is_voter(&self, node: &NodeId, disk: DiskId) -> bool {
         self.voters.get(node) == Some(&disk)
     }
 }
--- a/src/quorum/mend.rs
+++ b/src/quorum/mend.rs
@@ -1,4 +1,4 @@
-//! Repair of the members without a person: which change comes next.
+//! Automatic repair: chooses the next membership change.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,19 +9,23 @@
 use super::Status;
 use crate::id::NodeId;
 
-/// A voter that has been silent for so long is taken out once others can stand in: longer
-/// than a restart, or than a usual freeze, shorter than the pause between two losses.
-const SILENT: Duration = Duration::from_secs(6);
-/// Voters that are always kept: with fewer a single loss stops the log.
-const FEWEST: usize = 3;
+/// A voter that is not heard for this long is removed if enough others remain. Longer than a
+/// restart or a usual stall, shorter than the time between two losses.
+const SILENCE_LIMIT: Duration = Duration::from_secs(6);
+/// A lost voter is removed only while there are more voters than this: with fewer than three,
+/// a single loss stops the log.
+const MIN_VOTERS: usize = 3;
 
-/// The next change that brings the members to the controls that are there, if one is due.
+/// Returns the next change that brings the membership in line with the `present` control
+/// VMs, if one is due.
 ///
-/// One at a time, and each by a majority of the members before it. A control whose disk was
-/// lost comes back under a new identity: the old one is taken out first, so that it never
-/// votes on what it forgot, and the new one counts only when it has caught up.
+/// Changes are made one at a time, each by a majority of the previous members. A control VM
+/// that lost its disk comes back under a new identity. The old identity is removed first, so
+/// that it never votes on what it forgot, and the new one becomes a voter only after it has
+/// caught up.
 ///
-/// `tenure` is how long the leader that asks has led: before that it can't tell who is silent.
+/// `tenure` is how long the leader has led. A new leader can't tell yet who is silent, so it
+/// removes no lost member before [`SILENCE_LIMIT`] has passed.
 pub fn next(
     status: &Status,
     tenure: Duration,
@@ -40,14 +44,14 @@
     if let Some((node, disk)) = present.iter().find(|(id, _)| find(id).is_none()) {
         return Some(Change::AddLearner { disk: *disk, node: node.clone() });
     }
-    lost(status)
-        .filter(|_| tenure >= SILENT)
+    lost_member(status)
+        .filter(|_| tenure >= SILENCE_LIMIT)
         .map(|member| Change::Remove { node: member.node.clone() })
 }
 
-fn lost(status: &Status) -> Option<&Member> {
+fn lost_member(status: &Status) -> Option<&Member> {
     let voters = status.members.iter().filter(|member| member.voter).count();
-    let is_lost = |member: &&Member| member.heard.is_none_or(|heard| heard >= SILENT);
+    let is_lost = |member: &&Member| member.heard.is_none_or(|heard| heard >= SILENCE_LIMIT);
     let lost = status.members.iter().find(|member| is_lost(member));
-    lost.filter(|member| !member.voter || voters > FEWEST)
+    lost.filter(|member| !member.voter || voters > MIN_VOTERS)
 }
--- a/src/quorum/message.rs
+++ b/src/quorum/message.rs
@@ -1,4 +1,4 @@
-//! What replicas say to each other.
+//! Messages between replicas.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -12,99 +12,101 @@
 /// One message between two data folders.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Message {
-    /// What is said.
+    /// Content.
     pub body: Body,
     /// Data folder of the sender.
     pub disk: DiskId,
-    /// Sender's term; in a pre-vote and its grant, the term it would stand in.
+    /// Sender's term; in a pre-vote and its grant, the term of the election that would
+    /// follow.
     pub term: Term,
-    /// Data folder the message is meant for. A replica drops a message for a
-    /// folder that it no longer has.
+    /// Data folder of the receiver. A replica drops a message for a folder that it no
+    /// longer has.
     pub to: DiskId,
 }
 
-/// What a message says.
+/// Content of a message.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Body {
-    /// Entries after a known position; without entries, a heartbeat.
+    /// Append entries; a heartbeat if `entries` is empty.
     Append {
         /// Leader's commit index.
         commit: Index,
-        /// Entries, at consecutive positions after `prev_index`.
+        /// Entries at consecutive indices after `prev_index`.
         entries: Vec<Entry>,
-        /// Position before the first entry.
+        /// Index before the first entry.
         prev_index: Index,
         /// Term at `prev_index`.
         prev_term: Term,
         /// Heartbeat round, echoed in the answer.
         round: u64,
     },
-    /// The log equals the leader's up to here, synced.
+    /// Successful answer to an append: the log matches the leader's up to `matched`
+    /// and is synced.
     Appended {
-        /// Last position known to be equal.
+        /// Last index known to match.
         matched: Index,
         /// Round of the append.
         round: u64,
     },
-    /// Part of a snapshot.
+    /// Chunk of a snapshot.
     Chunk {
-        /// Part, from `offset`.
+        /// Bytes of the chunk.
         bytes: Vec<u8>,
-        /// Last position the snapshot covers.
+        /// Last index the snapshot covers.
         index: Index,
         /// Term at `index`.
         index_term: Term,
         /// Membership at `index`.
         membership: Membership,
-        /// Position of the part in the snapshot, in bytes.
+        /// Position of the chunk in the snapshot, in bytes.
         offset: u64,
         /// Heartbeat round, echoed in the answer.
         round: u64,
         /// Length of the whole snapshot, in bytes.
         total: u64,
     },
-    /// Which part of a snapshot is wanted next.
+    /// Answer to a chunk that is not the last: the offset expected next.
     Chunked {
-        /// Snapshot's last position.
+        /// Last index the snapshot covers.
         index: Index,
-        /// Next wanted offset, in bytes.
+        /// Expected offset, in bytes.
         offset: u64,
         /// Round of the chunk.
         round: u64,
     },
-    /// The log differs from the leader's at the position before the entries.
+    /// Failed answer to an append: the log differs from the leader's at `prev_index`.
     Mismatch {
-        /// Last position that may be equal.
+        /// Last index that may match.
         hint: Index,
-        /// Position of the append that differs.
+        /// Index before the entries of the append.
         prev_index: Index,
         /// Round of the append.
         round: u64,
     },
-    /// Would you vote for me?
+    /// Asks whether the receiver would vote for the sender in an election.
     PreVote {
-        /// Candidate's last position.
+        /// Last index of the candidate's log.
         last_index: Index,
         /// Term at `last_index`.
         last_term: Term,
     },
-    /// Answer to a pre-vote.
+    /// Answer to a pre-vote request.
     PreVoted {
-        /// Whether a vote would be given.
+        /// Whether the sender would vote for the candidate.
         granted: bool,
     },
-    /// Your term is over: sent to a leader or candidate of an older term.
+    /// Tells a leader or candidate of an older term that a newer one exists.
     Stale,
-    /// Vote for me.
+    /// Asks for a vote.
     Vote {
-        /// Candidate's last position.
+        /// Last index of the candidate's log.
         last_index: Index,
         /// Term at `last_index`.
         last_term: Term,
     },
-    /// Answer to a vote request, synced.
+    /// Answer to a vote request, sent after the vote is synced.
     Voted {
-        /// Whether the vote is given.
+        /// Whether the vote is granted.
         granted: bool,
     },
 }
--- a/src/quorum/output.rs
+++ b/src/quorum/output.rs
@@ -1,4 +1,4 @@
-//! What a replica wants done.
+//! Outputs of a replica.
 
 use std::sync::Arc;
 
@@ -10,36 +10,36 @@
 use crate::id::NodeId;
 use crate::id::Term;
 
-/// Why a replica did not take something up. Nothing was appended.
+/// Why a replica refused a proposal, change or read. Nothing was appended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Reason {
     /// The learner has not caught up yet; try again.
     Behind,
     /// Another change, or the leader's first entry, is not committed yet.
     Busy,
-    /// Too much is waiting to be committed; try again later.
+    /// Too many bytes are uncommitted; try again later.
     Full,
-    /// Another replica leads, or none.
+    /// This replica is not the leader.
     NotLeader,
     /// The name is in use with another data folder; remove that one first.
     Occupied,
-    /// The membership already is as wanted.
+    /// The membership already is as requested.
     Unchanged,
     /// No such member.
     Unknown,
-    /// Too few up-to-date voters would be left to go on.
+    /// Too few up-to-date voters would remain to commit anything.
     WouldStall,
 }
 
-/// What a replica wants done, in this order.
+/// Output of a replica. The caller carries outputs out in their order.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Output {
-    /// A proposal or change is committed: synced by a majority. Follows its
+    /// A proposal or change is committed, that is, synced by a majority. Follows its
     /// [`Output::Commit`] or [`Output::Changed`].
     Accepted {
         /// Ticket of the proposal.
         ticket: u64,
-        /// Its position.
+        /// Index of its entry.
         index: Index,
     },
     /// This replica now leads.
@@ -49,14 +49,14 @@
     },
     /// A membership is committed.
     Changed {
-        /// Its position.
+        /// Index of its entry.
         index: Index,
-        /// Members from here on.
+        /// Membership from this index on.
         membership: Membership,
     },
-    /// A command is committed; to be applied in this order.
+    /// A command is committed. Commands are to be applied in this order.
     Commit {
-        /// Its position.
+        /// Index of its entry.
         index: Index,
         /// Term of the leader that appended it.
         term: Term,
@@ -68,31 +68,31 @@
         /// The snapshot.
         snapshot: Arc<Snapshot>,
     },
-    /// Write these records and sync them, then say [`super::Input::Synced`].
-    /// Several may share one sync; none may be left out or change places.
+    /// Write these records and sync them, then report [`super::Input::Synced`].
+    /// Several outputs may share one sync; none may be skipped or reordered.
     Persist {
-        /// Grows by one with each.
+        /// Number of this output, one more than the last.
         number: u64,
         /// Records, in order.
         records: Vec<Record>,
     },
-    /// Local state now is as new as anything accepted before the read was asked.
+    /// The local state now includes everything accepted before the read arrived.
     Readable {
         /// Ticket of the read.
         ticket: u64,
     },
-    /// Not taken up, and never will be.
+    /// The input was refused and has no effect.
     Refused {
         /// Ticket of the proposal, change or read.
         ticket: u64,
-        /// Why.
+        /// Reason of the refusal.
         reason: Reason,
-        /// Who leads, where known.
+        /// Current leader, where known.
         leader: Option<NodeId>,
     },
     /// Send a message.
     Send {
-        /// Its receiver.
+        /// Receiver.
         to: NodeId,
         /// The message.
         message: Message,
@@ -102,8 +102,8 @@
         /// Term it led.
         term: Term,
     },
-    /// Leadership ended before the proposal or change was committed: it may
-    /// still be committed, or not. A resend must be idempotent.
+    /// Leadership ended before the proposal or change was committed; a later leader
+    /// may or may not commit it. A resend must be idempotent.
     Uncertain {
         /// Ticket of the proposal or change.
         ticket: u64,
--- a/src/quorum/progress.rs
+++ b/src/quorum/progress.rs
@@ -1,4 +1,4 @@
-//! What a leader knows of the others.
+//! State of a leader, with the replication progress of every other member.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use crate::id::Index;
 use crate::id::NodeId;
 
-/// Snapshot on its way to one member.
+/// Snapshot that is being sent to one member.
 #[derive(Debug)]
 pub(super) struct Transfer {
     pub(super) offset: u64,
@@ -17,19 +17,19 @@
     pub(super) snapshot: Arc<Snapshot>,
 }
 
-/// What a leader knows of one other member.
+/// Replication progress of one other member.
 #[derive(Debug)]
 pub(super) struct Progress {
     pub(super) disk: DiskId,
     pub(super) heard: Option<Moment>,
     pub(super) matched: Index,
     pub(super) next: Index,
-    /// Since a mismatch nothing was acknowledged: one message at a time, for all
-    /// that are sent ahead would be refused too.
+    /// No append was acknowledged since the start or the last mismatch. Only one
+    /// message is sent at a time, since later ones would be refused as well.
     pub(super) probing: bool,
     pub(super) round: u64,
     pub(super) transfer: Option<Transfer>,
-    /// Last position that is answered: entries after it are under way.
+    /// Last index that was answered; entries after it are in flight.
     pub(super) window_start: Index,
 }
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// Read that waits for a majority to confirm the leader.
+/// Read that waits until a majority confirms the leader.
 #[derive(Debug)]
 pub(super) struct Read {
     pub(super) index: Index,
@@ -58,16 +58,16 @@
 
 /// State of a leader.
 #[derive(Debug)]
-pub(super) struct Lead {
-    /// Position of this leader's blank entry.
-    pub(super) first: Index,
+pub(super) struct Leader {
+    /// Index of the no-op entry that starts this leader's term.
+    pub(super) first_index: Index,
     pub(super) heartbeat_at: Moment,
     /// Commit index at the last heartbeat, and at the one before.
-    pub(super) marks: (Index, Index),
+    pub(super) heartbeat_commits: (Index, Index),
     pub(super) members: BTreeMap<NodeId, Progress>,
-    pub(super) pending: usize,
+    pub(super) pending_bytes: usize,
     pub(super) reads: Vec<Read>,
     pub(super) round: u64,
-    pub(super) since: Moment,
+    pub(super) elected_at: Moment,
     pub(super) tickets: BTreeMap<Index, u64>,
 }
--- a/src/quorum/receive.rs
+++ b/src/quorum/receive.rs
@@ -1,9 +1,9 @@
-//! Messages: whose term counts, and who takes them.
+//! Checks the term of received messages and dispatches them.
 
 use super::message::Body;
 use super::message::Message;
 use super::replica::Replica;
-use super::replica::Stance;
+use super::replica::State;
 use crate::id::NodeId;
 
 impl Replica {
@@ -21,7 +21,7 @@
             return;
         }
         if message.term > self.term {
-            self.adopt(message.term);
+            self.adopt_term(message.term);
         }
         if message.term < self.term {
             return self.answer_stale(from, &message);
@@ -33,24 +33,24 @@
         let disk = message.disk;
         match message.body {
             Body::Append { commit, entries, prev_index, prev_term, round } => {
-                if self.hear_leader(from) {
-                    let outcome = self.take_entries((prev_index, prev_term), entries);
+                if self.follow_leader(from) {
+                    let outcome = self.append_entries((prev_index, prev_term), entries);
                     let answer = self.answer_append(round, prev_index, outcome, commit);
                     self.send(from, disk, answer);
                 }
             }
             Body::Chunk { bytes, index, index_term, membership, offset, round, total } => {
-                if self.hear_leader(from) {
+                if self.follow_leader(from) {
                     let header = (index, index_term, membership, total);
-                    self.take_chunk(from, disk, round, header, offset, &bytes);
+                    self.receive_chunk(from, disk, round, header, offset, &bytes);
                 }
             }
-            Body::Appended { matched, round } => self.note_appended(from, disk, round, matched),
+            Body::Appended { matched, round } => self.handle_appended(from, disk, round, matched),
             Body::Chunked { index, offset, round } => {
-                self.note_chunked(from, disk, round, index, offset);
+                self.handle_chunked(from, disk, round, index, offset);
             }
             Body::Mismatch { hint, prev_index, round } => {
-                self.note_mismatch(from, disk, round, (prev_index, hint));
+                self.handle_mismatch(from, disk, round, (prev_index, hint));
             }
             Body::Vote { last_index, last_term } => {
                 self.answer_vote(from, disk, (last_term, last_index));
@@ -60,25 +60,26 @@
         }
     }
 
-    /// Tells a leader or candidate of an older term that its term is over, so
-    /// that it doesn't wait for answers that never come.
+    /// Tells a leader or candidate of an older term about the newer one, so that it
+    /// doesn't wait for answers that never come.
     fn answer_stale(&mut self, from: &NodeId, message: &Message) {
-        let asks =
+        let expects_answer =
             matches!(message.body, Body::Append { .. } | Body::Chunk { .. } | Body::Vote { .. });
-        if asks {
+        if expects_answer {
             self.send(from, message.disk, Body::Stale);
         }
     }
 
-    /// Whether `from` leads in the current term, as any append or chunk proves.
-    fn hear_leader(&mut self, from: &NodeId) -> bool {
-        if matches!(self.stance, Stance::Leader(_)) {
+    /// Follows `from`, which an append or chunk proves to lead in the current term.
+    /// Returns `false` if this replica is the leader itself.
+    fn follow_leader(&mut self, from: &NodeId) -> bool {
+        if matches!(self.state, State::Leader(_)) {
             return false;
         }
-        self.stance = Stance::Follower;
+        self.state = State::Follower;
         self.leader = Some(from.clone());
-        self.heard_leader = Some(self.now);
-        self.met_leader = true;
+        self.leader_heard_at = Some(self.now);
+        self.has_heard_leader = true;
         self.reset_deadline();
         true
     }
--- a/src/quorum/record.rs
+++ b/src/quorum/record.rs
@@ -1,4 +1,4 @@
-//! What a replica keeps on its disk.
+//! Records that a replica keeps on its disk.
 
 use std::sync::Arc;
 
@@ -12,30 +12,30 @@
 use crate::id::NodeId;
 use crate::id::Term;
 
-/// Who a data folder is; its first record.
+/// Identity of a data folder; its first record.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Identity {
     /// Identity of the folder.
     pub disk: DiskId,
-    /// Members at position 0; empty for a folder that joins a running group.
+    /// Membership at index 0; empty for a folder that joins a running group.
     pub founders: Membership,
 }
 
-/// One durable fact. Records take effect in the order in which they were written.
+/// Record on disk. Records take effect in the order in which they were written.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Record {
     /// Current term and the vote given in it.
     Ballot {
         /// Current term.
         term: Term,
-        /// Candidate that has this replica's vote in `term`.
+        /// Candidate that this replica voted for in `term`.
         vote: Option<NodeId>,
     },
-    /// Entry; any entry at its position or after it is void.
+    /// Entry; replaces all earlier records of entries at its index or after it.
     Entry(Entry),
-    /// Who this folder is.
+    /// Identity of this folder.
     Identity(Identity),
-    /// Snapshot; entries up to its position are void, and so are the later ones
-    /// unless the entry at its position has its term.
+    /// Snapshot; replaces the entries up to its index, and also those after it unless
+    /// the entry at its index has the same term.
     Snapshot(Arc<Snapshot>),
 }
--- a/src/quorum/recovered.rs
+++ b/src/quorum/recovered.rs
@@ -1,4 +1,4 @@
-//! What the disk still knows after a restart.
+//! State that is recovered from disk after a restart.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -11,12 +11,12 @@
 use crate::id::NodeId;
 use crate::id::Term;
 
-/// Sum of the records of one data folder; the default is an empty folder.
+/// State after all records of one data folder; the default is an empty folder.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Recovered {
     /// Entries after the snapshot.
     pub entries: VecDeque<Entry>,
-    /// Who the folder is; `None` for an empty folder.
+    /// Identity of the folder; `None` for an empty one.
     pub identity: Option<Identity>,
     /// Newest snapshot.
     pub snapshot: Option<Arc<Snapshot>>,
@@ -27,7 +27,7 @@
 }
 
 impl Recovered {
-    /// Takes one record into account.
+    /// Applies one record.
     pub fn apply(&mut self, record: Record) {
         match record {
             Record::Ballot { term, vote } => {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Last position known.
+    /// Last index in the log.
     pub fn last(&self) -> Index {
         let base = self.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
         self.entries.back().map_or(base, |entry| entry.index)
--- a/src/quorum/replica.rs
+++ b/src/quorum/replica.rs
@@ -1,4 +1,4 @@
-//! One replica of the log.
+//! Replica of the log.
 
 use std::collections::BTreeSet;
 use std::collections::VecDeque;
@@ -10,6 +10,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::input::Input;
+use super::log::Log;
 use super::membership::DiskId;
 use super::membership::FOUNDER_DISK;
 use super::membership::Membership;
@@ -17,85 +18,85 @@
 use super::message::Message;
 use super::output::Output;
 use super::output::Reason;
-use super::progress::Lead;
+use super::progress::Leader;
 use super::record::Identity;
 use super::record::Record;
 use super::recovered::Recovered;
 use super::setup::Setup;
 use super::snapshot::Snapshot;
-use super::trail::Trail;
 use super::transfer::Incoming;
 use crate::clock::Moment;
 use crate::id::Index;
 use crate::id::NodeId;
 use crate::id::Term;
 
-/// Shortest and longest time without a leader after which a replica asks for pre-votes that has
-/// met none since its start, in election timeouts. With 0.7 s ones and five replicas started
-/// together, the first asks after 0.2 s instead of 0.8 s.
-const EARLY: (f64, f64) = (0.2, 0.6);
+/// Shortest and longest wait, in election timeouts, before a replica that has heard no leader
+/// since its start asks for pre-votes. With a timeout of 0.7 s and five replicas started
+/// together, the first one asks after 0.2 s instead of 0.8 s.
+const FIRST_WAIT_FACTORS: (f64, f64) = (0.2, 0.6);
 
-/// What a replica does at present, with the state that goes with it.
+/// Raft state of a replica, with the data that each state needs.
 #[derive(Debug)]
-pub(super) enum Stance {
+pub(super) enum State {
     Candidate {
         granted: BTreeSet<NodeId>,
-        /// Persist that holds the vote for itself.
-        own: u64,
+        /// Number of the persist that holds its vote for itself.
+        vote_persist: u64,
     },
     Follower,
-    Leader(Box<Lead>),
+    Leader(Box<Leader>),
     PreCandidate {
         granted: BTreeSet<NodeId>,
     },
 }
 
-/// One replica of the log: Raft without socket, disk or clock.
+/// Replica of the log: Raft as a state machine that performs no I/O and reads no clock.
 ///
-/// The caller carries outputs out in their order and feeds back what comes of
-/// them. After an error of the disk it drops the replica and builds it anew from
-/// what the disk recovers: what was handed to `Persist` and not synced must not
+/// The caller carries outputs out in their order and reports the results as inputs.
+/// After a disk error it drops the replica and creates a new one from the state that
+/// is recovered from disk, since records of a `Persist` that was not synced must not
 /// stay in memory.
 #[derive(Debug)]
 pub struct Replica {
     pub(super) commit: Index,
     pub(super) deadline: Option<Moment>,
     pub(super) disk: DiskId,
-    /// Last own position that is synced.
+    /// Last index of this replica's log that is synced.
     pub(super) durable: Index,
-    pub(super) heard_leader: Option<Moment>,
-    /// Messages that wait until a persist with this number is synced.
-    held: VecDeque<(u64, NodeId, Message)>,
+    pub(super) leader_heard_at: Option<Moment>,
+    /// Messages that wait until the persist with this number is synced.
+    waiting_messages: VecDeque<(u64, NodeId, Message)>,
     pub(super) incoming: Option<Incoming>,
     /// Number of the newest persist.
-    pub(super) issued: u64,
+    pub(super) last_persist: u64,
     pub(super) leader: Option<NodeId>,
-    /// Last position at the time of each persist that is not synced yet.
-    marks: VecDeque<(u64, Index)>,
-    /// Whether a leader was heard since the start.
-    pub(super) met_leader: bool,
+    /// Number of each persist that is not synced yet, with the last index it covers.
+    unsynced_persists: VecDeque<(u64, Index)>,
+    /// Whether any leader was heard since the start.
+    pub(super) has_heard_leader: bool,
     /// Whether the identity of the folder is synced.
-    pub(super) named: bool,
+    pub(super) is_identity_synced: bool,
     pub(super) now: Moment,
     pub(super) outputs: Vec<Output>,
     random: ChaCha8Rng,
     records: Vec<Record>,
-    sends: Vec<(NodeId, Message)>,
+    new_messages: Vec<(NodeId, Message)>,
     pub(super) setup: Setup,
-    pub(super) stance: Stance,
-    pub(super) synced: u64,
+    pub(super) state: State,
+    pub(super) synced_persist: u64,
     pub(super) term: Term,
-    pub(super) trail: Trail,
+    pub(super) log: Log,
     pub(super) vote: Option<NodeId>,
 }
 
 impl Replica {
-    /// Replica over what its data folder still knows. `seed` must come from the
-    /// operating system's randomness in a process: it also names a new folder.
+    /// Creates a replica from the recovered state of its data folder. A process must
+    /// take `seed` from the operating system's randomness, since the seed also
+    /// determines the identity of a new folder.
     pub fn new(setup: Setup, recovered: Recovered, seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut records = Vec::new();
-        let named = recovered.identity.is_some();
+        let is_identity_synced = recovered.identity.is_some();
         let identity = recovered.identity.clone().unwrap_or_else(|| {
             let identity = new_identity(setup.founders.clone(), &mut random);
             records.push(Record::Identity(identity.clone()));
@@ -105,37 +106,37 @@
         let vote = recovered.vote.clone();
         let commit = recovered.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
         let outputs = recovered.snapshot.iter().cloned().map(install).collect();
-        let trail = Trail::new(identity.founders, recovered);
+        let log = Log::new(identity.founders, recovered);
         Self {
             commit,
             deadline: None,
             disk: identity.disk,
-            durable: trail.last(),
-            heard_leader: None,
-            held: VecDeque::new(),
+            durable: log.last(),
+            leader_heard_at: None,
+            waiting_messages: VecDeque::new(),
             incoming: None,
-            issued: 0,
+            last_persist: 0,
             leader: None,
-            marks: VecDeque::new(),
-            met_leader: false,
-            named,
+            unsynced_persists: VecDeque::new(),
+            has_heard_leader: false,
+            is_identity_synced,
             now: Moment::ZERO,
             outputs,
             random,
             records,
-            sends: Vec::new(),
+            new_messages: Vec::new(),
             setup,
-            stance: Stance::Follower,
-            synced: 0,
+            state: State::Follower,
+            synced_persist: 0,
             term,
-            trail,
+            log,
             vote,
         }
     }
 
-    /// Takes one input, and says what to do about it. The first outputs after a
-    /// restart install the snapshot; the commands after it come as commits, once
-    /// a leader knows that they are committed.
+    /// Handles one input and returns the resulting outputs. The first outputs after a
+    /// restart install the snapshot. The commands after it follow as commits once a
+    /// leader knows that they are committed.
     pub fn handle(&mut self, now: Moment, input: Input) -> Vec<Output> {
         self.now = now;
         if self.deadline.is_none() {
@@ -146,8 +147,8 @@
             Input::Propose { ticket, command } => self.propose(ticket, command),
             Input::Read { ticket } => self.read(ticket),
             Input::Receive { from, message } => self.receive(&from, message),
-            Input::Snapshot { index, bytes } => self.snapshot(index, bytes),
-            Input::Synced { number } => self.note_synced(number),
+            Input::Snapshot { index, bytes } => self.compact(index, bytes),
+            Input::Synced { number } => self.handle_synced(number),
             Input::Tick => self.tick(),
         }
         self.advance();
@@ -156,8 +157,8 @@
 
     /// When the next [`Input::Tick`] is due; `None` before the first input.
     pub fn wake(&self) -> Option<Moment> {
-        match &self.stance {
-            Stance::Leader(lead) => Some(lead.heartbeat_at),
+        match &self.state {
+            State::Leader(leader) => Some(leader.heartbeat_at),
             _ => self.deadline,
         }
     }
@@ -167,50 +168,50 @@
         self.disk
     }
 
-    /// Who leads, where known.
+    /// Current leader, where known.
     pub fn leader(&self) -> Option<&NodeId> {
-        match self.stance {
-            Stance::Leader(_) => Some(&self.setup.me),
+        match self.state {
+            State::Leader(_) => Some(&self.setup.id),
             _ => self.leader.as_ref(),
         }
     }
 
-    /// Whether the log goes on as of just now: a leader that a majority has answered within
-    /// `span`, or a follower that has heard from its leader.
+    /// Whether the replica is in contact with the group: a leader heard a majority, or a
+    /// follower heard its leader, within `span` before `now`.
     pub fn is_current(&self, now: Moment, span: Duration) -> bool {
-        let Stance::Leader(lead) = &self.stance else {
-            return self.heard_leader.is_some_and(|at| now < at + span);
+        let State::Leader(leader) = &self.state else {
+            return self.leader_heard_at.is_some_and(|at| now < at + span);
         };
-        let membership = self.trail.membership();
+        let membership = self.log.membership();
         let heard = membership.voters.keys().filter(|node| {
-            let heard = lead.members.get(*node).and_then(|progress| progress.heard);
-            **node == self.setup.me || heard.is_some_and(|at| now < at + span)
+            let heard = leader.members.get(*node).and_then(|progress| progress.heard);
+            **node == self.setup.id || heard.is_some_and(|at| now < at + span)
         });
         heard.count() >= membership.quorum()
     }
 
-    /// The members as of the last change in the log.
+    /// Membership of the newest change in the log, committed or not.
     pub fn membership(&self) -> &Membership {
-        self.trail.membership()
+        self.log.membership()
     }
 
-    /// Identity of the own disk, once it is on the disk.
+    /// Identity of the data folder, once it is synced.
     pub fn named_disk(&self) -> Option<DiskId> {
-        self.named.then_some(self.disk)
+        self.is_identity_synced.then_some(self.disk)
     }
 
     pub(super) fn is_voter(&self) -> bool {
-        self.trail.membership().votes(&self.setup.me, self.disk)
+        self.log.membership().is_voter(&self.setup.id, self.disk)
     }
 
     pub(super) fn reset_deadline(&mut self) {
         let election = self.setup.timing.election;
-        // After a start of all replicas nobody leads, and callers are refused until somebody
-        // does. Asking early is safe: whoever hears a leader refuses the pre-vote. A vote gets
-        // the whole time, since disks may be slow.
-        let early = !self.met_leader && !matches!(self.stance, Stance::Candidate { .. });
-        let (least, most) = if early { EARLY } else { (1.0, 2.0) };
-        let wait = self.random.random_range(election.mul_f64(least)..=election.mul_f64(most));
+        // After all replicas start together, callers are refused until one of them leads.
+        // An early pre-vote is safe, since every replica that hears a leader refuses it. An
+        // election gets the whole timeout, since disks may be slow.
+        let early = !self.has_heard_leader && !matches!(self.state, State::Candidate { .. });
+        let (shortest, longest) = if early { FIRST_WAIT_FACTORS } else { (1.0, 2.0) };
+        let wait = self.random.random_range(election.mul_f64(shortest)..=election.mul_f64(longest));
         self.deadline = Some(self.now + wait);
     }
 
@@ -222,32 +223,33 @@
         self.record(Record::Ballot { term: self.term, vote: self.vote.clone() });
     }
 
-    /// Number that the persist of the current input will get.
+    /// Number of the persist that covers the records of the current input.
     pub(super) fn next_persist(&self) -> u64 {
-        self.issued + u64::from(!self.records.is_empty())
+        self.last_persist + u64::from(!self.records.is_empty())
     }
 
-    /// Own positions from `index` on are not what was persisted before.
-    pub(super) fn forget_from(&mut self, index: Index) {
+    /// Marks this replica's entries from `index` on as not synced, since they differ from
+    /// what was persisted.
+    pub(super) fn mark_unsynced_from(&mut self, index: Index) {
         let last = index.saturating_sub(1);
         self.durable = self.durable.min(last);
-        for (_, mark) in &mut self.marks {
-            *mark = (*mark).min(last);
+        for (_, index) in &mut self.unsynced_persists {
+            *index = (*index).min(last);
         }
     }
 
-    /// Sends a message that may only leave when all that was persisted so far,
-    /// by this input too, is synced: a vote or an acknowledgement that a crash
-    /// makes the replica forget would be counted by others for ever.
+    /// Sends a message after everything persisted so far, by this input too, is synced.
+    /// Otherwise a crash could make the replica forget a vote or an acknowledgement that
+    /// others keep counting.
     pub(super) fn send(&mut self, to: &NodeId, disk: DiskId, body: Body) {
         let message = self.message(disk, body);
-        self.sends.push((to.clone(), message));
+        self.new_messages.push((to.clone(), message));
     }
 
-    /// Sends a leader's message at once. Entries may leave before the leader has
-    /// synced them: its own copy counts only when it is synced, and its term was
-    /// synced before it could win.
-    pub(super) fn send_early(&mut self, to: &NodeId, disk: DiskId, body: Body) {
+    /// Sends a leader's message without waiting for a sync. Entries may be sent before
+    /// the leader has synced them: its own copy counts only after the sync, and its term
+    /// was synced before it could win the election.
+    pub(super) fn send_immediately(&mut self, to: &NodeId, disk: DiskId, body: Body) {
         let message = self.message(disk, body);
         self.outputs.push(Output::Send { to: to.clone(), message });
     }
@@ -256,8 +258,8 @@
         Message { body, disk: self.disk, term: self.term, to }
     }
 
-    pub(super) fn push_message(&mut self, to: &NodeId, message: Message) {
-        self.sends.push((to.clone(), message));
+    pub(super) fn queue_message(&mut self, to: &NodeId, message: Message) {
+        self.new_messages.push((to.clone(), message));
     }
 
     pub(super) fn refuse(&mut self, ticket: u64, reason: Reason) {
@@ -265,32 +267,36 @@
         self.outputs.push(Output::Refused { ticket, reason, leader });
     }
 
-    fn note_synced(&mut self, number: u64) {
-        self.synced = self.synced.max(number.min(self.issued));
-        self.named |= self.synced > 0;
-        while let Some((mark, index)) = self.marks.front().copied() {
-            if mark > self.synced {
+    fn handle_synced(&mut self, newest: u64) {
+        self.synced_persist = self.synced_persist.max(newest.min(self.last_persist));
+        self.is_identity_synced |= self.synced_persist > 0;
+        while let Some((number, index)) = self.unsynced_persists.front().copied() {
+            if number > self.synced_persist {
                 break;
             }
             self.durable = self.durable.max(index);
-            self.marks.pop_front();
+            self.unsynced_persists.pop_front();
         }
     }
 
     fn flush(&mut self) -> Vec<Output> {
         let mut outputs = Vec::new();
         if !self.records.is_empty() {
-            self.issued += 1;
-            self.marks.push_back((self.issued, self.trail.last()));
+            self.last_persist += 1;
+            self.unsynced_persists.push_back((self.last_persist, self.log.last()));
             let records = std::mem::take(&mut self.records);
-            outputs.push(Output::Persist { number: self.issued, records });
+            outputs.push(Output::Persist { number: self.last_persist, records });
         }
-        for (to, message) in std::mem::take(&mut self.sends) {
-            self.held.push_back((self.issued, to, message));
+        for (to, message) in std::mem::take(&mut self.new_messages) {
+            self.waiting_messages.push_back((self.last_persist, to, message));
         }
         outputs.append(&mut self.outputs);
-        while self.held.front().is_some_and(|(number, _, _)| *number <= self.synced) {
-            let Some((_, to, message)) = self.held.pop_front() else { break };
+        while self
+            .waiting_messages
+            .front()
+            .is_some_and(|(number, _, _)| *number <= self.synced_persist)
+        {
+            let Some((_, to, message)) = self.waiting_messages.pop_front() else { break };
             outputs.push(Output::Send { to, message });
         }
         outputs
--- a/src/quorum/snapshot.rs
+++ b/src/quorum/snapshot.rs
@@ -1,4 +1,4 @@
-//! State of the application in place of a prefix of the log.
+//! Snapshot of the application's state.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,12 +7,12 @@
 use crate::id::Index;
 use crate::id::Term;
 
-/// State of the application in place of a prefix of the log.
+/// Application's state that replaces a prefix of the log.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Snapshot {
     /// State, encoded by the application.
     pub bytes: Vec<u8>,
-    /// Last position it covers.
+    /// Last index it covers.
     pub index: Index,
     /// Membership at `index`.
     pub membership: Membership,
--- a/src/quorum/status.rs
+++ b/src/quorum/status.rs
@@ -1,4 +1,4 @@
-//! What operators see of a replica.
+//! Status of a replica for operators.
 
 use std::time::Duration;
 
@@ -10,66 +10,65 @@
 use crate::id::NodeId;
 use crate::id::Term;
 
-/// What a replica does at present.
+/// Role of a replica.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Role {
-    /// Not a member under its data folder: it waits to be added.
+    /// Not a member with its current data folder; waits to be added.
     Blank,
-    /// Stands for election.
+    /// Asks for pre-votes or votes.
     Candidate,
-    /// Follows, and votes.
+    /// Follows a leader and votes.
     Follower,
     /// Leads.
     Leader,
-    /// Follows, and does not count.
+    /// Receives entries but has no vote.
     Learner,
 }
 
-/// One member as the leader sees it.
+/// Member as the leader sees it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Member {
     /// Identity of its data folder.
     pub disk: DiskId,
-    /// Time since it was last heard; `None` if never in this term. Zero for the
-    /// leader itself.
+    /// Time since it was last heard; `None` if never by this leader. Zero for the
+    /// replica itself.
     pub heard: Option<Duration>,
-    /// Entries it is behind the leader's last one.
+    /// Number of entries by which it is behind the last one.
     pub lag: u64,
-    /// Last position it has synced.
+    /// Last index it has synced.
     pub matched: Index,
-    /// Its name.
+    /// Name of its VM.
     pub node: NodeId,
     /// Not heard for an election timeout.
     pub silent: bool,
-    /// Heard, and has synced all that was committed a heartbeat ago.
+    /// Heard recently, and has synced everything committed one heartbeat ago.
     pub up_to_date: bool,
     /// Whether its votes and acknowledgements count.
     pub voter: bool,
 }
 
-/// What operators see of a replica.
+/// Status of a replica for operators.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Status {
-    /// Last committed position.
+    /// Commit index.
     pub commit: Index,
     /// Bytes of the entries in memory.
     pub entries: usize,
     /// Identity of the data folder; `None` until it is synced.
     pub disk: Option<DiskId>,
-    /// Last position in the log.
+    /// Last index in the log.
     pub last: Index,
-    /// Who leads, where known.
+    /// Current leader, where known.
     pub leader: Option<NodeId>,
-    /// Members; on others than the leader, without what only the leader knows.
+    /// Members; only the leader knows the progress of the others.
     pub members: Vec<Member>,
-    /// What it does.
+    /// Role of this replica.
     pub role: Role,
-    /// Last position of its snapshot.
+    /// Last index its snapshot covers.
     pub snapshot: Index,
     /// Current term.
     pub term: Term,
-    /// The verdict "repaired": a further loss of any one member's VM and disk
-    /// would leave a majority that holds all that was committed. Only a leader
-    /// ever says so.
+    /// Whether the loss of any one more VM and its disk would leave a majority that
+    /// holds everything committed. Always `false` unless this replica leads.
     pub tolerates_one_more_loss: bool,
 }
--- a/src/quorum/transfer.rs
+++ b/src/quorum/transfer.rs
@@ -1,21 +1,21 @@
-//! Snapshots: taken from the application, sent and received in chunks.
+//! Snapshots: set by the application, sent and received in chunks.
 
 use std::sync::Arc;
 
 use super::membership::Membership;
 use super::message::Body;
 use super::output::Output;
-use super::progress::Lead;
+use super::progress::Leader;
 use super::progress::Transfer;
 use super::record::Record;
 use super::replica::Replica;
-use super::replica::Stance;
+use super::replica::State;
 use super::snapshot::Snapshot;
 use crate::id::Index;
 use crate::id::NodeId;
 use crate::id::Term;
 
-/// Snapshot on its way in.
+/// Snapshot that is being received.
 #[derive(Debug)]
 pub(super) struct Incoming {
     bytes: Vec<u8>,
@@ -24,62 +24,63 @@
 }
 
 impl Replica {
-    /// Shortens the log by the application's own snapshot. Entries that a
-    /// transfer under way will need after it stay.
-    pub(super) fn snapshot(&mut self, index: Index, bytes: Vec<u8>) {
-        let newest = self.trail.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
+    /// Compacts the log with the application's own snapshot. Entries stay if a member
+    /// will need them after a transfer in progress.
+    pub(super) fn compact(&mut self, index: Index, bytes: Vec<u8>) {
+        let newest = self.log.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
         if index > self.commit || index <= newest {
             return;
         }
-        let Some(term) = self.trail.term(index) else { return };
-        let membership = self.trail.membership_at(index);
+        let Some(term) = self.log.term(index) else { return };
+        let membership = self.log.membership_at(index);
         let snapshot = Arc::new(Snapshot { bytes, index, membership, term });
         let keep = self.first_kept(index);
         let keep = self.first_transfer().map_or(keep, |first| keep.min(first));
-        self.trail.compact(Arc::clone(&snapshot), keep);
+        self.log.compact(Arc::clone(&snapshot), keep);
         self.record(Record::Snapshot(snapshot));
     }
 
-    /// Position before the entries that stay behind a snapshot at `index`.
+    /// Index before the first entry that is kept although a snapshot at `index` covers
+    /// it.
     fn first_kept(&self, index: Index) -> Index {
-        let after = self.trail.bytes_from(index + 1);
-        let mut keep = index.saturating_sub(self.setup.limits.kept).max(self.trail.base());
-        while keep < index && self.trail.bytes_from(keep + 1) - after > self.setup.limits.kept_bytes
-        {
+        let after = self.log.bytes_from(index + 1);
+        let mut keep = index.saturating_sub(self.setup.limits.kept_entries).max(self.log.base());
+        while keep < index && self.log.bytes_from(keep + 1) - after > self.setup.limits.kept_bytes {
             keep += 1;
         }
         keep
     }
 
+    /// Lowest last index of the snapshots that are being sent to members that answer.
     fn first_transfer(&self) -> Option<Index> {
-        let Stance::Leader(lead) = &self.stance else { return None };
-        let heard = lead.members.values().filter(|progress| self.is_heard(progress.heard));
+        let State::Leader(leader) = &self.state else { return None };
+        let heard = leader.members.values().filter(|progress| self.is_heard(progress.heard));
         heard.filter_map(|progress| Some(progress.transfer.as_ref()?.snapshot.index)).min()
     }
 
-    pub(super) fn send_chunk(&mut self, lead: &mut Lead, node: &NodeId) {
-        let Some(progress) = lead.members.get_mut(node) else { return };
-        let Some(snapshot) = self.trail.snapshot.clone() else { return };
+    pub(super) fn send_chunk(&mut self, leader: &mut Leader, node: &NodeId) {
+        let Some(progress) = leader.members.get_mut(node) else { return };
+        let Some(snapshot) = self.log.snapshot.clone() else { return };
         let transfer =
             progress.transfer.get_or_insert(Transfer { offset: 0, sent_at: self.now, snapshot });
         transfer.sent_at = self.now;
         let snapshot = &transfer.snapshot;
         let total = snapshot.bytes.len();
         let start = usize::try_from(transfer.offset).unwrap_or(total).min(total);
-        let end = total.min(start + self.setup.limits.chunk);
+        let end = total.min(start + self.setup.limits.chunk_bytes);
         let body = Body::Chunk {
             bytes: snapshot.bytes[start..end].to_vec(),
             index: snapshot.index,
             index_term: snapshot.term,
             membership: snapshot.membership.clone(),
             offset: start as u64,
-            round: lead.round,
+            round: leader.round,
             total: total as u64,
         };
-        self.send_early(node, progress.disk, body);
+        self.send_immediately(node, progress.disk, body);
     }
 
-    pub(super) fn take_chunk(
+    pub(super) fn receive_chunk(
         &mut self,
         from: &NodeId,
         disk: u64,
@@ -110,11 +111,11 @@
 
     fn install(&mut self, snapshot: Snapshot) {
         let snapshot = Arc::new(snapshot);
-        if self.trail.term(snapshot.index) != Some(snapshot.term) {
-            self.forget_from(snapshot.index);
+        if self.log.term(snapshot.index) != Some(snapshot.term) {
+            self.mark_unsynced_from(snapshot.index);
         }
         self.commit = snapshot.index;
-        self.trail.install(Arc::clone(&snapshot));
+        self.log.install(Arc::clone(&snapshot));
         self.record(Record::Snapshot(Arc::clone(&snapshot)));
         self.outputs.push(Output::Install { snapshot });
     }
