--- a/src/node/attached/hub.rs
+++ b/src/node/attached/hub.rs
@@ -25,7 +25,7 @@
 use crate::node::core::Output;
 use crate::node::office;
 use crate::node::status;
-use crate::quorum::mend;
+use crate::quorum::repair;
 use crate::quota;
 use crate::timeline::Kind;
 use crate::wire::Frame;
@@ -132,8 +132,8 @@
     pub(super) fn wake(&self, now: Moment) -> Moment {
         let office = self.office.as_ref().and_then(Office::wake);
         let reads = self.reads.iter().map(|read| read.until).min();
-        let mend = self.office.as_ref().filter(|office| office.leads()).map(|_| self.mend_at);
-        let due = office.into_iter().chain(reads).chain(mend).chain(self.clerk.wake());
+        let repair = self.office.as_ref().filter(|office| office.leads()).map(|_| self.mend_at);
+        let due = office.into_iter().chain(reads).chain(repair).chain(self.clerk.wake());
         due.fold(self.publisher.wake().min(self.hello_at), Moment::min).max(now)
     }
 
@@ -248,7 +248,7 @@
         self.carry_out(now, done, outputs);
         self.publish(now, outputs);
         self.greet(now, outputs);
-        self.mend(now, wall, outputs);
+        self.repair(now, wall, outputs);
     }
 
     fn publish(&mut self, now: Moment, outputs: &mut Vec<Output>) {
@@ -278,13 +278,14 @@
     }
 
     /// Changes the members, where this control leads and the others that are there ask for it.
-    fn mend(&mut self, now: Moment, wall: Epoch, outputs: &mut Vec<Output>) {
+    fn repair(&mut self, now: Moment, wall: Epoch, outputs: &mut Vec<Output>) {
         let Some(office) = self.office.as_ref().filter(|office| office.leads()) else { return };
         if now < self.mend_at {
             return;
         }
         self.mend_at = now + MEND;
-        let next = mend::next(&office.status(now), office.tenure(now), &self.peers.disks(now));
+        let next =
+            repair::next_change(&office.status(now), office.tenure(now), &self.peers.disks(now));
         if let Some(change) = next {
             let event = events::event(&self.peers.me().id, Kind::MemberChanged);
             outputs.push(Output::Event(event.detail("change", format!("{change:?}"))));
--- a/src/quorum/mend.rs
+++ b/src/quorum/repair.rs
@@ -26,7 +26,7 @@
 ///
 /// `tenure` is how long the leader has led. A new leader can't tell yet who is silent, so it
 /// removes no lost member before [`SILENCE_LIMIT`] has passed.
-pub fn next(
+pub fn next_change(
     status: &Status,
     tenure: Duration,
     present: &BTreeMap<NodeId, DiskId>,
