--- a/src/node/attached/hub.rs
+++ b/src/node/attached/hub.rs
@@ -269,7 +269,7 @@
         }
         self.hello_at = now + HELLO;
         self.peers.forget(now, self.members());
-        let disk = self.office.as_ref().and_then(|office| office.replica().named_disk());
+        let disk = self.office.as_ref().and_then(|office| office.replica().synced_disk());
         let ready = Ready { entries: self.publisher.own(now) };
         for id in self.peers.others() {
             let (control, ready) = (self.peers.me().clone(), ready.clone());
--- a/src/quorum/replica.rs
+++ b/src/quorum/replica.rs
@@ -196,7 +196,7 @@
     }
 
     /// Identity of the data folder, once it is synced.
-    pub fn named_disk(&self) -> Option<DiskId> {
+    pub fn synced_disk(&self) -> Option<DiskId> {
         self.is_identity_synced.then_some(self.disk)
     }
 
