--- a/src/node/office.rs
+++ b/src/node/office.rs
@@ -194,7 +194,7 @@
     /// When the next [`Input::Tick`] is due.
     pub fn wake(&self) -> Option<Moment> {
         let keeper = self.leads.then(|| self.keeper.wake(&self.quotas)).flatten();
-        self.replica.wake().into_iter().chain(keeper).min()
+        self.replica.next_at().into_iter().chain(keeper).min()
     }
 
     /// What operators see of the log.
--- a/src/quorum/replica.rs
+++ b/src/quorum/replica.rs
@@ -156,7 +156,7 @@
     }
 
     /// When the next [`Input::Tick`] is due; `None` before the first input.
-    pub fn wake(&self) -> Option<Moment> {
+    pub fn next_at(&self) -> Option<Moment> {
         match &self.state {
             State::Leader(leader) => Some(leader.heartbeat_at),
             _ => self.deadline,
