--- a/src/quorum/change.rs
+++ b/src/quorum/change.rs
@@ -102,7 +102,7 @@
     /// Whether, after the loss of any one more VM and its disk, a majority remains
     /// that holds everything committed. Learners don't count, whatever they hold,
     /// since they can't take part in an election.
-    pub fn repaired(&self) -> bool {
+    pub fn tolerates_one_more_loss(&self) -> bool {
         let State::Leader(leader) = &self.state else { return false };
         if self.log.membership_index() > self.commit {
             return false;
@@ -125,7 +125,7 @@
             role: self.role(),
             snapshot: self.log.snapshot.as_ref().map_or(0, |snapshot| snapshot.index),
             term: self.term,
-            tolerates_one_more_loss: self.repaired(),
+            tolerates_one_more_loss: self.tolerates_one_more_loss(),
         }
     }
 
--- a/tests/suite/quorum/direct.rs
+++ b/tests/suite/quorum/direct.rs
@@ -120,7 +120,7 @@
 /// A whole group of `size` with some commands, and its leader.
 pub(super) fn whole(seed: u64, size: usize) -> (World, NodeId) {
     let mut world = World::new(seed, size, None);
-    world.until("a whole group", LIMIT, World::repaired).expect("safe");
+    world.until("a whole group", LIMIT, World::tolerates_one_more_loss).expect("safe");
     let leader = world.leader().expect("a leader");
     world.propose(&leader).expect("safe");
     world.run(Duration::from_secs(1)).expect("safe");
--- a/tests/suite/quorum/member.rs
+++ b/tests/suite/quorum/member.rs
@@ -110,12 +110,12 @@
     world.net.weather = Weather { delay_min: delay, delay_max: delay, ..Weather::fair() };
     world.net.heal_all();
     let mut heard_behind = 0;
-    while !world.repaired() {
+    while !world.tolerates_one_more_loss() {
         world.step().expect("safe");
         let members = world.status(&leader).members;
         let member = members.iter().find(|member| member.node == late).expect("a member");
         heard_behind += u32::from(!member.silent && member.matched < wanted);
-        assert!(!world.repaired() || member.matched >= wanted, "{member:?}");
+        assert!(!world.tolerates_one_more_loss() || member.matched >= wanted, "{member:?}");
     }
     assert!(heard_behind > 5, "the transfer takes a while: {heard_behind}");
 }
--- a/tests/suite/quorum/repair.rs
+++ b/tests/suite/quorum/repair.rs
@@ -38,14 +38,14 @@
     let added = members.iter().any(|it| it.node == *lost && Some(it.disk) == disk);
     match told {
         Told::AtAddLearner => added,
-        Told::ByVerdict => added && memory.replica.repaired(),
+        Told::ByVerdict => added && memory.replica.tolerates_one_more_loss(),
     }
 }
 
 /// Loses a disk, repairs, and loses `victim` at the moment of the verdict.
 fn lose_twice(seed: u64, size: usize, victim: usize, told: Told) -> Verdict {
     let mut world = World::new(seed, size, None);
-    world.until("a whole group", LIMIT, World::repaired)?;
+    world.until("a whole group", LIMIT, World::tolerates_one_more_loss)?;
     for _ in 0..40 {
         let leader = world.leader().ok_or("no leader")?;
         world.propose(&leader)?;
@@ -117,7 +117,7 @@
 fn repaired_under_reads() {
     let mut world = World::new(3, 3, None);
     let end = world.now + LIMIT;
-    while !world.repaired() {
+    while !world.tolerates_one_more_loss() {
         assert!(world.now < end, "no verdict");
         if let Some(leader) = world.leader() {
             world.read(&leader).expect("safe");
@@ -132,7 +132,7 @@
 #[test]
 fn blank_waits() {
     let mut world = World::new(2, 3, None);
-    world.until("a whole group", LIMIT, World::repaired).expect("safe");
+    world.until("a whole group", LIMIT, World::tolerates_one_more_loss).expect("safe");
     let lost = world.names()[0].clone();
     lose(&mut world, &lost);
     world.vms.get_mut(&lost).expect("known").restart_at = world.now;
--- a/tests/suite/quorum/single.rs
+++ b/tests/suite/quorum/single.rs
@@ -22,7 +22,7 @@
     let leader = world.leader().expect("a leader");
     world.propose(&leader).expect("safe");
     world.until("a command", LIMIT, |it| !it.checker.accepted.is_empty()).expect("in time");
-    assert!(!world.repaired(), "one disk tolerates no loss");
+    assert!(!world.tolerates_one_more_loss(), "one disk tolerates no loss");
 }
 
 // The same on a disk that takes long to sync: it waits.
--- a/tests/suite/quorum/view.rs
+++ b/tests/suite/quorum/view.rs
@@ -30,9 +30,9 @@
     }
 
     /// Whether the leader gives the verdict "repaired".
-    pub(super) fn repaired(&self) -> bool {
+    pub(super) fn tolerates_one_more_loss(&self) -> bool {
         let leader = self.leader().and_then(|name| self.memory(&name));
-        leader.is_some_and(|memory| memory.replica.repaired())
+        leader.is_some_and(|memory| memory.replica.tolerates_one_more_loss())
     }
 
     /// Whether the verdict is "repaired", and is about the disks that are there:
@@ -44,7 +44,7 @@
             let seat = members.iter().find(|member| member.node == vm.name);
             !vm.rotten && seat.is_some_and(|member| member.voter && member.disk == vm.seat.1)
         });
-        seated && memory.replica.repaired()
+        seated && memory.replica.tolerates_one_more_loss()
     }
 
     /// Whether every VM is up, a voter, and has applied all that was accepted.
@@ -56,7 +56,7 @@
                 memory.applied >= last && matches!(role, Role::Leader | Role::Follower)
             })
         });
-        all && self.repaired()
+        all && self.tolerates_one_more_loss()
     }
 
     /// What `leader` accepted at `index` is synced by a majority of its voters.
