--- a/tests/suite/quorum.rs
+++ b/tests/suite/quorum.rs
@@ -1,12 +1,12 @@
 //! Tests of `hemlockfield::quorum`.
 
 mod checker;
-mod direct;
+mod cluster;
 mod member;
 mod model;
 mod mutant;
 mod repair;
+mod schedule;
 mod single;
 mod view;
 mod vm;
-mod world;
--- a/tests/suite/quorum/checker.rs
+++ b/tests/suite/quorum/checker.rs
@@ -1,4 +1,4 @@
-//! Safety of a whole group, checked on every output of every replica.
+//! Checks the safety properties of a cluster on every output of every replica.
 
 use std::collections::BTreeMap;
 
@@ -13,18 +13,18 @@
 use hemlockfield::quorum::Recovered;
 
 pub(super) type Verdict = Result<(), String>;
-type Seat = (NodeId, DiskId);
+type MemberId = (NodeId, DiskId);
 
-/// What was seen so far; each check says what it contradicts.
+/// Outputs observed so far. Each check returns an error that describes the violation.
 #[derive(Debug, Default)]
 pub(super) struct Checker {
     pub(super) accepted: BTreeMap<Index, Vec<u8>>,
     chosen: BTreeMap<Index, (Term, Payload)>,
-    leaders: BTreeMap<Term, Seat>,
+    leaders: BTreeMap<Term, MemberId>,
     logged: BTreeMap<(Index, Term), (Payload, Term)>,
     proposed: BTreeMap<u64, Vec<u8>>,
     reads: BTreeMap<u64, Index>,
-    votes: BTreeMap<(Seat, Term), NodeId>,
+    votes: BTreeMap<(MemberId, Term), NodeId>,
 }
 
 impl Checker {
@@ -40,13 +40,13 @@
         self.reads.insert(ticket, self.last_accepted());
     }
 
-    /// A read sees all that was accepted before it was asked.
+    /// Checks that a read sees everything accepted before it was issued.
     pub(super) fn readable(&self, ticket: u64, applied: Index) -> Verdict {
         let wanted = self.reads.get(&ticket).copied().unwrap_or(0);
         ensure(applied >= wanted, || format!("read {ticket} sees {applied}, not {wanted}"))
     }
 
-    /// What was accepted is what was proposed, and is chosen.
+    /// Checks that an accepted command is the proposed one and is committed at its index.
     pub(super) fn accept(&mut self, ticket: u64, index: Index) -> Verdict {
         let Some(command) = self.proposed.get(&ticket) else { return Ok(()) };
         let chosen = self.chosen.get(&index).map(|(_, payload)| payload);
@@ -58,7 +58,7 @@
         Ok(())
     }
 
-    /// State machine safety: a position never holds two things.
+    /// Checks state machine safety: an index never has two committed payloads.
     pub(super) fn choose(
         &mut self,
         index: Index,
@@ -71,16 +71,16 @@
         ensure(same, || format!("{payload:?} committed at {index}, where {chosen:?} was"))
     }
 
-    /// Log matching: an entry of one position and term has one payload and one
-    /// predecessor, in every log.
-    pub(super) fn log(&mut self, entry: &Entry, prev_term: Term) -> Verdict {
+    /// Checks log matching: entries with the same index and term have the same payload
+    /// and predecessor in every log.
+    pub(super) fn append(&mut self, entry: &Entry, prev_term: Term) -> Verdict {
         let key = (entry.index, entry.term);
         let value = (entry.payload.clone(), prev_term);
         let known = self.logged.entry(key).or_insert_with(|| value.clone());
         ensure(*known == value, || format!("two entries at {key:?}: {known:?} and {value:?}"))
     }
 
-    /// Whether a log holds what is chosen at `index`.
+    /// Whether a log holds the payload committed at `index`.
     pub(super) fn holds(&self, log: &Recovered, index: Index) -> bool {
         let covered = log.snapshot.as_ref().is_some_and(|snapshot| snapshot.index >= index);
         let entry = log.entries.iter().find(|entry| entry.index == index);
@@ -88,22 +88,27 @@
         covered || chosen.is_some() && entry.map(|entry| &entry.payload) == chosen
     }
 
-    /// Election safety, and leader completeness.
-    pub(super) fn lead(&mut self, seat: &Seat, term: Term, log: &Recovered) -> Verdict {
-        let known = self.leaders.entry(term).or_insert_with(|| seat.clone());
-        ensure(known == seat, || format!("{known:?} and {seat:?} lead in term {term}"))?;
+    /// Checks election safety and leader completeness.
+    pub(super) fn become_leader(
+        &mut self,
+        member_id: &MemberId,
+        term: Term,
+        log: &Recovered,
+    ) -> Verdict {
+        let known = self.leaders.entry(term).or_insert_with(|| member_id.clone());
+        ensure(known == member_id, || format!("{known:?} and {member_id:?} lead in term {term}"))?;
         let base = log.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
         for (index, (_, payload)) in self.chosen.range(base + 1..) {
-            let place = usize::try_from(index - base - 1).expect("small");
+            let place = usize::try_from(index - base - 1).expect("fits usize");
             let own = log.entries.get(place).map(|entry| &entry.payload);
             ensure(own == Some(payload), || {
-                format!("{seat:?} leads term {term} with {own:?} at {index}, not {payload:?}")
+                format!("{member_id:?} leads term {term} with {own:?} at {index}, not {payload:?}")
             })?;
         }
         Ok(())
     }
 
-    /// One vote a term; and no promise leaves before it is on disk.
+    /// Checks that a replica votes once per term and acknowledges only what is synced.
     pub(super) fn send(
         &mut self,
         from: &NodeId,
@@ -125,6 +130,7 @@
     }
 }
 
-pub(super) fn ensure(holds: bool, otherwise: impl FnOnce() -> String) -> Verdict {
-    if holds { Ok(()) } else { Err(otherwise()) }
+/// Returns `message` as an error unless `condition` holds.
+pub(super) fn ensure(condition: bool, message: impl FnOnce() -> String) -> Verdict {
+    if condition { Ok(()) } else { Err(message()) }
 }
--- a/tests/suite/quorum/world.rs
+++ b/tests/suite/quorum/cluster.rs
@@ -1,4 +1,4 @@
-//! VMs, a network and accidents, in virtual time.
+//! Simulated cluster: VMs and a network in virtual time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -26,15 +26,15 @@
 use super::mutant::Mutant;
 use super::vm::Vm;
 
-/// How a violation begins that is none of safety, but of liveness.
-pub(super) const LATE: &str = "late";
-/// Step of virtual time at which replicas tick.
+/// Prefix of errors that are violations of liveness, not of safety.
+pub(super) const TIMEOUT_PREFIX: &str = "timed out";
+/// Step of virtual time; all replicas tick once per step.
 pub(super) const TICK: Duration = Duration::from_millis(25);
-/// Commands after which the application hands in a snapshot.
+/// Number of commands after which the application takes a snapshot.
 const SNAPSHOT_EVERY: usize = 10;
 
 #[derive(Debug)]
-pub(super) struct World {
+pub(super) struct Cluster {
     pub(super) checker: Checker,
     pub(super) mutant: Option<Mutant>,
     pub(super) net: Net,
@@ -44,12 +44,12 @@
     pub(super) vms: BTreeMap<NodeId, Vm>,
 }
 
-impl World {
+impl Cluster {
     pub(super) fn new(seed: u64, size: usize, mutant: Option<Mutant>) -> Self {
         let names: Vec<NodeId> = (1..=size).map(|n| format!("control-{n}").into()).collect();
         let founders = Membership::founding(names.clone());
         let vm = |name: NodeId| Vm::new(name.clone(), Some(founders.clone()), seed);
-        let mut world = Self {
+        let mut cluster = Self {
             checker: Checker::default(),
             mutant,
             net: Net::new(seed, Weather::fair()),
@@ -58,11 +58,12 @@
             tickets: 0,
             vms: names.into_iter().map(|name| (name.clone(), vm(name))).collect(),
         };
-        world.names().iter().for_each(|name| world.start(name));
-        world
+        cluster.names().iter().for_each(|name| cluster.start(name));
+        cluster
     }
 
-    /// Goes on by one tick: all messages and syncs due until then, one by one.
+    /// Advances virtual time by [`TICK`] and handles the messages and syncs that are due, in
+    /// order.
     pub(super) fn step(&mut self) -> Verdict {
         let end = self.now + TICK;
         while let Some(at) = self.next_event().filter(|at| *at <= end) {
@@ -88,8 +89,8 @@
         Ok(())
     }
 
-    /// Runs until `done`; a violation if it takes longer than `limit`.
-    pub(super) fn until(
+    /// Runs until `done`; an error if it takes longer than `limit`.
+    pub(super) fn run_until(
         &mut self,
         what: &str,
         limit: Duration,
@@ -97,7 +98,7 @@
     ) -> Verdict {
         let end = self.now + limit;
         while !done(self) {
-            ensure(self.now < end, || format!("{LATE}: {what}"))?;
+            ensure(self.now < end, || format!("{TIMEOUT_PREFIX}: {what}"))?;
             self.step()?;
         }
         Ok(())
@@ -127,20 +128,20 @@
             let Some(memory) = vm.memory.as_mut() else { continue };
             let Some((_, number)) = memory.sync.filter(|(at, _)| *at <= now) else { continue };
             memory.sync = None;
-            memory.store.sync().expect("the fake disk has room");
+            memory.store.sync().expect("the fake disk has space");
             for record in std::mem::take(&mut memory.unsynced) {
-                vm.synced.entry(vm.seat.1).or_default().apply(record);
+                vm.synced.entry(vm.member_id.1).or_default().apply(record);
             }
             self.input(&name, Input::Synced { number })?;
         }
         Ok(())
     }
 
-    /// Starts a VM; one with a damaged log gets an empty disk in its place.
+    /// Starts a VM; one with a damaged log gets an empty disk.
     pub(super) fn start(&mut self, name: &NodeId) {
         let seed = self.random.random();
         let mutant = self.mutant;
-        let vm = self.vms.get_mut(name).expect("known");
+        let vm = self.vms.get_mut(name).expect("the VM exists");
         if vm.start(seed, mutant).is_err() {
             vm.lose_disk(seed, mutant);
             vm.start(seed, mutant).expect("an empty disk opens");
@@ -161,12 +162,13 @@
         self.input(name, Input::Read { ticket: self.tickets })
     }
 
-    /// What callers sent to a process that stood still is the first it reads.
-    fn wake(&mut self, name: &NodeId) -> Verdict {
+    /// Resumes a process whose stall is over. Its first input is a read that a caller sent
+    /// during the stall.
+    fn resume(&mut self, name: &NodeId) -> Verdict {
         let now = self.now;
         let Some(vm) = self.vms.get_mut(name) else { return Ok(()) };
-        let wakes = vm.stalled_until > Duration::ZERO && vm.stalled_until <= now;
-        if !wakes {
+        let is_over = vm.stalled_until > Duration::ZERO && vm.stalled_until <= now;
+        if !is_over {
             return Ok(());
         }
         vm.stalled_until = Duration::ZERO;
@@ -174,10 +176,10 @@
     }
 
     pub(super) fn input(&mut self, name: &NodeId, input: Input) -> Verdict {
-        self.wake(name)?;
+        self.resume(name)?;
         let now = self.now;
-        let awake = self.vms.get_mut(name).filter(|vm| vm.stalled_until <= now);
-        let Some(memory) = awake.and_then(|vm| vm.memory.as_mut()) else {
+        let running = self.vms.get_mut(name).filter(|vm| vm.stalled_until <= now);
+        let Some(memory) = running.and_then(|vm| vm.memory.as_mut()) else {
             return Ok(());
         };
         let outputs = memory.replica.handle(now, input);
@@ -185,7 +187,7 @@
     }
 
     fn output(&mut self, name: &NodeId, output: Output) -> Verdict {
-        let vm = self.vms.get_mut(name).expect("known");
+        let vm = self.vms.get_mut(name).expect("the VM exists");
         let Some(memory) = vm.memory.as_mut() else { return Ok(()) };
         match output {
             Output::Accepted { ticket, index } => {
@@ -193,9 +195,9 @@
                 self.check_synced(name, index)
             }
             Output::BecameLeader { term } => {
-                let voted = vm.synced[&vm.seat.1].term == term;
+                let voted = vm.synced[&vm.member_id.1].term == term;
                 ensure(voted, || format!("{name} leads term {term} before its vote is synced"))?;
-                self.checker.lead(&vm.seat, term, &memory.log)
+                self.checker.become_leader(&vm.member_id, term, &memory.log)
             }
             Output::Changed { index, membership } => {
                 memory.applied = index;
@@ -210,7 +212,7 @@
             Output::Persist { number, records } => self.persist(name, number, records),
             Output::Readable { ticket } => self.checker.readable(ticket, memory.applied),
             Output::Send { to, message } => {
-                self.checker.send(name, &to, &message, &vm.synced[&vm.seat.1])?;
+                self.checker.send(name, &to, &message, &vm.synced[&vm.member_id.1])?;
                 let message = self.mutant.map_or(message.clone(), |it| it.rewrite(message));
                 let bytes = postcard::to_stdvec(&message).expect("encodes");
                 self.net.send(self.now, name, &to, bytes);
@@ -224,7 +226,8 @@
 
     fn apply(&mut self, name: &NodeId, index: u64, term: u64, command: Vec<u8>) -> Verdict {
         self.checker.choose(index, Some(term), &Payload::Command(command.clone()))?;
-        let memory = self.vms.get_mut(name).and_then(|vm| vm.memory.as_mut()).expect("up");
+        let memory =
+            self.vms.get_mut(name).and_then(|vm| vm.memory.as_mut()).expect("the VM is up");
         memory.applied = index;
         memory.commands.push(command);
         if !memory.commands.len().is_multiple_of(SNAPSHOT_EVERY) {
@@ -237,11 +240,12 @@
     fn persist(&mut self, name: &NodeId, number: u64, mut records: Vec<Record>) -> Verdict {
         let wait = Duration::from_micros(self.random.random_range(0..20_000));
         let at = self.now + wait;
-        let memory = self.vms.get_mut(name).and_then(|vm| vm.memory.as_mut()).expect("up");
+        let memory =
+            self.vms.get_mut(name).and_then(|vm| vm.memory.as_mut()).expect("the VM is up");
         for record in &records {
             if let Record::Entry(entry) = record {
                 let prev_term = prev_term(&memory.log, entry);
-                self.checker.log(entry, prev_term)?;
+                self.checker.append(entry, prev_term)?;
             }
             memory.log.apply(record.clone());
         }
@@ -267,8 +271,8 @@
     }
 }
 
-/// Vote requests that claim the longest of logs.
-pub(super) fn boast(message: &mut Message) {
+/// Makes a vote or pre-vote request claim the longest possible log.
+pub(super) fn inflate_log(message: &mut Message) {
     if let Body::PreVote { last_index, last_term } | Body::Vote { last_index, last_term } =
         &mut message.body
     {
--- a/tests/suite/quorum/model.rs
+++ b/tests/suite/quorum/model.rs
@@ -1,4 +1,4 @@
-//! Groups of 3, 5 and 7 under accidents: safe at every step, live afterwards.
+//! Clusters of 3, 5 and 7 VMs under random faults: safe at every step, live afterwards.
 
 use std::time::Duration;
 
@@ -10,118 +10,119 @@
 
 use super::checker::Verdict;
 use super::checker::ensure;
+use super::cluster::Cluster;
+use super::cluster::TIMEOUT_PREFIX;
 use super::mutant::Mutant;
-use super::world::LATE;
-use super::world::World;
 
-/// Virtual time under accidents, and the longest time to be whole after them.
-const CHAOS: Duration = Duration::from_secs(15);
-const RECOVERY: Duration = Duration::from_secs(30);
-const RESEND: Duration = Duration::from_millis(500);
+/// Virtual time during which faults are injected.
+const FAULT_PERIOD: Duration = Duration::from_secs(15);
+/// Longest virtual time until the cluster is healthy after the faults.
+const RECOVERY_LIMIT: Duration = Duration::from_secs(30);
+/// Time between two proposals of a new command after recovery.
+const RESEND_INTERVAL: Duration = Duration::from_millis(500);
 
-/// One run: accidents, then fair weather, then every replica must be whole.
+/// Runs a cluster with random faults, then without; in the end all replicas must be healthy.
 pub(super) fn chaos(seed: u64, size: usize, mutant: Option<Mutant>) -> Verdict {
-    chaos_in(&mut World::new(seed, size, mutant))
+    chaos_in(&mut Cluster::new(seed, size, mutant))
 }
 
-fn chaos_in(world: &mut World) -> Verdict {
-    while world.now < CHAOS {
-        accident(world);
-        work(world)?;
-        world.step()?;
+fn chaos_in(cluster: &mut Cluster) -> Verdict {
+    while cluster.now < FAULT_PERIOD {
+        inject_fault(cluster);
+        random_operation(cluster)?;
+        cluster.step()?;
     }
-    world.net.heal_all();
-    world.net.weather = Weather::fair();
-    for vm in world.vms.values_mut() {
-        vm.restart_at = world.now;
-        vm.stalled_until = world.now;
+    cluster.net.heal_all();
+    cluster.net.weather = Weather::fair();
+    for vm in cluster.vms.values_mut() {
+        vm.restart_at = cluster.now;
+        vm.stalled_until = cluster.now;
     }
-    let end = world.now + RECOVERY;
-    while !world.is_whole() && world.now < end {
-        world.repair()?;
-        world.step()?;
+    let end = cluster.now + RECOVERY_LIMIT;
+    while !cluster.is_healthy() && cluster.now < end {
+        cluster.repair()?;
+        cluster.step()?;
     }
-    let before = world.checker.accepted.len();
-    let end = world.now + RECOVERY;
-    while world.checker.accepted.len() == before {
-        // As a caller does whose command was refused, or became uncertain.
-        ensure(world.now < end, || format!("{LATE}: a new command"))?;
-        if let Some(leader) = world.leader() {
-            world.propose(&leader)?;
+    let before = cluster.checker.accepted.len();
+    let end = cluster.now + RECOVERY_LIMIT;
+    while cluster.checker.accepted.len() == before {
+        // Proposes again, as a caller does whose command was refused or uncertain.
+        ensure(cluster.now < end, || format!("{TIMEOUT_PREFIX}: a new command"))?;
+        if let Some(leader) = cluster.leader() {
+            cluster.propose(&leader)?;
         }
-        world.run(RESEND)?;
+        cluster.run(RESEND_INTERVAL)?;
     }
-    world.until("every replica whole", RECOVERY, World::is_whole)?;
-    world.names().iter().try_for_each(|name| world.check_accepted(name))
+    cluster.run_until("every replica healthy", RECOVERY_LIMIT, Cluster::is_healthy)?;
+    cluster.names().iter().try_for_each(|name| cluster.check_accepted(name))
 }
 
-fn work(world: &mut World) -> Verdict {
-    let names = world.names();
-    let any = names.choose(&mut world.random).expect("one").clone();
-    let name = world.leader().filter(|_| world.random.random_bool(0.8)).unwrap_or(any.clone());
-    match world.random.random_range(0..4) {
-        0 | 1 => world.propose(&name),
-        2 => world.read(&name).and_then(|()| world.read(&any)),
-        _ => world.repair(),
+fn random_operation(cluster: &mut Cluster) -> Verdict {
+    let names = cluster.names();
+    let any = names.choose(&mut cluster.random).expect("not empty").clone();
+    let name = cluster.leader().filter(|_| cluster.random.random_bool(0.8)).unwrap_or(any.clone());
+    match cluster.random.random_range(0..4) {
+        0 | 1 => cluster.propose(&name),
+        2 => cluster.read(&name).and_then(|()| cluster.read(&any)),
+        _ => cluster.repair(),
     }
 }
 
-fn accident(world: &mut World) {
-    let names = world.names();
-    let mut pick = || names.choose(&mut world.random).expect("one").clone();
+fn inject_fault(cluster: &mut Cluster) {
+    let names = cluster.names();
+    let mut pick = || names.choose(&mut cluster.random).expect("not empty").clone();
     let (one, other) = (pick(), pick());
-    match world.random.random_range(0..400) {
-        0..6 => crash(world, &one),
-        6..8 => world.net.cut(&one, &other),
-        8 => names.iter().for_each(|it| world.net.cut(it, &one)),
-        9 => names.iter().for_each(|it| world.net.cut(&one, it)),
-        10..16 => world.net.heal_all(),
-        16..18 => world.net.weather = Weather::fair(),
-        18 => world.net.weather = storm(),
-        19..26 if world.may_lose() => lose(world, &one),
-        26..29 if world.may_lose() => {
-            let vm = world.vms.get_mut(&one).expect("known");
-            vm.rotten = vm.disk.rot();
-            crash(world, &one);
+    match cluster.random.random_range(0..400) {
+        0..6 => crash(cluster, &one),
+        6..8 => cluster.net.cut(&one, &other),
+        8 => names.iter().for_each(|it| cluster.net.cut(it, &one)),
+        9 => names.iter().for_each(|it| cluster.net.cut(&one, it)),
+        10..16 => cluster.net.heal_all(),
+        16..18 => cluster.net.weather = Weather::fair(),
+        18 => cluster.net.weather = lossy_weather(),
+        19..26 if cluster.can_lose_disk() => lose_disk(cluster, &one),
+        26..29 if cluster.can_lose_disk() => {
+            let vm = cluster.vms.get_mut(&one).expect("the VM exists");
+            vm.is_damaged = vm.disk.rot();
+            crash(cluster, &one);
         }
-        30..36 => stall(world, &one),
-        29 => names.iter().for_each(|it| crash(world, it)),
+        30..36 => stall(cluster, &one),
+        29 => names.iter().for_each(|it| crash(cluster, it)),
         _ => {}
     }
 }
 
-fn storm() -> Weather {
+fn lossy_weather() -> Weather {
     let (delay_min, delay_max) = (Duration::from_millis(1), Duration::from_millis(80));
     Weather { loss: 0.1, duplication: 0.1, delay_min, delay_max }
 }
 
-fn crash(world: &mut World, name: &NodeId) {
-    let between = world.random.random();
-    let down = Duration::from_millis(world.random.random_range(0..1500));
-    let vm = world.vms.get_mut(name).expect("known");
+fn crash(cluster: &mut Cluster, name: &NodeId) {
+    let between = cluster.random.random();
+    let down = Duration::from_millis(cluster.random.random_range(0..1500));
+    let vm = cluster.vms.get_mut(name).expect("the VM exists");
     vm.crash(between);
-    vm.restart_at = world.now + down;
+    vm.restart_at = cluster.now + down;
 }
 
-/// A process that stands still and goes on does not know what it missed.
-fn stall(world: &mut World, name: &NodeId) {
-    let time = Duration::from_millis(world.random.random_range(0..1500));
-    let vm = world.vms.get_mut(name).expect("known");
-    vm.stalled_until = world.now + time;
+/// Stalls a process, which then resumes without knowing what it missed.
+fn stall(cluster: &mut Cluster, name: &NodeId) {
+    let time = Duration::from_millis(cluster.random.random_range(0..1500));
+    let vm = cluster.vms.get_mut(name).expect("the VM exists");
+    vm.stalled_until = cluster.now + time;
 }
 
-fn lose(world: &mut World, name: &NodeId) {
-    let seed = world.random.random();
-    let mutant = world.mutant;
-    let vm = world.vms.get_mut(name).expect("known");
+fn lose_disk(cluster: &mut Cluster, name: &NodeId) {
+    let seed = cluster.random.random();
+    let mutant = cluster.mutant;
+    let vm = cluster.vms.get_mut(name).expect("the VM exists");
     vm.lose_disk(seed, mutant);
-    vm.restart_at = world.now;
+    vm.restart_at = cluster.now;
 }
 
-// Operators and callers see commands accepted, refused or uncertain, never one
-// accepted and then gone, nor a read that misses one. Replicas crash between
-// write and sync, lose and rot disks, are cut off one way, and are replaced.
-// It holds since nothing counts before it is synced, and no majority misses it.
+// Guards against accepted commands that are lost and reads that miss one. Replicas crash
+// between write and sync, lose or damage their disks, are cut off in one direction, and are
+// replaced. Nothing may count before it is synced by a majority.
 #[rstest]
 #[case::three(3, 90)]
 #[case::five(5, 70)]
@@ -133,7 +134,7 @@
     }
 }
 
-/// `HEMLOCKFIELD_SEEDS=1000..2000 cargo test chaos_long -- --ignored`
+/// Runs more seeds: `HEMLOCKFIELD_SEEDS=1000..2000 cargo test chaos_long -- --ignored`
 #[test]
 #[ignore = "long: thousands of seeds"]
 fn chaos_long() {
@@ -141,7 +142,7 @@
     let (first, end) = range.split_once("..").expect("a range such as 1000..2000");
     let (first, end): (u64, u64) = (first.parse().expect("first"), end.parse().expect("end"));
     for seed in first..end {
-        let size = [3, 5, 7][usize::try_from(seed % 3).expect("small")];
+        let size = [3, 5, 7][usize::try_from(seed % 3).expect("fits usize")];
         let verdict = chaos(seed, size, None);
         assert_eq!(verdict, Ok(()), "seed {seed}, {size} replicas");
     }
--- a/tests/suite/quorum/repair.rs
+++ b/tests/suite/quorum/repair.rs
@@ -1,4 +1,4 @@
-//! A second VM lost right after a repair.
+//! Loss of a second VM right after a repair.
 
 use std::time::Duration;
 
@@ -9,138 +9,141 @@
 
 use super::checker::Verdict;
 use super::checker::ensure;
-use super::world::World;
+use super::cluster::Cluster;
 
-const LIMIT: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// When the operator is told "repaired".
+/// Signal at which the operator takes the cluster for repaired.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Told {
-    /// As soon as the new member is added: too early.
-    AtAddLearner,
-    /// When the leader's verdict says so.
-    ByVerdict,
+enum Signal {
+    /// The new member is added, which is too early.
+    LearnerAdded,
+    /// The leader reports that it tolerates one more loss.
+    ToleratesLoss,
 }
 
-fn lose(world: &mut World, name: &NodeId) {
-    let seed = world.random.random();
-    let mutant = world.mutant;
-    let vm = world.vms.get_mut(name).expect("known");
+fn lose_vm(cluster: &mut Cluster, name: &NodeId) {
+    let seed = cluster.random.random();
+    let mutant = cluster.mutant;
+    let vm = cluster.vms.get_mut(name).expect("the VM exists");
     vm.lose_disk(seed, mutant);
-    // The VM stays away: nothing of it may be needed to go on.
+    // The VM stays down, so the cluster must go on without it.
     vm.restart_at = Duration::MAX;
 }
 
-fn is_told(world: &World, told: Told, lost: &NodeId) -> bool {
-    let Some(memory) = world.leader().and_then(|name| world.memory(&name)) else { return false };
-    let members = memory.replica.status(world.now).members;
-    let disk = world.vms[lost].memory.as_ref().map(|it| it.replica.disk());
+fn is_signalled(cluster: &Cluster, signal: Signal, lost: &NodeId) -> bool {
+    let Some(memory) = cluster.leader().and_then(|name| cluster.memory(&name)) else {
+        return false;
+    };
+    let members = memory.replica.status(cluster.now).members;
+    let disk = cluster.vms[lost].memory.as_ref().map(|it| it.replica.disk());
     let added = members.iter().any(|it| it.node == *lost && Some(it.disk) == disk);
-    match told {
-        Told::AtAddLearner => added,
-        Told::ByVerdict => added && memory.replica.tolerates_one_more_loss(),
+    match signal {
+        Signal::LearnerAdded => added,
+        Signal::ToleratesLoss => added && memory.replica.tolerates_one_more_loss(),
     }
 }
 
-/// Loses a disk, repairs, and loses `victim` at the moment of the verdict.
-fn lose_twice(seed: u64, size: usize, victim: usize, told: Told) -> Verdict {
-    let mut world = World::new(seed, size, None);
-    world.until("a whole group", LIMIT, World::tolerates_one_more_loss)?;
+/// Loses a disk, repairs the cluster, and loses `victim` at the moment of the signal.
+fn lose_twice(seed: u64, size: usize, victim: usize, signal: Signal) -> Verdict {
+    let mut cluster = Cluster::new(seed, size, None);
+    cluster.run_until("a healthy cluster", TIMEOUT, Cluster::tolerates_one_more_loss)?;
     for _ in 0..40 {
-        let leader = world.leader().ok_or("no leader")?;
-        world.propose(&leader)?;
-        world.step()?;
+        let leader = cluster.leader().ok_or("no leader")?;
+        cluster.propose(&leader)?;
+        cluster.step()?;
     }
-    let names = world.names();
-    let lost = names[usize::try_from(seed).expect("small") % size].clone();
-    lose(&mut world, &lost);
-    world.vms.get_mut(&lost).expect("known").restart_at = world.now;
-    let end = world.now + LIMIT;
-    while !is_told(&world, told, &lost) {
-        ensure(world.now < end, || "no verdict".to_owned())?;
-        if let Some(leader) = world.leader() {
-            world.propose(&leader)?;
+    let names = cluster.names();
+    let lost = names[usize::try_from(seed).expect("fits usize") % size].clone();
+    lose_vm(&mut cluster, &lost);
+    cluster.vms.get_mut(&lost).expect("the VM exists").restart_at = cluster.now;
+    let end = cluster.now + TIMEOUT;
+    while !is_signalled(&cluster, signal, &lost) {
+        ensure(cluster.now < end, || "no signal".to_owned())?;
+        if let Some(leader) = cluster.leader() {
+            cluster.propose(&leader)?;
         }
-        world.repair()?;
-        world.step()?;
+        cluster.repair()?;
+        cluster.step()?;
     }
     let second = names[victim % size].clone();
-    lose(&mut world, &second);
-    let before = world.checker.accepted.len();
-    let end = world.now + LIMIT;
-    while world.checker.accepted.len() < before + 5 {
-        ensure(world.now < end, || "nothing is accepted any more".to_owned())?;
-        if let Some(leader) = world.leader() {
-            world.propose(&leader)?;
+    lose_vm(&mut cluster, &second);
+    let before = cluster.checker.accepted.len();
+    let end = cluster.now + TIMEOUT;
+    while cluster.checker.accepted.len() < before + 5 {
+        ensure(cluster.now < end, || "nothing is accepted any more".to_owned())?;
+        if let Some(leader) = cluster.leader() {
+            cluster.propose(&leader)?;
         }
-        world.step()?;
+        cluster.step()?;
     }
-    let leader = world.leader().ok_or("no leader")?;
-    world.check_accepted(&leader)
+    let leader = cluster.leader().ok_or("no leader")?;
+    cluster.check_accepted(&leader)
 }
 
-// The operator replaces a VM that lost its disk, reads "repaired", and in that
-// moment loses another one for good, be it the leader, an old member or the new.
-// Every accepted command is there and new ones are accepted, since the verdict
-// waits until a majority that holds all is left after any further loss.
+// A VM that lost its disk is replaced. When the leader reports that it tolerates one more
+// loss, any other VM is lost for good: the leader, an old member or the new one. Every
+// accepted command must survive, and new ones must be accepted.
 #[rstest]
 #[case::three(3)]
 #[case::five(5)]
-fn repaired_second_loss(#[case] size: usize) {
+fn tolerates_one_more_loss_after_repair(#[case] size: usize) {
     for seed in 0..30 {
         for victim in 0..size {
-            let verdict = lose_twice(seed, size, victim, Told::ByVerdict);
+            let verdict = lose_twice(seed, size, victim, Signal::ToleratesLoss);
             assert_eq!(verdict, Ok(()), "seed {seed}, victim {victim}");
         }
     }
 }
 
-// The same with the verdict given when the new member is only added: one old
-// voter is left of two, and can't decide anything. So the proof above does find
-// a verdict that comes too early.
+// Shows that `lose_twice` detects a premature signal: if the second VM is lost when the new
+// member is only added as a learner, one of two voters is left and nothing can be committed.
 #[test]
-fn repaired_at_add_learner() {
+fn lose_twice_learner_added() {
     for seed in 0..30 {
-        let others = (0..3).filter(|victim| *victim != usize::try_from(seed % 3).expect("small"));
+        let others =
+            (0..3).filter(|victim| *victim != usize::try_from(seed % 3).expect("fits usize"));
         for victim in others {
-            let verdict = lose_twice(seed, 3, victim, Told::AtAddLearner);
+            let verdict = lose_twice(seed, 3, victim, Signal::LearnerAdded);
             let stopped = Err("nothing is accepted any more".to_owned());
             assert_eq!(verdict, stopped, "seed {seed}, victim {victim}");
         }
     }
 }
 
-// Callers read all the time, in every step. The operator's verdict still comes:
-// what a member must have reached moves on with the clock, not with the rounds
-// that reads start.
+// Callers read in every step, and each read starts a heartbeat round. The cluster must still
+// report that it tolerates a loss: the index that members must have synced advances with the
+// heartbeat interval, not with these rounds.
 #[test]
-fn repaired_under_reads() {
-    let mut world = World::new(3, 3, None);
-    let end = world.now + LIMIT;
-    while !world.tolerates_one_more_loss() {
-        assert!(world.now < end, "no verdict");
-        if let Some(leader) = world.leader() {
-            world.read(&leader).expect("safe");
-            world.propose(&leader).expect("safe");
+fn tolerates_one_more_loss_under_reads() {
+    let mut cluster = Cluster::new(3, 3, None);
+    let end = cluster.now + TIMEOUT;
+    while !cluster.tolerates_one_more_loss() {
+        assert!(cluster.now < end, "no signal");
+        if let Some(leader) = cluster.leader() {
+            cluster.read(&leader).expect("no violation");
+            cluster.propose(&leader).expect("no violation");
         }
-        world.step().expect("safe");
+        cluster.step().expect("no violation");
     }
 }
 
-// A VM with an empty disk and an old name is started without being added. The
-// operator sees it as blank; it never stands or votes, however long it waits.
+// A VM with an empty disk and the name of a member starts without being added. Its role is
+// blank, and it never votes or asks for votes.
 #[test]
-fn blank_waits() {
-    let mut world = World::new(2, 3, None);
-    world.until("a whole group", LIMIT, World::tolerates_one_more_loss).expect("safe");
-    let lost = world.names()[0].clone();
-    lose(&mut world, &lost);
-    world.vms.get_mut(&lost).expect("known").restart_at = world.now;
-    world.run(Duration::from_secs(10)).expect("safe");
-    let status = world.memory(&lost).expect("up").replica.status(world.now);
+fn blank_stays_idle() {
+    let mut cluster = Cluster::new(2, 3, None);
+    cluster
+        .run_until("a healthy cluster", TIMEOUT, Cluster::tolerates_one_more_loss)
+        .expect("no violation");
+    let lost = cluster.names()[0].clone();
+    lose_vm(&mut cluster, &lost);
+    cluster.vms.get_mut(&lost).expect("the VM exists").restart_at = cluster.now;
+    cluster.run(Duration::from_secs(10)).expect("no violation");
+    let status = cluster.memory(&lost).expect("the VM is up").replica.status(cluster.now);
     assert_eq!((status.role, status.term, status.last), (Role::Blank, 0, 0));
-    let seen = world.leader().and_then(|name| world.memory(&name)).expect("a leader");
-    let members = seen.replica.status(world.now).members;
+    let seen = cluster.leader().and_then(|name| cluster.memory(&name)).expect("a leader");
+    let members = seen.replica.status(cluster.now).members;
     let silent: Vec<_> = members.iter().filter(|it| it.silent).map(|it| &it.node).collect();
     assert_eq!(silent, [&lost]);
 }
--- a/tests/suite/quorum/single.rs
+++ b/tests/suite/quorum/single.rs
@@ -1,4 +1,4 @@
-//! A group of one.
+//! Cluster of one VM.
 
 use std::time::Duration;
 
@@ -9,23 +9,27 @@
 use hemlockfield::quorum::Replica;
 use hemlockfield::quorum::Setup;
 
-use super::world::World;
+use super::cluster::Cluster;
 
-const LIMIT: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-// A group of one, as on a developer's machine: it leads, though not before its
-// own vote is synced, and accepts.
+// A cluster of one VM, as on a developer's machine, elects itself after its vote is synced
+// and accepts commands.
 #[test]
 fn single_leads() {
-    let mut world = World::new(1, 1, None);
-    world.until("a leader", LIMIT, |world| world.leader().is_some()).expect("in time");
-    let leader = world.leader().expect("a leader");
-    world.propose(&leader).expect("safe");
-    world.until("a command", LIMIT, |it| !it.checker.accepted.is_empty()).expect("in time");
-    assert!(!world.tolerates_one_more_loss(), "one disk tolerates no loss");
+    let mut cluster = Cluster::new(1, 1, None);
+    cluster
+        .run_until("a leader", TIMEOUT, |cluster| cluster.leader().is_some())
+        .expect("within the limit");
+    let leader = cluster.leader().expect("a leader");
+    cluster.propose(&leader).expect("no violation");
+    cluster
+        .run_until("a command", TIMEOUT, |it| !it.checker.accepted.is_empty())
+        .expect("within the limit");
+    assert!(!cluster.tolerates_one_more_loss(), "one disk tolerates no loss");
 }
 
-// The same on a disk that takes long to sync: it waits.
+// A single replica whose disk never reports a sync must not become leader.
 #[test]
 fn single_waits_for_sync() {
     let mut setup = Setup::new("control-1".into());
@@ -38,19 +42,21 @@
     assert_eq!(leads.next(), None);
 }
 
-// Whole configurations, large ones, and a snapshot now and then: the memory that
-// is kept for followers which are a little late is bounded in bytes as well.
+// Commands may be large, as whole configurations are. The entries kept behind a snapshot for
+// slow followers must be bounded in bytes, not only in number.
 #[test]
 fn snapshot_keeps_few_bytes() {
-    let mut world = World::new(1, 1, None);
-    world.until("a leader", LIMIT, |world| world.leader().is_some()).expect("in time");
-    let leader = world.leader().expect("a leader");
+    let mut cluster = Cluster::new(1, 1, None);
+    cluster
+        .run_until("a leader", TIMEOUT, |cluster| cluster.leader().is_some())
+        .expect("within the limit");
+    let leader = cluster.leader().expect("a leader");
     for ticket in 0..4 {
         let command = vec![0; 300];
-        world.input(&leader, Input::Propose { ticket, command }).expect("safe");
+        cluster.input(&leader, Input::Propose { ticket, command }).expect("no violation");
     }
-    world.run(Duration::from_secs(1)).expect("safe");
-    let index = world.status(&leader).commit;
-    world.input(&leader, Input::Snapshot { index, bytes: Vec::new() }).expect("safe");
-    assert_eq!(world.status(&leader).entries, 324, "one of four");
+    cluster.run(Duration::from_secs(1)).expect("no violation");
+    let index = cluster.status(&leader).commit;
+    cluster.input(&leader, Input::Snapshot { index, bytes: Vec::new() }).expect("no violation");
+    assert_eq!(cluster.status(&leader).entries, 324, "one of four entries is kept");
 }
--- a/tests/suite/quorum/view.rs
+++ b/tests/suite/quorum/view.rs
@@ -1,4 +1,4 @@
-//! What can be seen of the world from outside, and the operator who looks at it.
+//! Observations of the cluster, and repairs as an operator makes them.
 
 use hemlockfield::id::Index;
 use hemlockfield::id::NodeId;
@@ -9,15 +9,15 @@
 
 use super::checker::Verdict;
 use super::checker::ensure;
+use super::cluster::Cluster;
 use super::vm::Memory;
-use super::world::World;
 
-impl World {
+impl Cluster {
     pub(super) fn names(&self) -> Vec<NodeId> {
         self.vms.keys().cloned().collect()
     }
 
-    /// Leader of the highest term, as the replicas see themselves.
+    /// The replica with the highest term of those that consider themselves leader.
     pub(super) fn leader(&self) -> Option<NodeId> {
         let up = self.vms.values().filter_map(|vm| Some((vm, vm.memory.as_ref()?)));
         let status = up.map(|(vm, memory)| (memory.replica.status(self.now), &vm.name));
@@ -29,26 +29,27 @@
         self.vms[name].memory.as_ref()
     }
 
-    /// Whether the leader gives the verdict "repaired".
+    /// Whether the leader reports that it tolerates one more loss.
     pub(super) fn tolerates_one_more_loss(&self) -> bool {
         let leader = self.leader().and_then(|name| self.memory(&name));
         leader.is_some_and(|memory| memory.replica.tolerates_one_more_loss())
     }
 
-    /// Whether the verdict is "repaired", and is about the disks that are there:
-    /// for an election timeout after a loss, the leader can't know of it.
-    pub(super) fn may_lose(&self) -> bool {
+    /// Whether the leader tolerates one more loss and its membership matches the current
+    /// disks. For an election timeout after a loss, the leader doesn't know of it.
+    pub(super) fn can_lose_disk(&self) -> bool {
         let Some(memory) = self.leader().and_then(|name| self.memory(&name)) else { return false };
         let members = memory.replica.status(self.now).members;
-        let seated = self.vms.values().all(|vm| {
-            let seat = members.iter().find(|member| member.node == vm.name);
-            !vm.rotten && seat.is_some_and(|member| member.voter && member.disk == vm.seat.1)
+        let are_voters = self.vms.values().all(|vm| {
+            let member = members.iter().find(|member| member.node == vm.name);
+            !vm.is_damaged
+                && member.is_some_and(|member| member.voter && member.disk == vm.member_id.1)
         });
-        seated && memory.replica.tolerates_one_more_loss()
+        are_voters && memory.replica.tolerates_one_more_loss()
     }
 
-    /// Whether every VM is up, a voter, and has applied all that was accepted.
-    pub(super) fn is_whole(&self) -> bool {
+    /// Whether every VM is up, is a voter and has applied everything accepted.
+    pub(super) fn is_healthy(&self) -> bool {
         let last = self.checker.last_accepted();
         let all = self.vms.values().all(|vm| {
             vm.memory.as_ref().is_some_and(|memory| {
@@ -59,7 +60,7 @@
         all && self.tolerates_one_more_loss()
     }
 
-    /// What `leader` accepted at `index` is synced by a majority of its voters.
+    /// Checks that a majority of the voters has synced what `leader` accepted at `index`.
     pub(super) fn check_synced(&self, leader: &NodeId, index: Index) -> Verdict {
         let voters: Vec<_> = self.status(leader).members;
         let voters: Vec<_> = voters.iter().filter(|member| member.voter).collect();
@@ -73,7 +74,7 @@
         })
     }
 
-    /// Every accepted command is in the state of `name`, once and in order.
+    /// Checks that `name` has applied every accepted command in order.
     pub(super) fn check_accepted(&self, name: &NodeId) -> Verdict {
         let Some(memory) = self.memory(name) else { return Ok(()) };
         let mut own = memory.commands.iter();
@@ -81,7 +82,7 @@
         ensure(missing.is_none(), || format!("{name} lacks {missing:?}, which was accepted"))
     }
 
-    /// What an operator does next for members whose disk is gone.
+    /// Makes the next membership change for VMs whose disk was replaced.
     pub(super) fn repair(&mut self) -> Verdict {
         let Some(leader) = self.leader() else { return Ok(()) };
         let Some(memory) = self.memory(&leader) else { return Ok(()) };
@@ -102,6 +103,6 @@
     }
 
     pub(super) fn status(&self, name: &NodeId) -> Status {
-        self.memory(name).expect("up").replica.status(self.now)
+        self.memory(name).expect("the VM is up").replica.status(self.now)
     }
 }
--- a/tests/suite/quorum/vm.rs
+++ b/tests/suite/quorum/vm.rs
@@ -1,4 +1,4 @@
-//! One VM of the model: a disk, and a replica while it is up.
+//! Simulated VM: a disk, and a replica while the process runs.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -21,21 +21,27 @@
 
 use super::mutant::Mutant;
 
-/// Small bounds, so that a run meets every one of them.
-const LIMITS: Limits =
-    Limits { batch: 50, chunk: 64, kept: 4, kept_bytes: 400, pending: 4096, window: 8 };
+/// Small limits, so that a run reaches every one of them.
+const LIMITS: Limits = Limits {
+    batch_bytes: 50,
+    chunk_bytes: 64,
+    kept_entries: 4,
+    kept_bytes: 400,
+    pending_bytes: 4096,
+    window_entries: 8,
+};
 
-/// Short, so that a run sees many elections.
+/// Short intervals, so that a run sees many elections.
 const TIMING: Timing =
     Timing { election: Duration::from_millis(300), heartbeat: Duration::from_millis(75) };
 
-/// What a process holds in memory.
+/// State of a process that is lost when it stops.
 #[derive(Debug)]
 pub(super) struct Memory {
     pub(super) applied: Index,
-    /// Commands applied, the whole state of the application.
+    /// Applied commands, which are the whole state of the application.
     pub(super) commands: Vec<Vec<u8>>,
-    /// The replica's log as its persists say, written or not.
+    /// Log according to all records that the replica persisted, synced or not.
     pub(super) log: Recovered,
     pub(super) replica: Replica,
     pub(super) store: storage::Log,
@@ -47,18 +53,18 @@
 pub(super) struct Vm {
     pub(super) disk: fake::Disk,
     pub(super) founders: Option<Membership>,
-    /// Identity that a wrong repair carries over to an empty disk.
+    /// Identity that a faulty repair carries over to an empty disk.
     pub(super) forged: Option<Identity>,
     pub(super) memory: Option<Memory>,
     pub(super) name: NodeId,
     pub(super) restart_at: Moment,
-    /// Until then the process stands still, and what is sent to it is lost.
+    /// Until then the process is stalled, and inputs to it are lost.
     pub(super) stalled_until: Moment,
-    /// The replica's log as far as it is synced, also of disks that are lost.
+    /// Synced log of each disk that the VM has had, lost ones included.
     pub(super) synced: BTreeMap<DiskId, Recovered>,
-    /// Its disk was damaged, and it has not started since.
-    pub(super) rotten: bool,
-    pub(super) seat: (NodeId, DiskId),
+    /// Whether its disk was damaged since the last start.
+    pub(super) is_damaged: bool,
+    pub(super) member_id: (NodeId, DiskId),
 }
 
 impl Vm {
@@ -68,16 +74,16 @@
             founders,
             forged: None,
             memory: None,
-            seat: (name.clone(), FOUNDER_DISK),
+            member_id: (name.clone(), FOUNDER_DISK),
             name,
             restart_at: Moment::ZERO,
-            rotten: false,
+            is_damaged: false,
             stalled_until: Moment::ZERO,
             synced: BTreeMap::new(),
         }
     }
 
-    /// Starts the process; an error of the disk stays with the caller.
+    /// Starts the process; fails if the log on disk can't be opened.
     pub(super) fn start(
         &mut self,
         seed: u64,
@@ -96,9 +102,9 @@
         setup.founders = self.founders.clone();
         setup.fault = mutant.and_then(Mutant::fault);
         let replica = Replica::new(setup, recovered.clone(), seed);
-        self.seat.1 = replica.disk();
-        self.rotten = false;
-        self.synced.insert(self.seat.1, recovered.clone());
+        self.member_id.1 = replica.disk();
+        self.is_damaged = false;
+        self.synced.insert(self.member_id.1, recovered.clone());
         self.memory = Some(Memory {
             applied: 0,
             commands: Vec::new(),
@@ -111,7 +117,7 @@
         Ok(())
     }
 
-    /// Loses power, perhaps between write and sync.
+    /// Loses power; with `between`, after a write that was not synced.
     pub(super) fn crash(&mut self, between: bool) {
         if let Some(mut memory) = self.memory.take()
             && between
@@ -123,13 +129,14 @@
         self.disk.crash();
     }
 
-    /// Comes back with an empty disk, under a new identity.
+    /// Replaces the disk by an empty one, which gets a new identity unless the mutant
+    /// forges the old one.
     pub(super) fn lose_disk(&mut self, seed: u64, mutant: Option<Mutant>) {
         self.memory = None;
         self.disk = fake::Disk::new(seed);
         if mutant == Some(Mutant::AmnesiacVoter) {
             let founders = self.founders.clone().unwrap_or_default();
-            self.forged = Some(Identity { disk: self.seat.1, founders });
+            self.forged = Some(Identity { disk: self.member_id.1, founders });
         }
         self.founders = None;
     }
