--- a/src/claim.rs
+++ b/src/claim.rs
@@ -1,12 +1,12 @@
-//! At-most-once ledger for keyed non-idempotent requests.
+//! At-most-once execution of non-idempotent requests with an idempotency key.
 //!
-//! [`Ledger`] is replicated state: commands of the quorum log are applied to it.
-//! [`Agent`] runs in every entry and claims keys before dispatch. [`Desk`] runs
-//! beside the leader of control and groups what the agents ask.
+//! [`Ledger`] is replicated state, to which the commands of the quorum log are
+//! applied. [`Agent`] runs in every entry and claims keys before dispatch.
+//! [`Desk`] runs on the control leader and batches the agents' actions.
 //!
-//! Load pattern: a caller whose answer was lost resends with its key, at once or
-//! after hours, through whichever entry it likes. Without the ledger two entries
-//! would each run the request once. See `docs/design/claim.md`.
+//! Load pattern: a caller whose answer was lost resends with the same key, at once
+//! or after hours, through any entry. Without the ledger two entries could each run
+//! the request. See `docs/design/claim.md`.
 
 mod agent;
 mod answer;
--- a/src/claim/agent.rs
+++ b/src/claim/agent.rs
@@ -1,6 +1,6 @@
-//! State machine of an entry: claims keys before dispatch.
+//! State machine of an entry that claims keys before dispatch.
 
-mod courier;
+mod delivery;
 mod pending;
 
 use std::collections::BTreeMap;
@@ -24,36 +24,36 @@
 use pending::Pending;
 use pending::Stage;
 
-/// Shortest time between two messages of fresh actions: under load it groups
-/// them, alone a request does not wait.
-const GROUP_GAP: Duration = Duration::from_millis(2);
-/// Longest wait for a grant; an election takes less.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// Longest wait while control is known to be silent: two replicas are tried, and
-/// callers are not kept for an answer that earlier ones waited for in vain.
-const PROBE: Duration = Duration::from_millis(500);
-/// Requests that may wait for a grant at a time: 2 s of 1,000 a second, an
-/// entry's share of the peak many times over.
-const ASKING_LIMIT: usize = 2048;
-/// Time for which an abandon is sent again; after it the key turns unknown.
-const ABANDON_AGE: Duration = Duration::from_secs(600);
-/// When a refused caller may come back: after an election.
+/// Shortest time between two messages of new actions. It batches actions under load; a
+/// single request doesn't wait.
+const BATCH_INTERVAL: Duration = Duration::from_millis(2);
+/// Longest wait for a grant; longer than an election.
+const GRANT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Longest wait for a grant while control is known to be silent. Enough to try two
+/// replicas; callers shouldn't wait long where earlier requests got no answer.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Most requests that may wait for a grant at a time: 2 s of 1,000 requests a second,
+/// which is many times an entry's share of the peak.
+const MAX_WAITING_REQUESTS: usize = 2048;
+/// Time for which an abandon is retried; after it the key's outcome becomes unknown.
+const ABANDON_RETRY_PERIOD: Duration = Duration::from_secs(600);
+/// Time after which a refused caller may retry; longer than an election.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
-/// Sequence of the claim id that stands for the start of the process.
-const START: u64 = 0;
+/// Sequence of the claim id that reports the start of the process.
+const START_SEQUENCE: u64 = 0;
 
-/// Claims keys before dispatch, and tells the ledger what became of them.
+/// Claims keys before dispatch and reports the outcomes to the ledger.
 ///
-/// A request is dispatched only after [`Output::Granted`]. One that can't be
-/// confirmed in time is refused as not run, and since this process then never
-/// dispatches it, it may say so: the abandon is sent until confirmed, and frees
-/// the key even if the grant was committed meanwhile.
+/// A request is dispatched only after [`Output::Granted`]. A request whose claim is not
+/// confirmed in time is refused as not run. Since this process then never dispatches it,
+/// it may abandon the claim: the abandon is retried until confirmed, and frees the key
+/// even if the grant was committed in the meantime.
 #[derive(Clone, Debug)]
 pub struct Agent {
-    asking: usize,
+    waiting_requests: usize,
     controls: Vec<NodeId>,
     due: BTreeSet<(Moment, u64)>,
-    ends: BTreeSet<(Moment, u64)>,
+    timeouts: BTreeSet<(Moment, u64)>,
     entry: NodeId,
     flushed_at: Moment,
     heard_at: Moment,
@@ -62,20 +62,20 @@
     pending: BTreeMap<u64, Pending>,
     redirected_at: Moment,
     sequence: u64,
-    silent: bool,
+    is_control_silent: bool,
     tickets: BTreeMap<Ticket, u64>,
-    turned_at: Moment,
+    switched_at: Moment,
 }
 
 impl Agent {
-    /// Agent of a process that starts now; `incarnation` must differ from that of
-    /// every earlier process of this name, and should be higher.
+    /// Creates the agent of a process that starts now. `incarnation` must differ from
+    /// that of every earlier process of this name, and should be higher.
     pub fn new(now: Moment, entry: NodeId, incarnation: Incarnation) -> Self {
         let mut agent = Self {
-            asking: 0,
+            waiting_requests: 0,
             controls: Vec::new(),
             due: BTreeSet::new(),
-            ends: BTreeSet::new(),
+            timeouts: BTreeSet::new(),
             entry,
             flushed_at: Moment::ZERO,
             heard_at: now,
@@ -83,17 +83,17 @@
             leader: 0,
             pending: BTreeMap::new(),
             redirected_at: Moment::ZERO,
-            sequence: START,
-            silent: false,
+            sequence: START_SEQUENCE,
+            is_control_silent: false,
             tickets: BTreeMap::new(),
-            turned_at: Moment::ZERO,
+            switched_at: Moment::ZERO,
         };
-        agent.pending.insert(START, Pending::start(now));
-        agent.due.insert((now, START));
+        agent.pending.insert(START_SEQUENCE, Pending::start(now));
+        agent.due.insert((now, START_SEQUENCE));
         agent
     }
 
-    /// Takes an event and tells what to do.
+    /// Handles an input and returns the resulting outputs.
     pub fn handle(&mut self, now: Moment, input: Input) -> Vec<Output> {
         let mut outputs = Vec::new();
         match input {
@@ -106,7 +106,7 @@
             Input::Receive { from, message } => self.receive(now, &from, message, &mut outputs),
             Input::Tick => {}
         }
-        self.give_up(now, &mut outputs);
+        self.expire(now, &mut outputs);
         self.flush(now, &mut outputs);
         outputs
     }
@@ -114,10 +114,10 @@
     /// When the next [`Input::Tick`] is due.
     pub fn next_at(&self) -> Option<Moment> {
         let due = self.due.first().filter(|_| !self.controls.is_empty());
-        due.into_iter().chain(self.ends.first()).map(|(at, _)| *at).min()
+        due.into_iter().chain(self.timeouts.first()).map(|(at, _)| *at).min()
     }
 
-    /// Requests and reports that wait for control.
+    /// Number of claims whose last action control has not confirmed.
     pub fn pending(&self) -> usize {
         self.pending.len()
     }
@@ -136,42 +136,46 @@
         deadline: Moment,
         outputs: &mut Vec<Output>,
     ) {
-        if self.asking >= ASKING_LIMIT || deadline <= now || self.tickets.contains_key(&ticket) {
+        if self.waiting_requests >= MAX_WAITING_REQUESTS
+            || deadline <= now
+            || self.tickets.contains_key(&ticket)
+        {
             outputs.push(Output::Refused { retry_after: RETRY_AFTER, ticket });
             return;
         }
         self.sequence += 1;
-        self.asking += 1;
+        self.waiting_requests += 1;
         self.tickets.insert(ticket, self.sequence);
-        let patience = if self.silent { PROBE } else { PATIENCE };
-        let until = deadline.min(now + patience);
+        let timeout = if self.is_control_silent { PROBE_TIMEOUT } else { GRANT_TIMEOUT };
+        let timeout_at = deadline.min(now + timeout);
         let slot = request.slot.clone();
-        let stage = Stage::Asking(request);
-        let pending = Pending { due: now, ends: Some(until), slot, stage, ticket, tries: 0 };
+        let stage = Stage::Claiming(request);
+        let pending =
+            Pending { due: now, timeout_at: Some(timeout_at), slot, stage, ticket, attempts: 0 };
         self.pending.insert(self.sequence, pending);
-        self.ends.insert((until, self.sequence));
-        self.schedule(self.sequence, now.max(self.flushed_at + GROUP_GAP));
+        self.timeouts.insert((timeout_at, self.sequence));
+        self.schedule(self.sequence, now.max(self.flushed_at + BATCH_INTERVAL));
     }
 
     fn abandon(&mut self, now: Moment, ticket: Ticket) {
-        if let Some(sequence) = self.held(ticket) {
-            self.turn(sequence, Stage::Abandoning, Some(now + ABANDON_AGE));
+        if let Some(sequence) = self.take_granted(ticket) {
+            self.set_stage(sequence, Stage::Abandoning, Some(now + ABANDON_RETRY_PERIOD));
             self.schedule(sequence, now);
         }
     }
 
     fn finish(&mut self, now: Moment, ticket: Ticket, outcome: Outcome) {
-        if let Some(sequence) = self.held(ticket) {
-            self.turn(sequence, Stage::Finishing(outcome), None);
-            self.schedule(sequence, now.max(self.flushed_at + GROUP_GAP));
+        if let Some(sequence) = self.take_granted(ticket) {
+            self.set_stage(sequence, Stage::Finishing(outcome), None);
+            self.schedule(sequence, now.max(self.flushed_at + BATCH_INTERVAL));
         }
     }
 
-    /// Ends the ticket of a granted request.
-    fn held(&mut self, ticket: Ticket) -> Option<u64> {
+    /// Removes the ticket of a granted request and returns its sequence.
+    fn take_granted(&mut self, ticket: Ticket) -> Option<u64> {
         let sequence = *self.tickets.get(&ticket)?;
         let pending = self.pending.get(&sequence)?;
-        if pending.stage != Stage::Held {
+        if pending.stage != Stage::Granted {
             return None;
         }
         self.tickets.remove(&ticket);
@@ -181,17 +185,17 @@
     fn receive(&mut self, now: Moment, from: &NodeId, message: Message, outputs: &mut Vec<Output>) {
         match message {
             Message::Receipts(receipts) => {
-                self.silent = false;
+                self.is_control_silent = false;
                 self.heard_at = now;
                 self.leader = self.position(from).unwrap_or(self.leader);
-                receipts.into_iter().for_each(|receipt| self.settle(now, receipt, outputs));
+                receipts.into_iter().for_each(|receipt| self.handle_receipt(now, receipt, outputs));
             }
             Message::Redirect(leader) => self.redirect(now, from, leader),
             Message::Submit(_) => {}
         }
     }
 
-    fn settle(&mut self, now: Moment, receipt: Receipt, outputs: &mut Vec<Output>) {
+    fn handle_receipt(&mut self, now: Moment, receipt: Receipt, outputs: &mut Vec<Output>) {
         let ClaimId { entry, incarnation, sequence } = receipt.claim;
         if entry != self.entry || incarnation != self.incarnation {
             return;
@@ -199,13 +203,13 @@
         let Some(pending) = self.pending.get(&sequence) else { return };
         let ticket = pending.ticket;
         match (&pending.stage, receipt.reply) {
-            (Stage::Asking(_), Reply::Granted) => {
-                self.turn(sequence, Stage::Held, None);
+            (Stage::Claiming(_), Reply::Granted) => {
+                self.set_stage(sequence, Stage::Granted, None);
                 outputs.push(Output::Granted(ticket));
             }
-            (Stage::Asking(_), reply) => {
-                if let Some(output) = Output::of_reply(ticket, reply) {
-                    self.leave(now, sequence, pending.tries > 1);
+            (Stage::Claiming(_), reply) => {
+                if let Some(output) = Output::from_reply(ticket, reply) {
+                    self.withdraw(now, sequence, pending.attempts > 1);
                     outputs.push(output);
                 }
             }
@@ -216,35 +220,35 @@
         }
     }
 
-    fn give_up(&mut self, now: Moment, outputs: &mut Vec<Output>) {
-        while let Some((at, sequence)) = self.ends.first().copied() {
+    fn expire(&mut self, now: Moment, outputs: &mut Vec<Output>) {
+        while let Some((at, sequence)) = self.timeouts.first().copied() {
             if at > now {
                 return;
             }
             let Some(pending) = self.pending.get(&sequence) else { return };
-            let (ticket, sent) = (pending.ticket, pending.tries > 0);
-            if !matches!(pending.stage, Stage::Asking(_)) {
+            let (ticket, sent) = (pending.ticket, pending.attempts > 0);
+            if !matches!(pending.stage, Stage::Claiming(_)) {
                 self.close(sequence);
                 continue;
             }
-            self.silent |= now >= self.heard_at + PATIENCE;
+            self.is_control_silent |= now >= self.heard_at + GRANT_TIMEOUT;
             outputs.push(Output::Refused { retry_after: RETRY_AFTER, ticket });
-            self.leave(now, sequence, sent);
+            self.withdraw(now, sequence, sent);
         }
     }
 
-    /// Ends a claim that will not be dispatched. If a copy of it may be under way,
-    /// control is told: granted late, when the key is free or the ledger has room
-    /// again, the copy would hold the key until its limit, and then as unknown.
-    fn leave(&mut self, now: Moment, sequence: u64, copy_under_way: bool) {
-        if !copy_under_way {
+    /// Ends a claim that will not be dispatched. If a copy of it may be in flight, it is
+    /// abandoned: a copy granted late, when the key is free or the ledger has space again,
+    /// would hold the key as in progress until its limit and as unknown afterwards.
+    fn withdraw(&mut self, now: Moment, sequence: u64, is_copy_in_flight: bool) {
+        if !is_copy_in_flight {
             self.close(sequence);
             return;
         }
         if let Some(pending) = self.pending.get(&sequence) {
             self.tickets.remove(&pending.ticket);
         }
-        self.turn(sequence, Stage::Abandoning, Some(now + ABANDON_AGE));
+        self.set_stage(sequence, Stage::Abandoning, Some(now + ABANDON_RETRY_PERIOD));
         self.schedule(sequence, now);
     }
 
@@ -259,25 +263,25 @@
         self.due.insert((at, sequence));
     }
 
-    fn turn(&mut self, sequence: u64, stage: Stage, ends: Option<Moment>) {
+    fn set_stage(&mut self, sequence: u64, stage: Stage, timeout_at: Option<Moment>) {
         let Some(pending) = self.pending.get_mut(&sequence) else { return };
         self.due.remove(&(pending.due, sequence));
-        if let Some(at) = pending.ends.take() {
-            self.ends.remove(&(at, sequence));
+        if let Some(at) = pending.timeout_at.take() {
+            self.timeouts.remove(&(at, sequence));
         }
-        if matches!(pending.stage, Stage::Asking(_)) {
-            self.asking -= 1;
+        if matches!(pending.stage, Stage::Claiming(_)) {
+            self.waiting_requests -= 1;
         }
         pending.stage = stage;
-        pending.ends = ends;
-        pending.tries = 0;
-        if let Some(at) = ends {
-            self.ends.insert((at, sequence));
+        pending.timeout_at = timeout_at;
+        pending.attempts = 0;
+        if let Some(at) = timeout_at {
+            self.timeouts.insert((at, sequence));
         }
     }
 
     fn close(&mut self, sequence: u64) {
-        self.turn(sequence, Stage::Held, None);
+        self.set_stage(sequence, Stage::Granted, None);
         if let Some(pending) = self.pending.remove(&sequence) {
             self.tickets.remove(&pending.ticket);
         }
--- a/src/claim/agent/pending.rs
+++ b/src/claim/agent/pending.rs
@@ -1,4 +1,4 @@
-//! One claim of this process that control has not heard the last of.
+//! Claim of this process whose last action control has not confirmed.
 
 use std::time::Duration;
 
@@ -10,69 +10,76 @@
 use crate::claim::Ticket;
 use crate::clock::Moment;
 
-/// Doublings of the pace of a report: 300 ms become 9.6 s.
-const BACKOFF_LIMIT: u32 = 5;
+/// Most doublings of the retry interval of a report: from 300 ms to 9.6 s.
+const MAX_DOUBLINGS: u32 = 5;
 
-/// How far a claim of this process has come.
+/// Stage of a claim.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) enum Stage {
-    /// Given up before dispatch; to be told.
+    /// Withdrawn before dispatch; to be reported.
     Abandoning,
-    /// Not granted yet.
-    Asking(Request),
-    /// Ended; to be told.
+    /// Not answered yet.
+    Claiming(Request),
+    /// Finished; the outcome is to be reported.
     Finishing(Outcome),
-    /// Granted; the exchange has it.
-    Held,
-    /// Stands for the start of the process.
+    /// Granted; the exchange runs the request.
+    Granted,
+    /// Not a request: reports the start of the process.
     Starting,
 }
 
-/// One claim of this process that control has not heard the last of.
+/// Claim of this process whose last action control has not confirmed.
 #[derive(Clone, Debug)]
 pub(super) struct Pending {
-    /// When it is to be sent.
+    /// When it is sent next.
     pub(super) due: Moment,
-    /// When this stage is given up.
-    pub(super) ends: Option<Moment>,
-    /// What is claimed.
+    /// When this stage times out.
+    pub(super) timeout_at: Option<Moment>,
+    /// Slot that is claimed.
     pub(super) slot: Slot,
-    /// How far it has come.
+    /// Current stage.
     pub(super) stage: Stage,
-    /// The exchange's number.
+    /// Number that the exchange gave the request.
     pub(super) ticket: Ticket,
-    /// How often it was sent in this stage.
-    pub(super) tries: u32,
+    /// Number of times it was sent in this stage.
+    pub(super) attempts: u32,
 }
 
 impl Pending {
-    /// Stands for the start of the process.
+    /// Creates the report of the process's start.
     pub(super) fn start(now: Moment) -> Self {
         let slot = Slot { caller: "".into(), key: "".into(), service: "".into() };
-        Self { due: now, ends: None, slot, stage: Stage::Starting, ticket: Ticket::MAX, tries: 0 }
+        Self {
+            due: now,
+            timeout_at: None,
+            slot,
+            stage: Stage::Starting,
+            ticket: Ticket::MAX,
+            attempts: 0,
+        }
     }
 
-    /// What is to be sent in this stage.
+    /// Action to send in this stage; `None` if there is none.
     pub(super) fn action(&self, claim: ClaimId) -> Option<Action> {
         let slot = self.slot.clone();
         match &self.stage {
             Stage::Abandoning => Some(Action::Abandon { claim, slot }),
-            Stage::Asking(request) => Some(Action::Claim { claim, request: request.clone() }),
+            Stage::Claiming(request) => Some(Action::Claim { claim, request: request.clone() }),
             Stage::Finishing(outcome) => {
                 Some(Action::Finish { claim, outcome: outcome.clone(), slot })
             }
-            Stage::Held => None,
+            Stage::Granted => None,
             Stage::Starting => Some(Action::Start(claim)),
         }
     }
 
-    /// Time to the next try. A claim's caller waits, so it is made again at the
-    /// same pace; reports back off, so that control's absence for hours costs a
+    /// Time until the next attempt. Claims retry at a constant interval, since a caller
+    /// waits. Reports back off, so that while control is away for hours each costs one
     /// message in ten seconds.
-    pub(super) fn retry(&self, pace: Duration) -> Duration {
+    pub(super) fn retry_delay(&self, interval: Duration) -> Duration {
         match self.stage {
-            Stage::Asking(_) => pace,
-            _ => pace * (1 << self.tries.saturating_sub(1).min(BACKOFF_LIMIT)),
+            Stage::Claiming(_) => interval,
+            _ => interval * (1 << self.attempts.saturating_sub(1).min(MAX_DOUBLINGS)),
         }
     }
 }
--- a/src/claim/answer.rs
+++ b/src/claim/answer.rs
@@ -1,24 +1,24 @@
-//! What a caller learns of a request that another claim holds.
+//! Answer to a caller whose request is not dispatched.
 
 use crate::clock::Epoch;
 use crate::id::NodeId;
 
 use super::Outcome;
 
-/// Why a request is not dispatched, though the ledger could be asked.
+/// Why a request is not dispatched although the ledger replied.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Answer {
-    /// The key stands for another request.
+    /// The key was used for a different request.
     Conflict,
-    /// It ran already.
+    /// The request has already run.
     Done(Outcome),
-    /// It is being run.
+    /// The request is running.
     InProgress {
         /// Entry that runs it.
         by: NodeId,
-        /// Since when, by the control leader's clock.
+        /// When it was granted, by the control leader's clock.
         since: Epoch,
     },
-    /// It may have run; nobody can tell any more.
+    /// The request may have run; its outcome can't be determined any more.
     Unknown,
 }
--- a/src/claim/command.rs
+++ b/src/claim/command.rs
@@ -1,4 +1,4 @@
-//! What the quorum log carries for the ledger.
+//! Commands of the ledger in the quorum log.
 
 use std::time::Duration;
 
@@ -9,52 +9,52 @@
 use super::Outcome;
 use super::Slot;
 
-/// Wish to run a request.
+/// Request that an entry wants to run.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Request {
-    /// Hash of method, target and body: another request under the same key is a
-    /// caller's mistake, which must not get the first one's answer.
+    /// Hash of method, target and body. A different request with the same key is a caller's
+    /// mistake and must not get the first one's answer.
     pub digest: u128,
-    /// Time after which an unfinished claim counts as unknown: the request's own
-    /// deadline and some grace.
+    /// Time after which an unfinished claim counts as unknown: the request's own deadline
+    /// plus a grace period.
     pub limit: Duration,
-    /// What is claimed.
+    /// Slot that is claimed.
     pub slot: Slot,
 }
 
-/// One change of the ledger.
+/// Change of the ledger.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Action {
-    /// The claim's own entry tells that it did not and will not dispatch.
+    /// The claiming entry reports that it did not and will not dispatch.
     Abandon {
         /// The claim.
         claim: ClaimId,
-        /// What it claimed.
+        /// Slot that it claimed.
         slot: Slot,
     },
     /// An entry asks to run a request.
     Claim {
         /// The claim.
         claim: ClaimId,
-        /// What is to be run.
+        /// Request to run.
         request: Request,
     },
-    /// An entry tells what became of a request.
+    /// An entry reports the outcome of a request.
     Finish {
         /// The claim.
         claim: ClaimId,
-        /// What became of it.
+        /// Outcome of the request.
         outcome: Outcome,
-        /// What it claimed.
+        /// Slot that it claimed.
         slot: Slot,
     },
-    /// A process started: what earlier ones of its name left open is unknown. The
-    /// claim carries its name and incarnation, and stands for no slot.
+    /// A process started, so open claims of earlier processes with its name have unknown
+    /// outcomes. The claim id carries the process's name and incarnation and has no slot.
     Start(ClaimId),
 }
 
 impl Action {
-    /// Claim that it is about.
+    /// Claim that the action concerns.
     pub fn claim(&self) -> &ClaimId {
         match self {
             Self::Abandon { claim, .. }
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Slot that it is about, if any.
+    /// Slot that the action concerns, if any.
     pub fn slot(&self) -> Option<&Slot> {
         match self {
             Self::Abandon { slot, .. } | Self::Finish { slot, .. } => Some(slot),
@@ -74,9 +74,9 @@
     }
 }
 
-/// Changes of the ledger that are committed together, with one sync.
+/// Actions that are committed together, with one sync.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Command {
-    /// The changes in their order.
+    /// Actions in order.
     pub actions: Vec<Action>,
 }
--- a/src/claim/desk.rs
+++ b/src/claim/desk.rs
@@ -1,4 +1,4 @@
-//! Control's side of the agents: groups what they ask into one log record.
+//! Batches the agents' actions into log records on the control leader.
 
 use std::collections::BTreeMap;
 
@@ -11,48 +11,48 @@
 use super::Reply;
 use super::Slot;
 
-/// Actions in one record: enough that a sync of a few milliseconds carries
-/// 40,000 a second, few enough that a record stays below 100 KB without answers.
-const GROUP_LIMIT: usize = 512;
-/// Actions that wait for a record; agents send again what is dropped.
-const QUEUE_LIMIT: usize = 8192;
+/// Most actions in one record: enough for 40,000 a second with syncs of a few
+/// milliseconds, few enough that a record stays below 100 KB without answers.
+const MAX_BATCH_ACTIONS: usize = 512;
+/// Most actions that wait for a record. Further ones are dropped, and agents resend them.
+const MAX_WAITING_ACTIONS: usize = 8192;
 
-/// Groups the agents' actions: while one record is being synced, the next fills,
-/// so that a sync is shared by all that came in its time (group commit).
+/// Group commit of the agents' actions: while one record is being synced, the next one
+/// fills, so that all actions that arrive in the meantime share one sync.
 #[derive(Clone, Debug, Default)]
 pub struct Desk {
     waiting: Vec<Action>,
 }
 
 impl Desk {
-    /// Takes an agent's actions. Those that speak for another process than their
-    /// sender are dropped: an abandon must come from the entry that claimed. So are
-    /// those with texts beyond the ledger's bound.
+    /// Queues an agent's actions. Actions for claims of another entry than the sender are
+    /// dropped, since only the claiming entry may abandon a claim. Actions with longer texts
+    /// than the ledger accepts are dropped too.
     pub fn push(&mut self, from: &NodeId, actions: Vec<Action>) {
-        let room = QUEUE_LIMIT.saturating_sub(self.waiting.len());
+        let capacity = MAX_WAITING_ACTIONS.saturating_sub(self.waiting.len());
         let own = actions.into_iter().filter(|action| action.claim().entry == *from);
         let valid = own.filter(|action| action.slot().is_none_or(Slot::is_valid));
-        self.waiting.extend(valid.take(room));
+        self.waiting.extend(valid.take(capacity));
     }
 
-    /// The next record to propose, if anything waits; to be called when none of
-    /// this desk is in flight, or up to a pipeline's depth.
+    /// Takes the next record to propose, if any action waits. To be called when no earlier
+    /// record is in flight, or fewer than a pipeline allows.
     pub fn take(&mut self) -> Option<Command> {
         if self.waiting.is_empty() {
             return None;
         }
-        let count = self.waiting.len().min(GROUP_LIMIT);
+        let count = self.waiting.len().min(MAX_BATCH_ACTIONS);
         Some(Command { actions: self.waiting.drain(..count).collect() })
     }
 
-    /// Drops what waits, when this replica stops leading: the agents turn to the
-    /// next leader with it.
+    /// Drops the waiting actions when this replica stops leading; the agents send them to
+    /// the next leader.
     pub fn clear(&mut self) {
         self.waiting.clear();
     }
 
-    /// Receipts for the agents once a command is applied; `replies` are those of
-    /// [`super::Ledger::apply`]. The leader sends them.
+    /// Creates the receipts that the leader sends to the agents after a command is applied;
+    /// `replies` come from [`super::Ledger::apply`].
     pub fn receipts(command: &Command, replies: Vec<Reply>) -> Vec<(NodeId, Message)> {
         let mut receipts = BTreeMap::<NodeId, Vec<Receipt>>::new();
         for (action, reply) in command.actions.iter().zip(replies) {
--- a/src/claim/error.rs
+++ b/src/claim/error.rs
@@ -5,10 +5,10 @@
 /// Why a snapshot could not be used.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum Error {
-    /// The codec reported a fault.
+    /// The snapshot could not be encoded or decoded.
     #[error("snapshot of the claims is unreadable: {reason}")]
     Snapshot {
-        /// What it reported.
+        /// Error of the codec.
         reason: String,
     },
 }
--- a/src/claim/input.rs
+++ b/src/claim/input.rs
@@ -1,4 +1,4 @@
-//! What an agent is told.
+//! Inputs of an agent.
 
 use crate::clock::Moment;
 use crate::id::NodeId;
@@ -8,37 +8,37 @@
 use super::Request;
 use super::Ticket;
 
-/// Event for an agent.
+/// Input of an agent.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Input {
-    /// A granted request was proved not to have run (for example, no connection
-    /// could be made) and will not be tried again.
+    /// A granted request provably did not run (for example, since no connection could be
+    /// made) and will not be retried.
     Abandon(Ticket),
-    /// A keyed request wants to be dispatched.
+    /// A request with a key is to be dispatched.
     Begin {
-        /// When its caller stops waiting.
+        /// When the caller stops waiting.
         deadline: Moment,
-        /// What is to be run.
+        /// Request to run.
         request: Request,
-        /// Its number, not used before in this process.
+        /// Number of the request, unique in this process.
         ticket: Ticket,
     },
     /// Control replicas, from settings or membership.
     Controls(Vec<NodeId>),
-    /// A granted request has come to its end.
+    /// A granted request has ended.
     Finish {
-        /// What became of it.
+        /// Outcome of the request.
         outcome: Outcome,
-        /// Its number.
+        /// Number of the request.
         ticket: Ticket,
     },
     /// A message arrived.
     Receive {
-        /// Its sender, as its certificate says.
+        /// Sender, as named by its certificate.
         from: NodeId,
         /// The message.
         message: Message,
     },
-    /// Time has passed; wanted at [`super::Agent::next_at`].
+    /// Time has passed; due at [`super::Agent::next_at`].
     Tick,
 }
--- a/src/claim/ledger.rs
+++ b/src/claim/ledger.rs
@@ -1,4 +1,4 @@
-//! Replicated state: which keys were claimed, and what became of them.
+//! Replicated state: claimed keys and their outcomes.
 
 mod index;
 mod tombstones;
@@ -27,15 +27,14 @@
 use index::Index;
 use tombstones::Tombstones;
 
-/// When to come back to a full ledger: keys leave it one by one, all the time.
-const FULL_RETRY: Duration = Duration::from_secs(30);
+/// Retry time for callers while the ledger is full; keys expire continuously.
+const FULL_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// Which keys were claimed, and what became of them; the same on every control
-/// VM after the same commands.
+/// Claimed keys and their outcomes; equal on every control VM after the same commands.
 ///
-/// A key is granted to one claim. It is free again only when that claim's own
-/// entry says that it did not dispatch, or when its window is over. All else (the
-/// entry dies, or never tells) leaves it unknown, never free.
+/// A key is granted to one claim. It becomes free again only when the claiming entry
+/// reports that it did not dispatch, or when the key expires. In all other cases (the
+/// entry crashes or never reports) its outcome is unknown, and it is not granted again.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     clock: Epoch,
@@ -45,9 +44,9 @@
     tombstones: Tombstones,
 }
 
-/// What a snapshot holds; the index is made anew from it.
+/// Content of a snapshot; the index is rebuilt from it.
 #[derive(Deserialize, Serialize)]
-struct Image {
+struct Snapshot {
     clock: Epoch,
     limits: Limits,
     records: Vec<Record>,
@@ -55,68 +54,68 @@
 }
 
 impl Ledger {
-    /// Empty ledger.
+    /// Creates an empty ledger.
     pub fn new(limits: Limits) -> Self {
         Self { limits, ..Self::default() }
     }
 
-    /// Applies a committed command; one reply for each action, in order.
+    /// Applies a committed command and returns one reply for each action, in order.
     ///
-    /// `at` is the proposer's wall clock as written into the log; a clock that
-    /// jumps back is held at the latest time seen.
+    /// `at` is the proposer's wall clock as written in the log. If it jumps back, the
+    /// ledger's clock stays at the latest time seen.
     pub fn apply(&mut self, at: Epoch, command: Command) -> Vec<Reply> {
         self.clock = self.clock.max(at);
-        self.forget();
-        command.actions.into_iter().map(|action| self.act(action)).collect()
+        self.expire();
+        command.actions.into_iter().map(|action| self.apply_action(action)).collect()
     }
 
-    /// Number of keys remembered.
+    /// Number of stored keys.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether no key is remembered.
+    /// Whether no key is stored.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Bytes of the kept answers.
+    /// Total size of the kept answers, in bytes.
     pub fn answer_bytes(&self) -> usize {
         self.index.answer_bytes()
     }
 
-    /// Encoded form for a snapshot.
+    /// Encodes the ledger as a snapshot.
     ///
     /// # Errors
     ///
-    /// [`Error::Snapshot`] when the codec refuses.
+    /// [`Error::Snapshot`] if encoding fails.
     pub fn encode(&self) -> Result<Vec<u8>, Error> {
-        let image = Image {
+        let snapshot = Snapshot {
             clock: self.clock,
             limits: self.limits.clone(),
             records: self.records.values().cloned().collect(),
             tombstones: self.tombstones.clone(),
         };
-        postcard::to_stdvec(&image).map_err(snapshot_error)
+        postcard::to_stdvec(&snapshot).map_err(snapshot_error)
     }
 
-    /// State from a snapshot.
+    /// Decodes a ledger from a snapshot.
     ///
     /// # Errors
     ///
-    /// [`Error::Snapshot`] for bytes that are no snapshot.
+    /// [`Error::Snapshot`] if the bytes are not a snapshot.
     pub fn decode(bytes: &[u8]) -> Result<Self, Error> {
-        let image = postcard::from_bytes::<Image>(bytes).map_err(snapshot_error)?;
-        let mut ledger = Self::new(image.limits);
-        ledger.clock = image.clock;
-        ledger.tombstones = image.tombstones;
-        for record in image.records {
+        let snapshot = postcard::from_bytes::<Snapshot>(bytes).map_err(snapshot_error)?;
+        let mut ledger = Self::new(snapshot.limits);
+        ledger.clock = snapshot.clock;
+        ledger.tombstones = snapshot.tombstones;
+        for record in snapshot.records {
             ledger.insert(record);
         }
         Ok(ledger)
     }
 
-    fn act(&mut self, action: Action) -> Reply {
+    fn apply_action(&mut self, action: Action) -> Reply {
         match action {
             Action::Abandon { claim, slot } => self.abandon(claim, &slot),
             Action::Claim { claim, request } => self.claim(claim, request),
@@ -125,9 +124,9 @@
         }
     }
 
-    /// Frees the key. The claim's id stays behind: the claim itself may still be
-    /// under way, and granted late it would hold the key for an entry that has
-    /// given up.
+    /// Frees the key and remembers the claim's id as abandoned. A copy of the claim may
+    /// still be in flight; if it were granted late, it would hold the key for an entry that
+    /// has given up.
     fn abandon(&mut self, claim: ClaimId, slot: &Slot) -> Reply {
         let record = self.records.get(slot).filter(|record| record.claim == claim);
         if record.is_some_and(|record| matches!(record.state, State::Settled(_))) {
@@ -148,7 +147,7 @@
             return record.reply(self.clock, &claim, request.digest);
         }
         if self.is_full(&request.slot) {
-            return Reply::Full { retry_after: FULL_RETRY };
+            return Reply::Full { retry_after: FULL_RETRY_AFTER };
         }
         self.insert(Record {
             claim,
@@ -181,10 +180,10 @@
         Reply::Finished
     }
 
-    /// Closes what earlier processes of the same name left open, so that their
-    /// callers get "unknown" at once and not "in progress" until the limit.
+    /// Marks open claims of earlier processes with the same name as lost, so that their
+    /// callers get "unknown" at once instead of "in progress" until the limit.
     fn start(&mut self, claim: &ClaimId) -> Reply {
-        for slot in self.index.left_open(claim) {
+        for slot in self.index.open_before(claim) {
             if let Some(mut record) = self.remove(&slot) {
                 record.state = State::Lost;
                 self.insert(record);
@@ -198,17 +197,17 @@
             let Some(slot) = self.index.oldest_answer() else { return };
             let Some(mut record) = self.remove(&slot) else { return };
             if let State::Settled(outcome) = &mut record.state {
-                outcome.forget_answer();
+                outcome.drop_answer();
             }
             self.insert(record);
         }
     }
 
-    fn forget(&mut self) {
+    fn expire(&mut self) {
         while let Some(slot) = self.index.expired(self.clock) {
             self.remove(&slot);
         }
-        self.tombstones.forget(self.clock.saturating_sub(self.limits.tombstone_age));
+        self.tombstones.expire(self.clock.saturating_sub(self.limits.tombstone_age));
     }
 
     fn insert(&mut self, record: Record) {
--- a/src/claim/ledger/index.rs
+++ b/src/claim/ledger/index.rs
@@ -1,4 +1,4 @@
-//! Orders over the ledger's records, kept beside them.
+//! Secondary indexes over the ledger's records.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -11,7 +11,7 @@
 use crate::clock::Epoch;
 use crate::id::CallerId;
 
-/// Orders over the records; each holds what every insert and removal keeps right.
+/// Secondary indexes and totals over the records, updated at every insert and removal.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Index {
     answer_bytes: usize,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Takes a record out.
+    /// Removes a record.
     pub(super) fn remove(&mut self, record: &Record) {
         let entry = (record.expires, Arc::clone(&record.slot));
         if self.answers.remove(&entry) {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Bytes of all kept answers.
+    /// Total size of all kept answers, in bytes.
     pub(super) fn answer_bytes(&self) -> usize {
         self.answer_bytes
     }
@@ -62,20 +62,20 @@
         self.callers.get(caller).copied().unwrap_or_default()
     }
 
-    /// A key whose window is over.
+    /// Slot that expired first, if it has expired by `now`.
     pub(super) fn expired(&self, now: Epoch) -> Option<Arc<Slot>> {
         let (at, slot) = self.expiries.first()?;
         (*at <= now).then(|| Arc::clone(slot))
     }
 
-    /// Keys that earlier processes than that of `claim`, of the same name, hold.
-    pub(super) fn left_open(&self, claim: &ClaimId) -> Vec<Arc<Slot>> {
+    /// Slots with open claims of earlier processes of the entry in `claim`.
+    pub(super) fn open_before(&self, claim: &ClaimId) -> Vec<Arc<Slot>> {
         let first = ClaimId { entry: claim.entry.clone(), incarnation: 0, sequence: 0 };
         let end = ClaimId { sequence: 0, ..claim.clone() };
         self.open.range(first..end).map(|(_, slot)| Arc::clone(slot)).collect()
     }
 
-    /// The key whose kept answer is the oldest.
+    /// Slot of the kept answer that expires first.
     pub(super) fn oldest_answer(&self) -> Option<Arc<Slot>> {
         self.answers.first().map(|(_, slot)| Arc::clone(slot))
     }
--- a/src/claim/ledger/tombstones.rs
+++ b/src/claim/ledger/tombstones.rs
@@ -1,4 +1,4 @@
-//! Ids of abandoned claims.
+//! Tombstones: ids of abandoned claims.
 
 use std::collections::BTreeSet;
 use std::collections::VecDeque;
@@ -9,7 +9,7 @@
 use crate::claim::ClaimId;
 use crate::clock::Epoch;
 
-/// Abandoned claims, which must not be granted when they arrive late.
+/// Ids of abandoned claims, which must not be granted if they arrive late.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub(super) struct Tombstones {
     claims: BTreeSet<ClaimId>,
@@ -22,25 +22,25 @@
         self.claims.contains(claim)
     }
 
-    /// Remembers a claim; the oldest of more than `limit` goes, which is safe: at
-    /// worst its key turns unknown.
+    /// Adds a claim and drops the oldest beyond `limit`. That is safe: at worst the key of
+    /// a dropped claim becomes unknown.
     pub(super) fn insert(&mut self, now: Epoch, claim: ClaimId, limit: usize) {
         if self.claims.insert(claim.clone()) {
             self.order.push_back((now, claim));
         }
         while self.order.len() > limit {
-            self.drop_first();
+            self.remove_oldest();
         }
     }
 
-    /// Forgets what was abandoned before `since`.
-    pub(super) fn forget(&mut self, since: Epoch) {
+    /// Drops the claims that were abandoned before `since`.
+    pub(super) fn expire(&mut self, since: Epoch) {
         while self.order.front().is_some_and(|(at, _)| *at < since) {
-            self.drop_first();
+            self.remove_oldest();
         }
     }
 
-    fn drop_first(&mut self) {
+    fn remove_oldest(&mut self) {
         if let Some((_, claim)) = self.order.pop_front() {
             self.claims.remove(&claim);
         }
--- a/src/claim/limits.rs
+++ b/src/claim/limits.rs
@@ -1,33 +1,33 @@
-//! Bounds of the ledger.
+//! Limits of the ledger.
 
 use std::time::Duration;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Bounds of the ledger; part of the replicated state, so that all replicas
+/// Limits of the ledger. They are part of the replicated state, so that all replicas
 /// decide alike.
 ///
-/// A key takes 580 bytes besides its answer (measured with 100,000 of them), so
-/// the defaults take about 35 MB, 9 MB of answers, and 17 MB while a snapshot is
-/// written, of a control VM's 128 MB.
+/// In a ledger of 100,000 keys, a key takes 580 bytes in addition to its answer. Of a
+/// control VM's 128 MB, the defaults take about 35 MB for keys, 9 MB for answers, and
+/// 17 MB while a snapshot is written.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Limits {
-    /// Bytes of kept answers; above it the oldest lose theirs, but not their
-    /// outcome.
+    /// Most bytes of kept answers. Above it the oldest answers are dropped, but not their
+    /// outcomes.
     pub answer_bytes: usize,
-    /// Keys remembered; above it new ones are refused, since to forget one early
-    /// would let it run twice.
+    /// Most stored keys. Above it new ones are refused, since a key that is removed early
+    /// could run twice.
     pub claims: usize,
-    /// Keys that one caller may hold, so that a caller that makes up keys in a
-    /// loop crowds out itself only.
+    /// Most stored keys of one caller, so that a caller that generates keys in a loop takes
+    /// no space from others.
     pub claims_per_caller: usize,
-    /// Time that an abandoned claim's id is remembered; far above the age of any
-    /// message between our processes.
+    /// Time for which an abandoned claim's id is stored; far longer than any message
+    /// between processes is delayed.
     pub tombstone_age: Duration,
-    /// Abandoned claims remembered.
+    /// Most ids of abandoned claims that are stored.
     pub tombstones: usize,
-    /// Time that a key is remembered after its request has come to an end.
+    /// Time for which a key is stored after its request has ended.
     pub window: Duration,
 }
 
--- a/src/claim/message.rs
+++ b/src/claim/message.rs
@@ -1,4 +1,4 @@
-//! Messages between the entries' agents and control.
+//! Messages between agents and control replicas.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -9,22 +9,22 @@
 use super::ClaimId;
 use super::Reply;
 
-/// Reply to one action, once that is committed.
+/// Reply to an action that was committed.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Receipt {
-    /// Claim that the action was about.
+    /// Claim that the action concerns.
     pub claim: ClaimId,
-    /// What the ledger answered.
+    /// Reply of the ledger.
     pub reply: Reply,
 }
 
 /// Message between an agent and a control replica.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Message {
-    /// From a replica: it does not lead, but may know who does.
+    /// From a replica that doesn't lead: the leader, if known.
     Redirect(Option<NodeId>),
-    /// From the leader: what was committed.
+    /// From the leader: replies to committed actions.
     Receipts(Vec<Receipt>),
-    /// From an agent; sent again until each action has its receipt.
+    /// From an agent: actions, resent until each has its receipt.
     Submit(Vec<Action>),
 }
--- a/src/claim/output.rs
+++ b/src/claim/output.rs
@@ -1,4 +1,4 @@
-//! What an agent wants done.
+//! Outputs of an agent.
 
 use std::time::Duration;
 
@@ -9,39 +9,39 @@
 use super::Reply;
 use super::Ticket;
 
-/// Effect that the driver carries out.
+/// Output of an agent, carried out by its caller.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Output {
-    /// Do not dispatch; tell the caller this.
+    /// Don't dispatch; answer the caller.
     Answer {
-        /// What is known of the key.
+        /// Answer to the caller.
         answer: Answer,
-        /// The request.
+        /// Number of the request.
         ticket: Ticket,
     },
-    /// Dispatch now, then tell [`super::Input::Finish`] or
+    /// Dispatch now, then report [`super::Input::Finish`] or
     /// [`super::Input::Abandon`].
     Granted(Ticket),
-    /// Do not dispatch; refuse the request as not run.
+    /// Don't dispatch; refuse the request as not run.
     Refused {
-        /// When the caller may come back.
+        /// Time after which the caller may retry.
         retry_after: Duration,
-        /// The request.
+        /// Number of the request.
         ticket: Ticket,
     },
     /// Send a message.
     Send {
         /// The message.
         message: Message,
-        /// Its receiver.
+        /// Receiver.
         to: NodeId,
     },
 }
 
 impl Output {
-    /// What the ledger's reply to a claim means for its request; `None` for a
-    /// reply that does not answer a claim.
-    pub(super) fn of_reply(ticket: Ticket, reply: Reply) -> Option<Self> {
+    /// Converts the ledger's reply to a claim; `None` for a grant and for replies to other
+    /// actions.
+    pub(super) fn from_reply(ticket: Ticket, reply: Reply) -> Option<Self> {
         let answer = match reply {
             Reply::Conflict => Answer::Conflict,
             Reply::Done(outcome) => Answer::Done(outcome),
--- a/src/claim/record.rs
+++ b/src/claim/record.rs
@@ -1,4 +1,4 @@
-//! What the ledger knows of one key.
+//! Record of one claimed key in the ledger.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,47 +13,47 @@
 use super::Reply;
 use super::Slot;
 
-/// How far a claim has come.
+/// State of a claim.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(super) enum State {
-    /// Granted; its entry may dispatch or has done so.
+    /// Granted; the entry may have dispatched the request.
     Open,
-    /// Its entry told the outcome.
+    /// The entry reported the outcome.
     Settled(Outcome),
-    /// Its entry restarted before it told.
+    /// The entry restarted before it reported an outcome.
     Lost,
 }
 
-/// What the ledger knows of one key.
+/// Record of one claimed key.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(super) struct Record {
     /// Claim that was granted.
     pub(super) claim: ClaimId,
-    /// Hash of its request.
+    /// Hash of the request.
     pub(super) digest: u128,
-    /// When the key may be forgotten.
+    /// When the key expires.
     pub(super) expires: Epoch,
-    /// How long it may stay open.
+    /// Time after which an open claim counts as unknown.
     pub(super) limit: Duration,
     /// When it was granted.
     pub(super) since: Epoch,
-    /// The key.
+    /// Slot that was claimed.
     pub(super) slot: Arc<Slot>,
-    /// How far it has come.
+    /// State of the claim.
     pub(super) state: State,
 }
 
 impl Record {
-    /// Answer to a claim by `claim` for a request with this digest.
+    /// Reply to `claim` for a request with this digest.
     pub(super) fn reply(&self, now: Epoch, claim: &ClaimId, digest: u128) -> Reply {
-        let own = self.claim == *claim;
+        let is_own = self.claim == *claim;
         if self.digest != digest {
             return Reply::Conflict;
         }
-        let overdue = now.saturating_sub(self.since) > self.limit;
+        let is_overdue = now.saturating_sub(self.since) > self.limit;
         match &self.state {
-            State::Open if own && !overdue => Reply::Granted,
-            State::Open if !overdue => {
+            State::Open if is_own && !is_overdue => Reply::Granted,
+            State::Open if !is_overdue => {
                 Reply::InProgress { by: self.claim.entry.clone(), since: self.since }
             }
             State::Settled(Outcome::Ran { answer, status }) => {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Bytes of its kept answer.
+    /// Size of the kept answer, in bytes.
     pub(super) fn kept_size(&self) -> usize {
         match &self.state {
             State::Settled(outcome) => outcome.kept_size(),
--- a/src/claim/reply.rs
+++ b/src/claim/reply.rs
@@ -1,4 +1,4 @@
-//! What the ledger answers.
+//! Reply of the ledger.
 
 use std::time::Duration;
 
@@ -10,23 +10,23 @@
 
 use super::Outcome;
 
-/// Answer to one action.
+/// Reply of the ledger to one action.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Reply {
-    /// The claim is given up; it can't be granted any more, the key can.
+    /// The claim is abandoned and can't be granted any more; its key is free.
     Abandoned,
-    /// The key stands for another request.
+    /// The key was used for a different request.
     Conflict,
-    /// The request ran already.
+    /// The request has already run.
     Done(Outcome),
     /// The outcome is recorded.
     Finished,
-    /// The ledger has no room for new keys; nothing was run.
+    /// The ledger is full for new keys; nothing was run.
     Full {
-        /// When to try again.
+        /// Time after which the caller may retry.
         retry_after: Duration,
     },
-    /// There is no such claim; nothing was changed.
+    /// No change: the claim doesn't exist, or is settled and can't be abandoned.
     Gone,
     /// The entry may dispatch.
     Granted,
@@ -37,9 +37,9 @@
         /// When it was granted, by the leader's clock.
         since: Epoch,
     },
-    /// The start of the process is noted.
+    /// The start of the process is recorded.
     Started,
-    /// It may have run: its entry died or never told.
+    /// The request may have run: the entry crashed or never reported an outcome.
     Unknown {
         /// Entry that held it.
         by: NodeId,
