--- a/src/bench/claims.rs
+++ b/src/bench/claims.rs
@@ -10,9 +10,9 @@
 use std::time::Instant;
 
 use crate::claim::Action;
+use crate::claim::Batcher;
 use crate::claim::ClaimId;
 use crate::claim::Command;
-use crate::claim::Desk;
 use crate::claim::KeptAnswer;
 use crate::claim::Ledger;
 use crate::claim::Limits;
@@ -62,16 +62,16 @@
     let mut file = File::create(&path).map_err(text)?;
     let mut ledger =
         Ledger::new(Limits { claims: count, claims_per_caller: count, ..Limits::default() });
-    let (mut desk, mut starts, mut times) = (Desk::default(), VecDeque::new(), Vec::new());
+    let (mut batcher, mut starts, mut times) = (Batcher::default(), VecDeque::new(), Vec::new());
     let (mut begun, mut bytes) = (0, 0);
     let start = Instant::now();
     while times.len() < count {
         while begun < count && starts.len() < callers {
-            desk.push(&"entry-1".into(), vec![claim(begun)]);
+            batcher.push(&"entry-1".into(), vec![claim(begun)]);
             starts.push_back(Instant::now());
             begun += 1;
         }
-        for command in groups(desk.take(), grouped) {
+        for command in groups(batcher.take(), grouped) {
             let record = postcard::to_stdvec(&command).map_err(text)?;
             bytes += record.len();
             file.write_all(&record).and_then(|()| file.sync_data()).map_err(text)?;
--- a/src/claim.rs
+++ b/src/claim.rs
@@ -2,7 +2,7 @@
 //!
 //! [`Ledger`] is replicated state, to which the commands of the quorum log are
 //! applied. [`Agent`] runs in every entry and claims keys before dispatch.
-//! [`Desk`] runs on the control leader and batches the agents' actions.
+//! [`Batcher`] runs on the control leader and batches the agents' actions.
 //!
 //! Load pattern: a caller whose answer was lost resends with the same key, at once
 //! or after hours, through any entry. Without the ledger two entries could each run
@@ -10,8 +10,8 @@
 
 mod agent;
 mod answer;
+mod batcher;
 mod command;
-mod desk;
 mod error;
 mod id;
 mod input;
@@ -25,10 +25,10 @@
 
 pub use agent::Agent;
 pub use answer::Answer;
+pub use batcher::Batcher;
 pub use command::Action;
 pub use command::Command;
 pub use command::Request;
-pub use desk::Desk;
 pub use error::Error;
 pub use id::ClaimId;
 pub use id::Slot;
--- a/src/claim/desk.rs
+++ b/src/claim/batcher.rs
@@ -20,11 +20,11 @@
 /// Group commit of the agents' actions: while one record is being synced, the next one
 /// fills, so that all actions that arrive in the meantime share one sync.
 #[derive(Clone, Debug, Default)]
-pub struct Desk {
+pub struct Batcher {
     waiting: Vec<Action>,
 }
 
-impl Desk {
+impl Batcher {
     /// Queues an agent's actions. Actions for claims of another entry than the sender are
     /// dropped, since only the claiming entry may abandon a claim. Actions with longer texts
     /// than the ledger accepts are dropped too.
--- a/src/node/office.rs
+++ b/src/node/office.rs
@@ -4,7 +4,7 @@
 use crate::catalog;
 use crate::catalog::Catalog;
 use crate::claim;
-use crate::claim::Desk;
+use crate::claim::Batcher;
 use crate::claim::Ledger;
 use crate::clock::Epoch;
 use crate::clock::Moment;
@@ -45,7 +45,7 @@
     book: Book,
     catalog: Catalog,
     configured: Index,
-    desk: Desk,
+    batcher: Batcher,
     groups: usize,
     led_since: Moment,
     leads: bool,
@@ -137,7 +137,7 @@
             book: Book::default(),
             catalog: Catalog::default(),
             configured: 0,
-            desk: Desk::default(),
+            batcher: Batcher::default(),
             groups: 0,
             led_since: Moment::ZERO,
             leads: false,
@@ -223,7 +223,7 @@
 
     fn claims(&mut self, from: NodeId, actions: Vec<claim::Action>, outputs: &mut Vec<Output>) {
         if self.leads {
-            self.desk.push(&from, actions);
+            self.batcher.push(&from, actions);
             return;
         }
         let message = claim::Message::Redirect(self.leader());
@@ -306,7 +306,7 @@
 
     fn propose_claims(&mut self, now: Moment, wall: Epoch, outputs: &mut Vec<Output>) {
         while self.leads && self.groups < GROUPS_MAX {
-            let Some(command) = self.desk.take() else { return };
+            let Some(command) = self.batcher.take() else { return };
             self.groups += 1;
             self.propose(now, wall, Proposal::Claims, Body::Claims(command), outputs);
         }
@@ -396,7 +396,7 @@
             quorum::Output::SteppedDown { term } => {
                 self.leads = false;
                 self.groups = 0;
-                self.desk.clear();
+                self.batcher.clear();
                 self.keeper.clear();
                 self.granted.clear();
                 outputs.push(Output::Leads(false));
@@ -419,7 +419,7 @@
             Body::Claims(claims) => {
                 let replies = self.ledger.apply(command.at, claims.clone());
                 if self.leads {
-                    let receipts = Desk::receipts(&claims, replies).into_iter();
+                    let receipts = Batcher::receipts(&claims, replies).into_iter();
                     let frames = receipts.map(|(to, message)| (to, Frame::Claim(message)));
                     outputs.extend(frames.map(|(to, frame)| Output::Send(to, Box::new(frame))));
                 }
--- a/tests/suite/claim/ledger.rs
+++ b/tests/suite/claim/ledger.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use hemlockfield::claim::Action;
+use hemlockfield::claim::Batcher;
 use hemlockfield::claim::ClaimId;
 use hemlockfield::claim::Command;
-use hemlockfield::claim::Desk;
 use hemlockfield::claim::KeptAnswer;
 use hemlockfield::claim::Ledger;
 use hemlockfield::claim::Limits;
@@ -220,7 +220,7 @@
 #[case::of_another_entry(claim("b", 1, "k"), 0)]
 #[case::long_key(claim("a", 1, &"k".repeat(201)), 0)]
 fn push_to_desk(#[case] action: Action, #[case] count: usize) {
-    let mut desk = Desk::default();
-    desk.push(&"a".into(), vec![action]);
-    assert_eq!(desk.take().map_or(0, |command| command.actions.len()), count);
+    let mut batcher = Batcher::default();
+    batcher.push(&"a".into(), vec![action]);
+    assert_eq!(batcher.take().map_or(0, |command| command.actions.len()), count);
 }
--- a/tests/suite/claim/replicated.rs
+++ b/tests/suite/claim/replicated.rs
@@ -5,8 +5,8 @@
 
 use hemlockfield::claim::Agent;
 use hemlockfield::claim::Answer;
+use hemlockfield::claim::Batcher;
 use hemlockfield::claim::Command;
-use hemlockfield::claim::Desk;
 use hemlockfield::claim::Input;
 use hemlockfield::claim::Ledger;
 use hemlockfield::claim::Limits;
@@ -50,7 +50,7 @@
 
 /// One control VM; its disk outlives it, and syncs at once.
 struct Control {
-    desk: Desk,
+    batcher: Batcher,
     disk: Recovered,
     in_flight: Option<u64>,
     ledger: Ledger,
@@ -75,7 +75,7 @@
         let weather =
             Weather { loss: 0.05, duplication: 0.05, delay_min: ms(1), delay_max: ms(20) };
         let control = || Control {
-            desk: Desk::default(),
+            batcher: Batcher::default(),
             disk: Recovered::default(),
             in_flight: None,
             ledger: Ledger::new(Limits::default()),
@@ -106,7 +106,7 @@
         let setup = Setup { founders, ..Setup::new(id.into()) };
         control.replica = Some(Replica::new(setup, control.disk.clone(), seed));
         control.ledger = Ledger::new(Limits::default());
-        control.desk.clear();
+        control.batcher.clear();
         control.in_flight = None;
     }
 
@@ -147,7 +147,7 @@
                 let control = self.controls.get_mut(to).unwrap();
                 let Some(replica) = &control.replica else { return };
                 if replica.leader() == Some(to) {
-                    control.desk.push(&from, actions);
+                    control.batcher.push(&from, actions);
                 } else {
                     let message = Message::Redirect(replica.leader().cloned());
                     self.send(to, &from, &Wire::Claim(message));
@@ -168,7 +168,7 @@
         if control.replica.is_none() {
             return;
         }
-        let Some(command) = control.desk.take() else { return };
+        let Some(command) = control.batcher.take() else { return };
         control.tickets += 1;
         control.in_flight = Some(control.tickets);
         let command = postcard::to_stdvec(&(at, command)).unwrap();
@@ -203,7 +203,7 @@
             | quorum::Output::Uncertain { .. } => {
                 control.in_flight = None;
             }
-            quorum::Output::SteppedDown { .. } => control.desk.clear(),
+            quorum::Output::SteppedDown { .. } => control.batcher.clear(),
             _ => {}
         }
     }
@@ -218,7 +218,7 @@
             .is_some_and(|replica| replica.leader().is_some_and(|leader| leader == id));
         let bytes = index.is_multiple_of(SNAPSHOT_EVERY).then(|| control.ledger.encode().unwrap());
         if leads {
-            for (to, message) in Desk::receipts(&command, replies) {
+            for (to, message) in Batcher::receipts(&command, replies) {
                 self.send(&id.into(), &to, &Wire::Claim(message));
             }
         }
--- a/tests/suite/claim/site.rs
+++ b/tests/suite/claim/site.rs
@@ -6,7 +6,7 @@
 
 use hemlockfield::claim::Agent;
 use hemlockfield::claim::Answer;
-use hemlockfield::claim::Desk;
+use hemlockfield::claim::Batcher;
 use hemlockfield::claim::Input;
 use hemlockfield::claim::Ledger;
 use hemlockfield::claim::Limits;
@@ -46,7 +46,7 @@
     pub(super) now: Moment,
     pub(super) told: BTreeMap<(NodeId, Ticket), Told>,
     abandoned: BTreeSet<(NodeId, Ticket)>,
-    desk: Desk,
+    batcher: Batcher,
     grants: BTreeMap<NodeId, Vec<(NodeId, Ticket)>>,
     keys: BTreeMap<(NodeId, Ticket), NodeId>,
     ledger: Ledger,
@@ -57,7 +57,7 @@
         let mut site = Self {
             abandoned: BTreeSet::new(),
             agents: BTreeMap::new(),
-            desk: Desk::default(),
+            batcher: Batcher::default(),
             grants: BTreeMap::new(),
             keys: BTreeMap::new(),
             leader: Some(0),
@@ -150,7 +150,7 @@
         };
         let Message::Submit(actions) = message else { return };
         match self.leader {
-            Some(leader) if leader == position => self.desk.push(&from, actions),
+            Some(leader) if leader == position => self.batcher.push(&from, actions),
             Some(leader) => {
                 self.send(&to, &from, &Message::Redirect(Some(CONTROLS[leader].into())));
             }
@@ -163,9 +163,9 @@
         let Some(leader) = self.leader.filter(|_| self.now.as_millis().is_multiple_of(4)) else {
             return;
         };
-        while let Some(command) = self.desk.take() {
+        while let Some(command) = self.batcher.take() {
             let replies = self.ledger.apply(EPOCH + self.now, command.clone());
-            for (to, message) in Desk::receipts(&command, replies) {
+            for (to, message) in Batcher::receipts(&command, replies) {
                 self.send(&CONTROLS[leader].into(), &to, &message);
             }
         }
