--- a/tests/suite/claim.rs
+++ b/tests/suite/claim.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used)]
 
 mod agent;
+mod cluster;
 mod killed;
 mod ledger;
 mod replicated;
-mod site;
--- a/tests/suite/claim/site.rs
+++ b/tests/suite/claim/cluster.rs
@@ -1,4 +1,4 @@
-//! Agents and control replicas on the fake network.
+//! Simulated cluster: agents and control replicas on the fake network.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -22,7 +22,7 @@
 use hemlockfield::fake::Weather;
 use hemlockfield::id::NodeId;
 
-pub(super) const LIMIT: Duration = Duration::from_secs(30);
+pub(super) const CLAIM_LIMIT: Duration = Duration::from_secs(30);
 const EPOCH: Epoch = Duration::from_secs(1_000_000);
 const CONTROLS: [&str; 3] = ["c0", "c1", "c2"];
 
@@ -30,21 +30,21 @@
     Duration::from_millis(count)
 }
 
-/// What an entry was told of a ticket.
+/// Response of an agent to a request.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) enum Told {
+pub(super) enum Response {
     Answer(Answer),
     Granted,
     Refused,
 }
 
-/// Agents and three replicas, which share one ledger: the log is not tested here.
-pub(super) struct Site {
+/// Agents and three control replicas that share one ledger instead of a replicated log.
+pub(super) struct Cluster {
     pub(super) agents: BTreeMap<NodeId, Agent>,
     pub(super) leader: Option<usize>,
     pub(super) net: Net,
     pub(super) now: Moment,
-    pub(super) told: BTreeMap<(NodeId, Ticket), Told>,
+    pub(super) responses: BTreeMap<(NodeId, Ticket), Response>,
     abandoned: BTreeSet<(NodeId, Ticket)>,
     batcher: Batcher,
     grants: BTreeMap<NodeId, Vec<(NodeId, Ticket)>>,
@@ -52,9 +52,9 @@
     ledger: Ledger,
 }
 
-impl Site {
+impl Cluster {
     pub(super) fn new(seed: u64, weather: Weather) -> Self {
-        let mut site = Self {
+        let mut cluster = Self {
             abandoned: BTreeSet::new(),
             agents: BTreeMap::new(),
             batcher: Batcher::default(),
@@ -64,13 +64,13 @@
             ledger: Ledger::new(Limits::default()),
             net: Net::new(seed, weather),
             now: ms(10),
-            told: BTreeMap::new(),
+            responses: BTreeMap::new(),
         };
-        ["a", "b", "c"].into_iter().for_each(|entry| site.start(entry, 1));
-        site
+        ["a", "b", "c"].into_iter().for_each(|entry| cluster.start(entry, 1));
+        cluster
     }
 
-    /// Starts a process; one that ran under the name is gone with all it knew.
+    /// Starts the process of an entry; an earlier process of that name loses its state.
     pub(super) fn start(&mut self, entry: &str, incarnation: u64) {
         let agent = Agent::new(self.now, entry.into(), incarnation);
         self.agents.insert(entry.into(), agent);
@@ -93,31 +93,31 @@
 
     pub(super) fn request(&self, key: &str) -> Request {
         let slot = Slot { caller: "yard".into(), key: key.into(), service: "cert-office".into() };
-        Request { digest: 7, limit: LIMIT, slot }
+        Request { digest: 7, limit: CLAIM_LIMIT, slot }
     }
 
     pub(super) fn finish(&mut self, entry: &str, ticket: Ticket) {
         self.input(entry, Input::Finish { outcome: Outcome::ran(201, None), ticket });
     }
 
-    /// The dispatch was proved not to have happened.
+    /// Reports that a granted request provably did not run.
     pub(super) fn abandon(&mut self, entry: &str, ticket: Ticket) {
         self.abandoned.insert((entry.into(), ticket));
         self.input(entry, Input::Abandon(ticket));
     }
 
-    pub(super) fn told(&self, entry: &str, ticket: Ticket) -> Option<&Told> {
-        self.told.get(&(entry.into(), ticket))
+    pub(super) fn response(&self, entry: &str, ticket: Ticket) -> Option<&Response> {
+        self.responses.get(&(entry.into(), ticket))
     }
 
-    /// Outcome that a resend through an entry gets.
-    pub(super) fn resend(&mut self, entry: &str, ticket: Ticket, key: &str) -> Told {
+    /// Resends a request through an entry and returns the response.
+    pub(super) fn resend(&mut self, entry: &str, ticket: Ticket, key: &str) -> Response {
         self.begin(entry, ticket, key);
         self.run(ms(3_000));
-        self.told(entry, ticket).unwrap().clone()
+        self.response(entry, ticket).unwrap().clone()
     }
 
-    /// Cuts an entry's way to or from all of control.
+    /// Cuts the links of an entry to or from all control replicas.
     pub(super) fn cut(&mut self, entry: &str, to: bool, from: bool) {
         for control in CONTROLS {
             if to {
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Every 4 ms the leader's log commits what came in.
+    /// Every 4 ms, commits and applies the actions that reached the leader.
     fn sync(&mut self) {
         let Some(leader) = self.leader.filter(|_| self.now.as_millis().is_multiple_of(4)) else {
             return;
@@ -179,22 +179,24 @@
         let Some(agent) = self.agents.get_mut(entry) else { return };
         for output in agent.handle(self.now, input) {
             match output {
-                Output::Answer { answer, ticket } => self.tell(entry, ticket, Told::Answer(answer)),
+                Output::Answer { answer, ticket } => {
+                    self.respond(entry, ticket, Response::Answer(answer))
+                }
                 Output::Granted(ticket) => self.grant(entry, ticket),
-                Output::Refused { ticket, .. } => self.tell(entry, ticket, Told::Refused),
+                Output::Refused { ticket, .. } => self.respond(entry, ticket, Response::Refused),
                 Output::Send { message, to } => self.send(&entry.into(), &to, &message),
             }
         }
     }
 
-    fn tell(&mut self, entry: &str, ticket: Ticket, told: Told) {
-        let before = self.told.insert((entry.into(), ticket), told);
-        assert_eq!(before, None, "ticket {ticket} of `{entry}` was told twice");
+    fn respond(&mut self, entry: &str, ticket: Ticket, response: Response) {
+        let before = self.responses.insert((entry.into(), ticket), response);
+        assert_eq!(before, None, "ticket {ticket} of `{entry}` got two responses");
     }
 
-    /// A key is granted once, unless each earlier holder said that it did not run.
+    /// Checks that a key is granted once, unless every earlier holder abandoned it.
     fn grant(&mut self, entry: &str, ticket: Ticket) {
-        self.tell(entry, ticket, Told::Granted);
+        self.respond(entry, ticket, Response::Granted);
         let holder = (entry.into(), ticket);
         let holders = self.grants.entry(self.keys[&holder].clone()).or_default();
         let abandoned = &self.abandoned;
--- a/tests/suite/claim/ledger.rs
+++ b/tests/suite/claim/ledger.rs
@@ -1,4 +1,4 @@
-//! The replicated state.
+//! Ledger and batcher on their own.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 use rstest::rstest;
 
 const START: Epoch = Duration::from_secs(1_000_000);
-const LIMIT: Duration = Duration::from_secs(30);
+const CLAIM_LIMIT: Duration = Duration::from_secs(30);
 const DAY: Duration = Duration::from_secs(24 * 3600);
 
 fn id(entry: &str, sequence: u64) -> ClaimId {
@@ -33,7 +33,10 @@
 }
 
 fn claim_of(entry: &str, sequence: u64, slot: Slot, digest: u128) -> Action {
-    Action::Claim { claim: id(entry, sequence), request: Request { digest, limit: LIMIT, slot } }
+    Action::Claim {
+        claim: id(entry, sequence),
+        request: Request { digest, limit: CLAIM_LIMIT, slot },
+    }
 }
 
 fn finish(entry: &str, sequence: u64, key: &str, body: usize) -> Action {
@@ -88,9 +91,8 @@
     assert_eq!(act(&mut ledger, START, claim_of("b", 1, slot, digest)), reply);
 }
 
-/// An entry gives up on a claim before it is committed; its abandon overtakes the
-/// claim. The late claim is not granted, so the caller's resend through another
-/// entry is, at once.
+/// An entry abandons a claim before it is committed, and the abandon overtakes the claim. The
+/// late claim must not be granted, so that the caller's resend through another entry is.
 #[test]
 fn apply_abandon_before_claim() {
     let mut ledger = Ledger::new(Limits::default());
@@ -102,11 +104,10 @@
     assert_eq!(act(&mut ledger, START, claim("c", 1, "k")), in_progress("b"));
 }
 
-/// The entry that holds a key dies. Callers that resend get "in progress", then
-/// "unknown" once its limit is over, or at once when the entry starts anew; the
-/// key is not granted again before the window is over.
+/// The entry that holds a key crashes. Resends get "unknown" after the claim's limit, or at
+/// once when the entry restarts. The key must not be granted again before it expires.
 #[rstest]
-#[case::limit(LIMIT + Duration::from_secs(1), None)]
+#[case::limit(CLAIM_LIMIT + Duration::from_secs(1), None)]
 #[case::restart(Duration::ZERO, Some(2))]
 fn apply_claim_never_finished(#[case] later: Duration, #[case] restart: Option<u64>) {
     let mut ledger = Ledger::new(Limits::default());
@@ -117,18 +118,18 @@
     });
     assert_eq!(act(&mut ledger, START + later, claim("b", 1, "k")), unknown("a"));
     assert_eq!(act(&mut ledger, START + DAY, claim("b", 2, "k")), unknown("a"));
-    assert_eq!(act(&mut ledger, START + LIMIT + DAY, claim("b", 3, "k")), Reply::Granted);
+    assert_eq!(act(&mut ledger, START + CLAIM_LIMIT + DAY, claim("b", 3, "k")), Reply::Granted);
 }
 
-/// Control was away when the request ended, and the limit passed meanwhile. The
-/// late report still settles the key, so the caller gets the answer after all.
+/// The outcome is reported after the claim's limit, since control was away. The late report
+/// is still recorded, and the caller gets the answer.
 #[test]
 fn apply_late_finish() {
     let mut ledger = Ledger::new(Limits::default());
     act(&mut ledger, START, claim("a", 1, "k"));
-    assert_eq!(act(&mut ledger, START + LIMIT * 2, claim("b", 1, "k")), unknown("a"));
-    assert_eq!(act(&mut ledger, START + LIMIT * 2, finish("a", 1, "k", 5)), Reply::Finished);
-    assert_eq!(act(&mut ledger, START + LIMIT * 2, claim("b", 1, "k")), done(5));
+    assert_eq!(act(&mut ledger, START + CLAIM_LIMIT * 2, claim("b", 1, "k")), unknown("a"));
+    assert_eq!(act(&mut ledger, START + CLAIM_LIMIT * 2, finish("a", 1, "k", 5)), Reply::Finished);
+    assert_eq!(act(&mut ledger, START + CLAIM_LIMIT * 2, claim("b", 1, "k")), done(5));
 }
 
 #[test]
@@ -142,8 +143,8 @@
     assert_eq!(act(&mut ledger, START, claim("b", 2, "l")), in_progress("ab"));
 }
 
-/// A caller makes up keys in a loop. It is refused, as not run, at its share;
-/// other callers still get theirs, and no key is forgotten to make room.
+/// A caller generates keys in a loop. It is refused at its own limit, other callers are still
+/// granted, and no stored key is removed early.
 #[test]
 fn apply_hot_caller() {
     let limits = Limits { claims: 100, claims_per_caller: 40, ..Limits::default() };
@@ -156,7 +157,7 @@
     assert_eq!(act(&mut ledger, START, claim("b", 1, "0")), in_progress("a"));
     let retry_after = Duration::from_secs(30);
     assert_eq!(act(&mut ledger, START, claim("b", 2, "59")), Reply::Full { retry_after });
-    assert_eq!(act(&mut ledger, START + LIMIT + DAY, claim("b", 3, "59")), Reply::Granted);
+    assert_eq!(act(&mut ledger, START + CLAIM_LIMIT + DAY, claim("b", 3, "59")), Reply::Granted);
     assert_eq!(ledger.len(), 1);
 }
 
@@ -198,8 +199,8 @@
     assert_eq!(Outcome::ran(200, Some(answer)), Outcome::Ran { answer: None, status: 200 });
 }
 
-/// A record of the log can't be undone: what an entry with a fault sent must not
-/// stop every replica, at each start anew.
+/// A committed command is applied at every start, so extreme values from a faulty entry must
+/// not make the replicas panic.
 #[test]
 fn apply_extreme_figures() {
     let mut ledger = Ledger::new(Limits::default());
@@ -219,7 +220,7 @@
 #[case::own(claim("a", 1, "k"), 1)]
 #[case::of_another_entry(claim("b", 1, "k"), 0)]
 #[case::long_key(claim("a", 1, &"k".repeat(201)), 0)]
-fn push_to_desk(#[case] action: Action, #[case] count: usize) {
+fn push_invalid_action(#[case] action: Action, #[case] count: usize) {
     let mut batcher = Batcher::default();
     batcher.push(&"a".into(), vec![action]);
     assert_eq!(batcher.take().map_or(0, |command| command.actions.len()), count);
--- a/tests/suite/claim/replicated.rs
+++ b/tests/suite/claim/replicated.rs
@@ -1,4 +1,4 @@
-//! Agents over the real log: three replicas that crash, and cuts of any kind.
+//! Agents over the quorum log: replicas crash, entries restart and links are cut.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -34,11 +34,11 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use super::site::ms;
+use super::cluster::ms;
 
 const CONTROLS: [&str; 3] = ["c0", "c1", "c2"];
 const ENTRIES: [&str; 3] = ["a", "b", "c"];
-/// Commands after which a replica shortens its log.
+/// Number of log entries after which a replica takes a snapshot.
 const SNAPSHOT_EVERY: Index = 20;
 const STEP: Duration = Duration::from_millis(5);
 
@@ -48,7 +48,7 @@
     Quorum(quorum::Message),
 }
 
-/// One control VM; its disk outlives it, and syncs at once.
+/// Control VM; its disk survives a crash and syncs at once.
 struct Control {
     batcher: Batcher,
     disk: Recovered,
@@ -58,7 +58,7 @@
     tickets: u64,
 }
 
-struct World {
+struct ReplicatedCluster {
     agents: BTreeMap<NodeId, Agent>,
     controls: BTreeMap<NodeId, Control>,
     granted: BTreeMap<Ticket, NodeId>,
@@ -67,10 +67,10 @@
     net: Net,
     now: Moment,
     random: ChaCha8Rng,
-    told: BTreeMap<Ticket, Option<Answer>>,
+    responses: BTreeMap<Ticket, Option<Answer>>,
 }
 
-impl World {
+impl ReplicatedCluster {
     fn new(seed: u64) -> Self {
         let weather =
             Weather { loss: 0.05, duplication: 0.05, delay_min: ms(1), delay_max: ms(20) };
@@ -82,7 +82,7 @@
             replica: None,
             tickets: 0,
         };
-        let mut world = Self {
+        let mut cluster = Self {
             agents: BTreeMap::new(),
             controls: CONTROLS.iter().map(|id| (NodeId::from(*id), control())).collect(),
             granted: BTreeMap::new(),
@@ -91,12 +91,12 @@
             net: Net::new(seed, weather),
             now: ms(5),
             random: ChaCha8Rng::seed_from_u64(seed),
-            told: BTreeMap::new(),
+            responses: BTreeMap::new(),
         };
-        CONTROLS.iter().for_each(|id| world.start_control(id));
-        ENTRIES.iter().for_each(|id| world.start_entry(id));
-        world.run(ms(5_000));
-        world
+        CONTROLS.iter().for_each(|id| cluster.start_control(id));
+        ENTRIES.iter().for_each(|id| cluster.start_entry(id));
+        cluster.run(ms(5_000));
+        cluster
     }
 
     fn start_control(&mut self, id: &str) {
@@ -235,9 +235,11 @@
         let Some(agent) = self.agents.get_mut(entry) else { return };
         for output in agent.handle(self.now, input) {
             match output {
-                Output::Answer { answer, ticket } => drop(self.told.insert(ticket, Some(answer))),
+                Output::Answer { answer, ticket } => {
+                    drop(self.responses.insert(ticket, Some(answer)))
+                }
                 Output::Granted(ticket) => self.grant(entry, ticket),
-                Output::Refused { ticket, .. } => drop(self.told.insert(ticket, None)),
+                Output::Refused { ticket, .. } => drop(self.responses.insert(ticket, None)),
                 Output::Send { message, to } => {
                     self.send(&entry.into(), &to, &Wire::Claim(message));
                 }
@@ -245,7 +247,7 @@
         }
     }
 
-    /// A key is granted while nobody holds it; only an abandon frees it.
+    /// Checks that no other claim holds the key; only an abandon frees it.
     fn grant(&mut self, entry: &str, ticket: Ticket) {
         let holder = self.holders.insert(self.keys[&ticket], ticket);
         assert_eq!(
@@ -256,34 +258,34 @@
         self.granted.insert(ticket, entry.into());
     }
 
-    /// Something that a caller, an upstream or the platform does.
-    fn happen(&mut self, ticket: Ticket) {
+    /// One random step: a request, its end, a crash, a restart or a change of the network.
+    fn random_step(&mut self, ticket: Ticket) {
         let entry = *ENTRIES.choose(&mut self.random).unwrap();
         let control = *CONTROLS.choose(&mut self.random).unwrap();
         let key = self.random.random_range(0..ticket / 4 + 1);
         match self.random.random_range(0..20) {
             0 => self.start_entry(entry),
             1 => self.controls.get_mut(control).unwrap().replica = None,
-            2 | 3 => CONTROLS.iter().for_each(|id| self.revive(id)),
+            2 | 3 => CONTROLS.iter().for_each(|id| self.restart_control(id)),
             4 => self.net.cut(&entry.into(), &control.into()),
             5 => self.net.cut(&control.into(), &entry.into()),
             6 => self.net.cut(&control.into(), &CONTROLS[(ticket % 3) as usize].into()),
             7 | 8 => self.net.heal_all(),
-            9..=12 => self.end_one(),
+            9..=12 => self.end_request(),
             _ => self.begin(entry, ticket, key),
         }
         let pause = self.random.random_range(0..800);
         self.run(ms(pause));
     }
 
-    fn revive(&mut self, id: &str) {
+    fn restart_control(&mut self, id: &str) {
         if self.controls[id].replica.is_none() {
             self.start_control(id);
         }
     }
 
-    /// One granted request ends, or is proved not to have run.
-    fn end_one(&mut self) {
+    /// Ends one granted request, or abandons it as not run.
+    fn end_request(&mut self) {
         let Some((ticket, entry)) = self.granted.pop_first() else { return };
         if self.random.random_bool(0.3) {
             self.holders.remove(&self.keys[&ticket]);
@@ -294,26 +296,25 @@
     }
 }
 
-/// Callers resend keyed requests through three entries, while control VMs crash
-/// and come back, entries restart, and links are cut one way or both.
-/// No key is granted twice without an abandon by its holder, which is checked at
-/// each grant; the log orders the claims, and a claim has one name over all its
-/// resends. When the faults end, a new key is granted, and each old one has an
-/// answer that is not "not run" for a request that ran.
+/// Callers resend requests with keys through three entries, while control VMs crash and
+/// restart, entries restart, and links are cut in one or both directions. No key may be
+/// granted twice without an abandon by its holder, which is checked at each grant. After the
+/// faults end, a new key is granted, and a resend of each held key gets an answer instead of
+/// a refusal as not run.
 #[test]
 fn begin_over_replicated_log() {
     for seed in 0..30 {
-        let mut world = World::new(seed);
-        (1..=80).for_each(|ticket| world.happen(ticket));
-        world.net.heal_all();
-        CONTROLS.iter().for_each(|id| world.revive(id));
-        world.run(ms(15_000));
-        world.begin("a", 1_000, 1_000);
-        let held = world.holders.keys().copied().collect::<Vec<_>>();
-        (1_001..).zip(&held).for_each(|(ticket, key)| world.begin("b", ticket, *key));
-        world.run(ms(3_000));
-        assert!(world.granted.contains_key(&1_000), "seed {seed}");
-        let answered = |ticket| matches!(world.told.get(&ticket), Some(Some(_)));
+        let mut cluster = ReplicatedCluster::new(seed);
+        (1..=80).for_each(|ticket| cluster.random_step(ticket));
+        cluster.net.heal_all();
+        CONTROLS.iter().for_each(|id| cluster.restart_control(id));
+        cluster.run(ms(15_000));
+        cluster.begin("a", 1_000, 1_000);
+        let held = cluster.holders.keys().copied().collect::<Vec<_>>();
+        (1_001..).zip(&held).for_each(|(ticket, key)| cluster.begin("b", ticket, *key));
+        cluster.run(ms(3_000));
+        assert!(cluster.granted.contains_key(&1_000), "seed {seed}");
+        let answered = |ticket| matches!(cluster.responses.get(&ticket), Some(Some(_)));
         assert!((1_001..).zip(&held).all(|(ticket, _)| answered(ticket)), "seed {seed}");
     }
 }
