--- a/src/storage.rs
+++ b/src/storage.rs
@@ -1,8 +1,8 @@
-//! The data folder: checksummed records, synced before anything depends on them.
+//! Data folder: checksummed records that are synced before anything depends on them.
 //!
-//! One [`Log`] keeps the records of one quorum replica. It works over a [`Disk`]:
-//! [`Folder`] is the real one, [`crate::fake::Disk`] forgets what was not synced.
-//! `docs/design/storage.md` gives the layout and the repair procedure.
+//! A [`Log`] stores the records of one quorum replica on a [`Disk`]. [`Folder`] is the
+//! real file system; [`crate::fake::Disk`] simulates the loss of unsynced data.
+//! `docs/design/storage.md` describes the layout and the repair procedure.
 
 mod disk;
 mod error;
--- a/src/storage/disk.rs
+++ b/src/storage/disk.rs
@@ -1,32 +1,32 @@
-//! What the log needs of a folder.
+//! File operations that the log needs.
 
 use std::fmt::Debug;
 use std::io::Result;
 
-/// One flat folder of files. Nothing lasts until it is synced: contents by
+/// Flat folder of files. Nothing is durable until it is synced: contents by
 /// [`Disk::sync`], names by [`Disk::sync_names`].
 pub trait Disk: Debug + Send {
-    /// Appends to a file, which is created where it doesn't exist.
+    /// Appends to a file and creates it if it doesn't exist.
     fn append(&mut self, file: &str, bytes: &[u8]) -> Result<()>;
 
-    /// Names of all files, in order.
+    /// Sorted names of all files.
     fn list(&self) -> Result<Vec<String>>;
 
-    /// Whole contents of a file.
+    /// Reads a whole file.
     fn read(&self, file: &str) -> Result<Vec<u8>>;
 
     /// Removes a file.
     fn remove(&mut self, file: &str) -> Result<()>;
 
-    /// Renames a file, in place of any file of the new name.
+    /// Renames a file and replaces any file with the new name.
     fn rename(&mut self, from: &str, to: &str) -> Result<()>;
 
-    /// Makes the contents of a file last.
+    /// Makes the contents of a file durable.
     fn sync(&mut self, file: &str) -> Result<()>;
 
-    /// Makes the names in the folder last.
+    /// Makes created, renamed and removed names durable.
     fn sync_names(&mut self) -> Result<()>;
 
-    /// Cuts a file to `length` bytes.
+    /// Truncates a file to `length` bytes and creates it if it doesn't exist.
     fn truncate(&mut self, file: &str, length: u64) -> Result<()>;
 }
--- a/src/storage/error.rs
+++ b/src/storage/error.rs
@@ -1,14 +1,14 @@
-//! What goes wrong with a data folder, and what to do about it.
+//! Errors of a data folder.
 
 use std::io;
 use std::path::PathBuf;
 
 use thiserror::Error;
 
-/// What goes wrong with a data folder, and what to do about it.
+/// Error of a data folder; its text says what to do about it.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// The log refused a call after an earlier error.
+    /// The log is closed after an earlier error.
     #[error("the log `{file}` is closed after an earlier error; open the data folder again")]
     Closed {
         /// File of the log.
@@ -23,33 +23,33 @@
     Damaged {
         /// Damaged file.
         file: String,
-        /// Where the damage starts.
+        /// Offset at which the damage starts.
         offset: u64,
     },
-    /// The file system refused.
+    /// The file system failed.
     #[error("can't use `{file}`: {source}")]
     Disk {
-        /// File in question.
+        /// File that was used.
         file: String,
-        /// What the file system said.
+        /// Error of the file system.
         source: io::Error,
     },
-    /// No space is left.
+    /// No space is left on the disk.
     #[error(
         "no space is left to write `{file}`; nothing of it counts: \
          free some space and start again"
     )]
     Full {
-        /// File that was to grow.
+        /// File that was written.
         file: String,
     },
-    /// Another process has the folder open.
+    /// Another process has the data folder open.
     #[error("another process uses the data folder `{}`; stop it first", folder.display())]
     Locked {
-        /// The folder.
+        /// Path of the folder.
         folder: PathBuf,
     },
-    /// A file that must be there is not.
+    /// A required file is missing.
     #[error(
         "`{file}` is missing from the data folder; move the folder away, \
          start with an empty one, and replace this member"
@@ -58,19 +58,19 @@
         /// Missing file.
         file: String,
     },
-    /// A record is whole, yet it can't be decoded.
+    /// A record has a valid checksum, but can't be decoded.
     #[error("`{file}` holds a record of another version at byte {offset}; start that version")]
     Unreadable {
         /// File with the record.
         file: String,
-        /// Where the record starts.
+        /// Offset at which the record starts.
         offset: u64,
     },
 }
 
 impl Error {
-    /// Error of the file system while it worked on `file`.
-    pub(super) fn of(file: &str, source: io::Error) -> Self {
+    /// Converts an error of the file system on `file`.
+    pub(super) fn from_io(file: &str, source: io::Error) -> Self {
         let file = file.to_owned();
         match source.kind() {
             io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => Self::Full { file },
--- a/src/storage/folder.rs
+++ b/src/storage/folder.rs
@@ -1,4 +1,4 @@
-//! A folder of the real file system.
+//! Disk in a folder of the real file system.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -11,11 +11,11 @@
 use super::disk::Disk;
 use super::error::Error;
 
-/// Name of the file whose lock keeps a second process out.
-const LOCK: &str = "lock";
+/// Name of the file that is locked while a process uses the folder.
+const LOCK_FILE: &str = "lock";
 
-/// A folder of the real file system, locked against other processes. Two that
-/// wrote to one log would each void what the other had synced.
+/// Folder of the real file system, locked against other processes. Two processes that
+/// write to one log would invalidate each other's synced records.
 #[derive(Debug)]
 pub struct Folder {
     _lock: File,
@@ -24,16 +24,21 @@
 }
 
 impl Folder {
-    /// Opens the folder, and creates it where it doesn't exist.
+    /// Opens and locks the folder, and creates it if it doesn't exist.
+    ///
+    /// # Errors
+    ///
+    /// [`Error::Locked`] if another process uses the folder; otherwise an error of the
+    /// file system.
     pub fn open(path: &Path) -> std::result::Result<Self, Error> {
-        let shown = path.display().to_string();
-        let lock = create(path).map_err(|source| Error::of(&shown, source))?;
+        let name = path.display().to_string();
+        let lock = create(path).map_err(|source| Error::from_io(&name, source))?;
         match lock.try_lock() {
             Ok(()) => {}
             Err(fs::TryLockError::WouldBlock) => {
                 return Err(Error::Locked { folder: path.to_owned() });
             }
-            Err(fs::TryLockError::Error(source)) => return Err(Error::of(&shown, source)),
+            Err(fs::TryLockError::Error(source)) => return Err(Error::from_io(&name, source)),
         }
         Ok(Self { _lock: lock, open: BTreeMap::new(), path: path.to_owned() })
     }
@@ -57,7 +62,7 @@
         let mut names = Vec::new();
         for entry in fs::read_dir(&self.path)? {
             let name = entry?.file_name();
-            names.extend(name.into_string().ok().filter(|name| name != LOCK));
+            names.extend(name.into_string().ok().filter(|name| name != LOCK_FILE));
         }
         names.sort();
         Ok(names)
@@ -91,13 +96,13 @@
     }
 }
 
-/// Creates the folder, and syncs its name in the folder above.
+/// Creates the folder, syncs its name in the parent folder, and opens the lock file.
 fn create(path: &Path) -> Result<File> {
     if !path.exists() {
         fs::create_dir_all(path)?;
-        if let Some(above) = path.parent().filter(|above| !above.as_os_str().is_empty()) {
-            File::open(above)?.sync_all()?;
+        if let Some(parent) = path.parent().filter(|parent| !parent.as_os_str().is_empty()) {
+            File::open(parent)?.sync_all()?;
         }
     }
-    fs::OpenOptions::new().create(true).truncate(false).write(true).open(path.join(LOCK))
+    fs::OpenOptions::new().create(true).truncate(false).write(true).open(path.join(LOCK_FILE))
 }
--- a/src/storage/frame.rs
+++ b/src/storage/frame.rs
@@ -1,9 +1,9 @@
-//! Frames: length, checksum and the records of one sync.
+//! Frames of a log file: length, checksum and the records of one sync.
 //!
-//! Each frame says how much of the file was synced when it was written. So a whole
-//! frame after a broken one can prove that the broken one was synced once: that
-//! is damage. Without such a proof the broken one was under way in a crash: a torn
-//! tail.
+//! Each frame states how much of the file was synced when it was written. A complete
+//! frame after a broken one can thus prove that the broken one had been synced, which
+//! means damage. Without such proof, a crash interrupted the write of the broken frame,
+//! which is a torn tail.
 
 use std::io::ErrorKind;
 
@@ -16,43 +16,43 @@
 use crate::id::Term;
 use crate::quorum::Record;
 
-/// Start of each frame, to find the next one after a broken one. Not valid UTF-8,
-/// so that no text holds it.
+/// Start of each frame, by which the next frame after a broken one is found. Not valid
+/// UTF-8, so that no text contains it.
 const MAGIC: [u8; 4] = [0xF7, b'h', b'l', 0xF8];
-/// Magic, length and checksum, each of four bytes.
-const HEADER: usize = 12;
+/// Size of the header: magic, length and checksum of four bytes each.
+const HEADER_BYTES: usize = 12;
 
 /// Records of one sync.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(super) struct Frame {
-    /// Counts the frames of a log, from 0.
+    /// Position of the frame in the file, from 0.
     pub(super) number: u64,
-    /// Records, none of them a snapshot; none at all in a seal.
+    /// Records, none of them a snapshot; empty in a seal.
     pub(super) records: Vec<Record>,
-    /// In the first frame, the snapshot that the log continues.
+    /// In the first frame, the snapshot that the log file follows.
     pub(super) snapshot: Option<(Index, Term)>,
     /// Bytes of the file that were synced when the frame was written.
     pub(super) synced: u64,
 }
 
-/// What a scan of a log file finds.
+/// Result of a scan of a log file.
 #[derive(Debug)]
 pub(super) struct Scan {
-    /// Where the last whole frame ends.
+    /// Offset of the end of the last complete frame.
     pub(super) end: u64,
-    /// Whole frames, in order.
+    /// Complete frames, in order.
     pub(super) frames: Vec<Frame>,
 }
 
-/// Encodes one value with its header.
+/// Encodes a value with the header of a frame.
 pub(super) fn encode<T>(file: &str, value: &T) -> Result<Vec<u8>, Error>
 where
     T: Serialize,
 {
-    let invalid = || Error::of(file, ErrorKind::InvalidData.into());
+    let invalid = || Error::from_io(file, ErrorKind::InvalidData.into());
     let payload = postcard::to_stdvec(value).map_err(|_| invalid())?;
     let length = u32::try_from(payload.len()).map_err(|_| invalid())?.to_le_bytes();
-    let mut bytes = Vec::with_capacity(HEADER + payload.len());
+    let mut bytes = Vec::with_capacity(HEADER_BYTES + payload.len());
     bytes.extend_from_slice(&MAGIC);
     bytes.extend_from_slice(&length);
     bytes.extend_from_slice(&checksum(length, &payload).to_le_bytes());
@@ -71,7 +71,7 @@
     postcard::from_bytes(payload).map_err(|_| Error::Unreadable { file: file.to_owned(), offset })
 }
 
-/// Reads the frames of a log file up to its end or its torn tail.
+/// Reads the frames of a log file up to its end or torn tail.
 pub(super) fn scan(file: &str, bytes: &[u8]) -> Result<Scan, Error> {
     let mut frames: Vec<Frame> = Vec::new();
     let mut end = 0;
@@ -83,7 +83,7 @@
             return Err(Error::Damaged { file: file.to_owned(), offset: end as u64 });
         }
         frames.push(frame);
-        end += HEADER + payload.len();
+        end += HEADER_BYTES + payload.len();
     }
     if was_synced(end as u64, &bytes[end..]) {
         return Err(Error::Damaged { file: file.to_owned(), offset: end as u64 });
@@ -102,16 +102,16 @@
     })
 }
 
-/// Payload of the frame at the start of `bytes`, if it is whole.
+/// Payload of the frame at the start of `bytes`, if complete and undamaged.
 fn payload(bytes: &[u8]) -> Option<&[u8]> {
-    let header = bytes.get(..HEADER)?;
+    let header = bytes.get(..HEADER_BYTES)?;
     let (magic, rest) = header.split_at(4);
-    let (length, sum) = rest.split_at(4);
+    let (length, expected) = rest.split_at(4);
     let length: [u8; 4] = length.try_into().ok()?;
-    let sum = u32::from_le_bytes(sum.try_into().ok()?);
-    let end = HEADER.checked_add(usize::try_from(u32::from_le_bytes(length)).ok()?)?;
-    let payload = bytes.get(HEADER..end)?;
-    (magic == MAGIC && checksum(length, payload) == sum).then_some(payload)
+    let expected = u32::from_le_bytes(expected.try_into().ok()?);
+    let end = HEADER_BYTES.checked_add(usize::try_from(u32::from_le_bytes(length)).ok()?)?;
+    let payload = bytes.get(HEADER_BYTES..end)?;
+    (magic == MAGIC && checksum(length, payload) == expected).then_some(payload)
 }
 
 fn checksum(length: [u8; 4], payload: &[u8]) -> u32 {
--- a/src/storage/log.rs
+++ b/src/storage/log.rs
@@ -1,4 +1,4 @@
-//! The log of one replica.
+//! Log of one replica on disk.
 
 use std::sync::Arc;
 
@@ -12,76 +12,87 @@
 use crate::quorum::Recovered;
 use crate::quorum::Snapshot;
 
-/// Prefix of a log file; its generation follows, and the highest one counts.
-const LOG: &str = "log-";
-/// Prefix of a snapshot file; its position and term follow.
-const SNAPSHOT: &str = "snapshot-";
-/// File that is not complete yet.
-const DRAFT: &str = "draft";
+/// Prefix of the name of a log file, followed by its generation; the highest one is
+/// current.
+const LOG_PREFIX: &str = "log-";
+/// Prefix of the name of a snapshot file, followed by its index and term.
+const SNAPSHOT_PREFIX: &str = "snapshot-";
+/// Name of a file that is not complete yet.
+const TEMPORARY_FILE: &str = "draft";
 
 /// Log of one replica in a data folder.
 ///
-/// A snapshot starts a new log file, written and synced under another name, with
-/// what is still needed; the old one is removed. After an error the log is
-/// closed: what a failed sync has kept, nobody can tell, and a second sync may
-/// say it is well. Opening the folder again reads what is really there.
+/// A snapshot starts a new log file with the records that are still needed. It is
+/// written and synced under a temporary name, and then the old file is removed. After an
+/// error the log is closed: it is unknown what a failed sync has written, and a second
+/// sync may wrongly succeed. Opening the folder again reads what is on disk.
 #[derive(Debug)]
 pub struct Log {
-    closed: bool,
+    is_closed: bool,
     disk: Box<dyn Disk>,
     file: String,
     generation: u64,
     length: u64,
-    next: u64,
+    next_frame: u64,
     pending: Vec<Record>,
     synced: u64,
 }
 
 impl Log {
-    /// Opens the log, cuts a torn tail, and gives what the folder knows.
+    /// Opens the log, truncates a torn tail and returns the recovered state.
+    ///
+    /// # Errors
+    ///
+    /// [`Error::Damaged`], [`Error::Missing`] or [`Error::Unreadable`] for the contents;
+    /// otherwise an error of the file system.
     pub fn open(disk: Box<dyn Disk>) -> Result<(Self, Recovered), Error> {
-        let names = disk.list().map_err(|source| Error::of("the data folder", source))?;
+        let names = disk.list().map_err(|source| Error::from_io("the data folder", source))?;
         if let Some(newest) = names.iter().filter_map(|name| generation(name)).max() {
             return Self::reopen(disk, newest);
         }
-        if names.iter().any(|name| name.starts_with(SNAPSHOT)) {
+        if names.iter().any(|name| name.starts_with(SNAPSHOT_PREFIX)) {
             return Err(Error::Missing { file: log_name(0) });
         }
-        Ok((Self::blank(disk), Recovered::default()))
+        Ok((Self::empty(disk), Recovered::default()))
     }
 
     fn reopen(mut disk: Box<dyn Disk>, generation: u64) -> Result<(Self, Recovered), Error> {
         let file = log_name(generation);
-        let bytes = disk.read(&file).map_err(|source| Error::of(&file, source))?;
+        let bytes = disk.read(&file).map_err(|source| Error::from_io(&file, source))?;
         let scan = frame::scan(&file, &bytes)?;
-        // Each later log was renamed only when its first frame was synced.
+        // A later log file gets its name only after its first frame is synced.
         if generation > 0 && scan.frames.is_empty() {
             return Err(Error::Damaged { file, offset: 0 });
         }
-        let torn = scan.end < bytes.len() as u64;
-        settle(disk.as_mut(), &file, torn.then_some(scan.end))?;
-        let next = scan.frames.len() as u64;
-        let named = scan.frames.first().and_then(|frame| frame.snapshot);
+        let is_torn = scan.end < bytes.len() as u64;
+        sync_recovered(disk.as_mut(), &file, is_torn.then_some(scan.end))?;
+        let next_frame = scan.frames.len() as u64;
+        let snapshot_id = scan.frames.first().and_then(|frame| frame.snapshot);
         let mut recovered = replay(scan.frames);
-        recovered.snapshot = named.map(|it| read_snapshot(disk.as_ref(), it)).transpose()?;
+        recovered.snapshot = snapshot_id.map(|it| read_snapshot(disk.as_ref(), it)).transpose()?;
         let (length, synced) = (scan.end, scan.end);
-        let mut log = Self { file, generation, length, next, synced, ..Self::blank(disk) };
-        log.sweep(named)?;
+        let mut log = Self { file, generation, length, next_frame, synced, ..Self::empty(disk) };
+        log.remove_obsolete(snapshot_id)?;
         Ok((log, recovered))
     }
 
-    /// Takes records, in order, for the next sync.
+    /// Queues records for the next sync, in order.
     pub fn append(&mut self, records: &[Record]) {
         self.pending.extend_from_slice(records);
     }
 
-    /// Writes all that was appended and syncs it once; a snapshot among it costs
-    /// its own syncs. Only after `Ok` may anything depend on the records.
+    /// Writes all queued records and syncs them once; each snapshot among them needs
+    /// further syncs. Nothing may depend on the records before this returns `Ok`.
+    ///
+    /// # Errors
+    ///
+    /// [`Error::Closed`] after an earlier error; otherwise an error of the file system, or
+    /// of the log file that is read again for a snapshot.
     pub fn sync(&mut self) -> Result<(), Error> {
-        if self.closed {
+        if self.is_closed {
             return Err(Error::Closed { file: self.file.clone() });
         }
-        self.closed = true;
+        self.is_closed = true;
         let mut records = Vec::new();
         for record in std::mem::take(&mut self.pending) {
             match record {
@@ -93,7 +104,7 @@
             }
         }
         self.write_frame(records)?;
-        self.closed = false;
+        self.is_closed = false;
         Ok(())
     }
 
@@ -102,14 +113,14 @@
         self.length
     }
 
-    fn blank(disk: Box<dyn Disk>) -> Self {
+    fn empty(disk: Box<dyn Disk>) -> Self {
         Self {
-            closed: false,
+            is_closed: false,
             disk,
             file: log_name(0),
             generation: 0,
             length: 0,
-            next: 0,
+            next_frame: 0,
             pending: Vec::new(),
             synced: 0,
         }
@@ -119,102 +130,106 @@
         if records.is_empty() {
             return Ok(());
         }
-        let first = self.next == 0;
+        let is_first = self.next_frame == 0;
         self.write(records)?;
-        self.disk.sync(&self.file).map_err(|source| Error::of(&self.file, source))?;
+        self.disk.sync(&self.file).map_err(|source| Error::from_io(&self.file, source))?;
         self.synced = self.length;
-        if first {
-            self.disk.sync_names().map_err(|source| Error::of(&self.file, source))?;
+        if is_first {
+            self.disk.sync_names().map_err(|source| Error::from_io(&self.file, source))?;
         }
         self.seal()
     }
 
-    /// Writes an empty frame, which needs no sync of its own. Once the system has
-    /// written it back, damage to the last records of an idle log is told from a
-    /// torn tail.
+    /// Writes an empty frame, which needs no sync of its own. Once the system has written
+    /// it back, damage to the last records of an idle log can be told from a torn tail.
     fn seal(&mut self) -> Result<(), Error> {
         self.write(Vec::new())
     }
 
     fn write(&mut self, records: Vec<Record>) -> Result<(), Error> {
-        let frame = Frame { number: self.next, records, snapshot: None, synced: self.synced };
+        let frame = Frame { number: self.next_frame, records, snapshot: None, synced: self.synced };
         let bytes = frame::encode(&self.file, &frame)?;
         if let Err(source) = self.disk.append(&self.file, &bytes) {
-            // A part that stays is cut as a torn tail when the folder is opened.
+            // If this fails, the partial frame is truncated as a torn tail at the next open.
             let _ = self.disk.truncate(&self.file, self.length);
-            return Err(Error::of(&self.file, source));
+            return Err(Error::from_io(&self.file, source));
         }
         self.length += bytes.len() as u64;
-        self.next += 1;
+        self.next_frame += 1;
         Ok(())
     }
 
-    /// Saves the snapshot, then starts a log that continues it. A crash at any
-    /// point leaves the old log with its snapshot, or the new one with its own.
+    /// Saves the snapshot, then starts a log file that follows it. A crash at any point
+    /// leaves either the old log file with its snapshot or the new one with its own.
     fn save_snapshot(&mut self, snapshot: Arc<Snapshot>) -> Result<(), Error> {
-        let named = (snapshot.index, snapshot.term);
-        let file = snapshot_name(named);
-        self.write_whole(&file, &frame::encode(&file, snapshot.as_ref())?)?;
-        let mut recovered = self.reread()?;
+        let snapshot_id = (snapshot.index, snapshot.term);
+        let file = snapshot_name(snapshot_id);
+        self.write_atomically(&file, &frame::encode(&file, snapshot.as_ref())?)?;
+        let mut recovered = self.read_back()?;
         recovered.apply(Record::Snapshot(snapshot));
         let records = records_of(recovered);
         let file = log_name(self.generation + 1);
-        let bytes =
-            frame::encode(&file, &Frame { number: 0, records, snapshot: Some(named), synced: 0 })?;
-        self.write_whole(&file, &bytes)?;
+        let bytes = frame::encode(
+            &file,
+            &Frame { number: 0, records, snapshot: Some(snapshot_id), synced: 0 },
+        )?;
+        self.write_atomically(&file, &bytes)?;
         self.file = file;
         self.generation += 1;
         self.length = bytes.len() as u64;
         self.synced = self.length;
-        self.next = 1;
-        self.sweep(Some(named))
+        self.next_frame = 1;
+        self.remove_obsolete(Some(snapshot_id))
     }
 
-    fn reread(&self) -> Result<Recovered, Error> {
-        if self.next == 0 {
+    fn read_back(&self) -> Result<Recovered, Error> {
+        if self.next_frame == 0 {
             return Ok(Recovered::default());
         }
-        let bytes = self.disk.read(&self.file).map_err(|source| Error::of(&self.file, source))?;
+        let bytes =
+            self.disk.read(&self.file).map_err(|source| Error::from_io(&self.file, source))?;
         Ok(replay(frame::scan(&self.file, &bytes)?.frames))
     }
 
-    /// Writes a file that exists either whole or not at all.
-    fn write_whole(&mut self, file: &str, bytes: &[u8]) -> Result<(), Error> {
+    /// Writes a file atomically: after a crash it is either complete or absent.
+    fn write_atomically(&mut self, file: &str, bytes: &[u8]) -> Result<(), Error> {
         let disk = &mut self.disk;
         let written = disk
-            .truncate(DRAFT, 0)
-            .and_then(|()| disk.append(DRAFT, bytes))
-            .and_then(|()| disk.sync(DRAFT))
-            .and_then(|()| disk.rename(DRAFT, file))
+            .truncate(TEMPORARY_FILE, 0)
+            .and_then(|()| disk.append(TEMPORARY_FILE, bytes))
+            .and_then(|()| disk.sync(TEMPORARY_FILE))
+            .and_then(|()| disk.rename(TEMPORARY_FILE, file))
             .and_then(|()| disk.sync_names());
         if written.is_err() {
-            // Gives a full disk its space back; opening the folder does it too.
-            let _ = disk.remove(DRAFT);
+            // Frees space on a full disk; opening the folder removes the file too.
+            let _ = disk.remove(TEMPORARY_FILE);
         }
-        written.map_err(|source| Error::of(file, source))
+        written.map_err(|source| Error::from_io(file, source))
     }
 
-    /// Removes the files that nothing names any more.
-    fn sweep(&mut self, named: Option<(Index, Term)>) -> Result<(), Error> {
-        let kept = named.map(snapshot_name);
-        let names = self.disk.list().map_err(|source| Error::of(&self.file, source))?;
+    /// Removes all log, snapshot and temporary files except the current ones.
+    fn remove_obsolete(&mut self, snapshot_id: Option<(Index, Term)>) -> Result<(), Error> {
+        let kept = snapshot_id.map(snapshot_name);
+        let names = self.disk.list().map_err(|source| Error::from_io(&self.file, source))?;
         for name in names {
-            let ours = name == DRAFT || name.starts_with(SNAPSHOT) || generation(&name).is_some();
-            if ours && name != self.file && Some(&name) != kept.as_ref() {
-                self.disk.remove(&name).map_err(|source| Error::of(&name, source))?;
+            let is_ours = name == TEMPORARY_FILE
+                || name.starts_with(SNAPSHOT_PREFIX)
+                || generation(&name).is_some();
+            if is_ours && name != self.file && Some(&name) != kept.as_ref() {
+                self.disk.remove(&name).map_err(|source| Error::from_io(&name, source))?;
             }
         }
         Ok(())
     }
 }
 
-/// Cuts a torn tail, and makes what a crash may have left unsynced last.
-fn settle(disk: &mut dyn Disk, file: &str, cut: Option<u64>) -> Result<(), Error> {
-    let settled = cut
+/// Truncates a torn tail and syncs what a crash may have left unsynced.
+fn sync_recovered(disk: &mut dyn Disk, file: &str, truncate_to: Option<u64>) -> Result<(), Error> {
+    let synced = truncate_to
         .map_or(Ok(()), |length| disk.truncate(file, length))
         .and_then(|()| disk.sync(file))
         .and_then(|()| disk.sync_names());
-    settled.map_err(|source| Error::of(file, source))
+    synced.map_err(|source| Error::from_io(file, source))
 }
 
 fn replay(frames: Vec<Frame>) -> Recovered {
@@ -232,26 +247,26 @@
     identity.into_iter().chain([ballot]).chain(entries).collect()
 }
 
-fn read_snapshot(disk: &dyn Disk, named: (Index, Term)) -> Result<Arc<Snapshot>, Error> {
-    let file = snapshot_name(named);
+fn read_snapshot(disk: &dyn Disk, snapshot_id: (Index, Term)) -> Result<Arc<Snapshot>, Error> {
+    let file = snapshot_name(snapshot_id);
     let bytes = match disk.read(&file) {
         Ok(bytes) => bytes,
         Err(source) if source.kind() == std::io::ErrorKind::NotFound => {
             return Err(Error::Missing { file });
         }
-        Err(source) => return Err(Error::of(&file, source)),
+        Err(source) => return Err(Error::from_io(&file, source)),
     };
     frame::decode(&file, 0, &bytes).map(Arc::new)
 }
 
 fn generation(name: &str) -> Option<u64> {
-    u64::from_str_radix(name.strip_prefix(LOG)?, 16).ok()
+    u64::from_str_radix(name.strip_prefix(LOG_PREFIX)?, 16).ok()
 }
 
 fn log_name(generation: u64) -> String {
-    format!("{LOG}{generation:016x}")
+    format!("{LOG_PREFIX}{generation:016x}")
 }
 
 fn snapshot_name((index, term): (Index, Term)) -> String {
-    format!("{SNAPSHOT}{index:016x}-{term:016x}")
+    format!("{SNAPSHOT_PREFIX}{index:016x}-{term:016x}")
 }
--- a/tests/suite/storage.rs
+++ b/tests/suite/storage.rs
@@ -18,7 +18,7 @@
 use proptest::proptest;
 use rstest::rstest;
 
-const LOG: &str = "log-0000000000000000";
+const LOG_FILE: &str = "log-0000000000000000";
 
 fn identity() -> Record {
     Record::Identity(Identity { disk: 7, founders: Membership::founding(["control-1".into()]) })
@@ -43,14 +43,15 @@
     log.sync()
 }
 
-fn sum(records: &[Record]) -> Recovered {
+fn recover(records: &[Record]) -> Recovered {
     let mut recovered = Recovered::default();
     records.iter().cloned().for_each(|record| recovered.apply(record));
     recovered
 }
 
-/// Records of a life with an overwritten tail and two kinds of snapshot.
-fn life() -> Vec<Vec<Record>> {
+/// Records of several syncs, with an overwritten tail and snapshots of both kinds: of the own
+/// log and from a leader.
+fn history() -> Vec<Vec<Record>> {
     let ballot = |term| Record::Ballot { term, vote: Some("control-1".into()) };
     vec![
         vec![identity(), ballot(1)],
@@ -63,16 +64,16 @@
     ]
 }
 
-// A restart at any point gives back what was written, on a real folder.
+// Each restart on a real folder must recover everything written before.
 #[test]
 fn open_real_folder() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("data");
     let mut written = Vec::new();
-    for records in life() {
+    for records in history() {
         let disk = reopen(&path);
         let (mut log, recovered) = Log::open(Box::new(disk)).expect("opens");
-        assert_eq!(recovered, sum(&written));
+        assert_eq!(recovered, recover(&written));
         write(&mut log, &records).expect("writes");
         written.extend(records);
     }
@@ -81,9 +82,9 @@
     assert_eq!(names.len(), 2, "old files are removed: {names:?}");
 }
 
-/// Opens a folder that was closed a moment ago. Another test that starts a process at that
-/// moment holds a copy of the lock between its fork and its exec; the lock is free as soon
-/// as that is over. That a folder in use stays locked is `open_locked`'s to show.
+/// Opens a folder that was just closed. Another test that starts a process at the same time
+/// holds a copy of the lock between fork and exec, so this retries until the lock is free.
+/// `open_locked` checks that a folder in use stays locked.
 fn reopen(path: &std::path::Path) -> Folder {
     loop {
         match Folder::open(path) {
@@ -93,8 +94,8 @@
     }
 }
 
-// An operator starts a second process on the same folder by mistake. It refuses,
-// for two writers would each void what the other has synced.
+// An operator starts a second process on the same folder by mistake. It must fail, since two
+// writers would invalidate each other's synced records.
 #[test]
 fn open_locked() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -103,33 +104,36 @@
     assert!(matches!(second, Err(Error::Locked { .. })), "{second:?}");
 }
 
-// Power fails at any moment, between write and sync too. What was synced is
-// there; of what was under way, a prefix, since a frame says how much was synced
-// before it, and names change only to synced files.
+// Power fails at any moment, also between write and sync. Everything synced must be
+// recovered, and of the records being written only a prefix, since each frame states how
+// much was synced before it and only synced files are renamed.
 #[test]
 fn crash_any_moment() {
     for seed in 0..2000 {
         let disk = fake::Disk::new(seed);
-        let life = life();
-        let whole = usize::try_from(seed).expect("small") % life.len();
+        let history = history();
+        let count = usize::try_from(seed).expect("fits usize") % history.len();
         let (mut log, _) = open(&disk).expect("opens");
-        let (before, after) = life.split_at(whole);
+        let (before, after) = history.split_at(count);
         before.iter().for_each(|records| write(&mut log, records).expect("writes"));
         disk.set_fail_sync_after((seed / 7) % 8);
         let failed = write(&mut log, &after[0]).is_err();
         disk.crash();
         let (_, recovered) = open(&disk).unwrap_or_else(|error| panic!("seed {seed}: {error}"));
         let synced = before.concat();
-        let may: Vec<_> = (0..=after[0].len())
-            .map(|part| sum(&[synced.clone(), after[0][..part].to_vec()].concat()))
+        let allowed: Vec<_> = (0..=after[0].len())
+            .map(|part| recover(&[synced.clone(), after[0][..part].to_vec()].concat()))
             .collect();
-        assert!(may.contains(&recovered), "seed {seed}: {recovered:?}");
-        assert!(failed || recovered == may[after[0].len()], "seed {seed}: lost what was synced");
+        assert!(allowed.contains(&recovered), "seed {seed}: {recovered:?}");
+        assert!(
+            failed || recovered == allowed[after[0].len()],
+            "seed {seed}: lost what was synced"
+        );
     }
 }
 
-// A failed sync may have lost pages that a second one would call written. The
-// log closes; only opening the folder again tells what is there.
+// A failed sync may have lost pages that a second sync would report as written. The log must
+// stay closed until the folder is opened again.
 #[test]
 fn sync_failed() {
     let disk = fake::Disk::new(1);
@@ -141,31 +145,31 @@
     assert!(matches!(write(&mut log, &[entry(1, 1)]), Err(Error::Closed { .. })));
 }
 
-// The disk is full. The operator reads what to do; nothing of the refused records
-// counts, and after space is freed the same folder goes on.
+// The disk is full. The error says what to do, the refused records are not recovered, and
+// the same folder works again after space is freed.
 #[rstest]
 #[case::entry(entry(2, 1))]
 #[case::snapshot(snapshot(1, 1))]
-fn disk_full(#[case] record: Record, #[values(0, 5, 20, 60, 90)] room: u64) {
+fn disk_full(#[case] record: Record, #[values(0, 5, 20, 60, 90)] space: u64) {
     let disk = fake::Disk::new(1);
     let (mut log, _) = open(&disk).expect("opens");
     let synced = [identity(), entry(1, 1)];
     write(&mut log, &synced).expect("writes");
-    disk.set_capacity(log.length() + room);
+    disk.set_capacity(log.length() + space);
     let error = write(&mut log, std::slice::from_ref(&record));
     if let Err(error) = error {
         assert!(matches!(error, Error::Full { .. }), "{error}");
         assert!(error.to_string().contains("free some space"));
-        assert_eq!(open(&disk).expect("opens").1, sum(&synced));
+        assert_eq!(open(&disk).expect("opens").1, recover(&synced));
         disk.set_capacity(u64::MAX);
         let (mut log, _) = open(&disk).expect("opens");
         write(&mut log, std::slice::from_ref(&record)).expect("writes");
     }
-    assert_eq!(open(&disk).expect("opens").1, sum(&[&synced[..], &[record]].concat()));
+    assert_eq!(open(&disk).expect("opens").1, recover(&[&synced[..], &[record]].concat()));
 }
 
-// A bit flips in what was synced. The process stops with what to do; it never
-// goes on with less than it promised. A flip in the seal alone changes nothing.
+// A synced bit flips. Opening must fail with instructions instead of recovering fewer
+// records, unless the flip is in the seal and changes nothing.
 #[test]
 fn damage_refused() {
     let build = || {
@@ -177,45 +181,45 @@
         (disk, first, log.length())
     };
     let (disk, _, length) = build();
-    let whole = open(&disk).expect("opens").1;
-    for place in 0..usize::try_from(length).expect("small") {
+    let expected = open(&disk).expect("opens").1;
+    for offset in 0..usize::try_from(length).expect("fits usize") {
         let (disk, _, _) = build();
-        disk.flip(LOG, place);
+        disk.flip(LOG_FILE, offset);
         match open(&disk) {
-            Ok((_, recovered)) => assert_eq!(recovered, whole, "byte {place}"),
+            Ok((_, recovered)) => assert_eq!(recovered, expected, "byte {offset}"),
             Err(error) => assert!(error.to_string().contains("replace this member"), "{error}"),
         }
     }
 }
 
-// The snapshot is damaged, or one of the files is gone: the same answer, also
-// for a folder with a snapshot and no log.
+// The snapshot is damaged, or one of the files is missing. Opening must fail, also for a
+// folder with a snapshot and no log.
 #[test]
 fn snapshot_lost() {
-    for place in 0..80 {
+    for offset in 0..80 {
         let disk = fake::Disk::new(1);
         let (mut log, _) = open(&disk).expect("opens");
         write(&mut log, &[identity(), entry(1, 1), snapshot(1, 1)]).expect("writes");
         let names = disk.list().expect("lists");
-        disk.flip(&names[1], place);
-        assert!(matches!(open(&disk), Err(Error::Damaged { .. })), "byte {place}");
+        disk.flip(&names[1], offset);
+        assert!(matches!(open(&disk), Err(Error::Damaged { .. })), "byte {offset}");
         for name in &names {
-            let mut left = disk.copy();
-            left.remove(name).expect("removes");
-            assert!(matches!(open(&left), Err(Error::Missing { .. })), "{name}");
+            let mut copy = disk.copy();
+            copy.remove(name).expect("removes");
+            assert!(matches!(open(&copy), Err(Error::Missing { .. })), "{name}");
         }
     }
 }
 
 proptest! {
-    // Whatever stands in the file, opening ends, without a panic.
+    // Opening a log file with arbitrary bytes must return without a panic.
     #[test]
     fn open_any_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..200), at in 0..200_usize) {
         let mut disk = fake::Disk::new(1);
         let (mut log, _) = open(&disk).expect("opens");
         write(&mut log, &[identity(), entry(1, 1)]).expect("writes");
-        disk.truncate(LOG, at as u64).expect("cuts");
-        disk.append(LOG, &bytes).expect("appends");
+        disk.truncate(LOG_FILE, at as u64).expect("truncates");
+        disk.append(LOG_FILE, &bytes).expect("appends");
         let _ = open(&disk);
     }
 }
