--- a/tests/suite/claim/cluster.rs
+++ b/tests/suite/claim/cluster.rs
@@ -180,7 +180,7 @@
         for output in agent.handle(self.now, input) {
             match output {
                 Output::Answer { answer, ticket } => {
-                    self.respond(entry, ticket, Response::Answer(answer))
+                    self.respond(entry, ticket, Response::Answer(answer));
                 }
                 Output::Granted(ticket) => self.grant(entry, ticket),
                 Output::Refused { ticket, .. } => self.respond(entry, ticket, Response::Refused),
--- a/tests/suite/claim/replicated.rs
+++ b/tests/suite/claim/replicated.rs
@@ -236,7 +236,7 @@
         for output in agent.handle(self.now, input) {
             match output {
                 Output::Answer { answer, ticket } => {
-                    drop(self.responses.insert(ticket, Some(answer)))
+                    drop(self.responses.insert(ticket, Some(answer)));
                 }
                 Output::Granted(ticket) => self.grant(entry, ticket),
                 Output::Refused { ticket, .. } => drop(self.responses.insert(ticket, None)),
