--- a/src/quorum/follower.rs
+++ b/src/quorum/follower.rs
@@ -9,7 +9,7 @@
 use crate::id::Term;
 
 impl Replica {
-    /// Appends the entries if the log matches the leader's at the position before
+    /// Appends the entries if the log matches the leader's at the index before
     /// them. Returns the last index known to match, or as an error the last index
     /// that may match.
     pub(super) fn append_entries(
--- a/src/quorum/leader.rs
+++ b/src/quorum/leader.rs
@@ -131,6 +131,8 @@
         });
     }
 
+    /// Whether a member that was last heard at `heard` was heard within an election
+    /// timeout.
     pub(super) fn is_heard(&self, heard: Option<Moment>) -> bool {
         heard.is_some_and(|at| self.now < at + self.setup.timing.election)
     }
@@ -182,8 +184,8 @@
         let mut must_resend = false;
         self.record_answer(from, disk, round, |progress| {
             let next = hint.max(progress.matched).saturating_add(1);
-            let current = progress.matched < prev_index && prev_index < progress.next;
-            must_resend = current && next < progress.next;
+            let is_current = progress.matched < prev_index && prev_index < progress.next;
+            must_resend = is_current && next < progress.next;
             if must_resend {
                 progress.next = next;
                 progress.probing = true;
@@ -261,8 +263,8 @@
                 return self.send_chunk(leader, node);
             }
             let in_flight = (progress.next - 1).saturating_sub(progress.window_start);
-            let full = self.log.bytes_from(progress.next) > self.setup.limits.batch_bytes;
-            let must_wait = in_flight > 0 && (progress.probing || !full);
+            let is_batch_full = self.log.bytes_from(progress.next) > self.setup.limits.batch_bytes;
+            let must_wait = in_flight > 0 && (progress.probing || !is_batch_full);
             if progress.next > self.log.last()
                 || must_wait
                 || in_flight > self.setup.limits.window_entries
--- a/src/quorum/replica.rs
+++ b/src/quorum/replica.rs
@@ -233,8 +233,8 @@
     pub(super) fn mark_unsynced_from(&mut self, index: Index) {
         let last = index.saturating_sub(1);
         self.durable = self.durable.min(last);
-        for (_, index) in &mut self.unsynced_persists {
-            *index = (*index).min(last);
+        for (_, covered) in &mut self.unsynced_persists {
+            *covered = (*covered).min(last);
         }
     }
 
