--- a/src/node/make.rs
+++ b/src/node/builder.rs
@@ -1,4 +1,4 @@
-//! What a process is made of, by its settings.
+//! Builds the parts of a process from its settings.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -23,60 +23,61 @@
 use crate::storage::Folder;
 use crate::storage::Log;
 
+use super::Controller;
 use super::Core;
 use super::Error;
-use super::Office;
-use super::attached;
-use super::attached::Attached;
+use super::config_store::ConfigStore;
 use super::core::Setup;
-use super::held::Held;
-use super::machine::Machine;
+use super::feed_core;
+use super::feed_core::FeedCore;
+use super::state_machine::StateMachine;
 use super::thread::Opener;
 
-/// Times of the log where entries follow the controls: a change has to be in force within
-/// seconds also across an election, which takes twice the longer one at the most.
-const ATTACHED: quorum::Timing =
+/// Timing of the log where entries subscribe to the controls. A change has to be in force
+/// within seconds even across an election, which takes at most twice the election timeout.
+const SUBSCRIBED_TIMING: quorum::Timing =
     quorum::Timing { election: Duration::from_millis(700), heartbeat: Duration::from_millis(150) };
 
-/// All that control works on.
-pub(super) struct Parts {
-    pub(super) held: Option<Held>,
+/// What the control thread runs on.
+pub(super) struct Components {
+    pub(super) config_store: Option<ConfigStore>,
     pub(super) log: Option<Log>,
-    pub(super) machine: Box<dyn Machine>,
+    pub(super) state: Box<dyn StateMachine>,
     pub(super) opener: Option<Opener>,
 }
 
-/// How the world outside speaks to this process.
-pub(super) fn boundary(settings: &Settings) -> Arc<dyn Boundary> {
+/// Selects the external interface of the process.
+pub(super) fn select_boundary(settings: &Settings) -> Arc<dyn Boundary> {
     match settings.interface {
         Interface::Own => Arc::new(Own),
         Interface::Platform => Arc::new(Platform),
     }
 }
 
-/// Makes control's part of a process.
-pub(super) fn parts(
+/// Builds the control state of a process and opens its storage.
+pub(super) fn build(
     now: Moment,
     settings: &Settings,
     callers: Option<SocketAddr>,
-    found: bool,
+    is_founding: bool,
     recorder: Recorder,
     boundary: Arc<dyn Boundary>,
-) -> Result<Parts, Error> {
+) -> Result<Components, Error> {
     if settings.seeds.is_empty() {
-        return own_parts(now, settings, callers, found, recorder);
+        return build_core(now, settings, callers, is_founding, recorder);
     }
     let founders = founders(settings);
-    let opened = office(settings, founders.clone(), false)?;
-    let (office, log) = opened.map_or((None, None), |(office, log)| (Some(office), Some(log)));
-    let setup = attached::Setup {
+    let opened = open_controller(settings, founders.clone(), false)?;
+    let (controller, log) =
+        opened.map_or((None, None), |(controller, log)| (Some(controller), Some(log)));
+    let setup = feed_core::Setup {
         boundary,
-        callers: callers.unwrap_or_else(nowhere),
+        callers: callers.unwrap_or_else(unspecified_address),
         domain: settings.node.failure_domain.clone(),
         id: settings.node.id.clone(),
         is_control: settings.has(Role::Control),
         is_entry: settings.has(Role::Entry),
-        office,
+        controller,
         room: Room::new(settings.limits.processor, settings.limits.link),
         retry_window: settings.retry.window,
         seed: rand::random(),
@@ -84,60 +85,61 @@
     };
     let settings = settings.clone();
     let opener: Opener = Box::new(move || {
-        let opened = self::office(&settings, None, false)?;
-        opened.ok_or_else(|| Error::Office)
+        let opened = open_controller(&settings, None, false)?;
+        opened.ok_or_else(|| Error::NoLog)
     });
-    let machine = Box::new(Attached::new(now, setup));
-    Ok(Parts { held: None, log, machine, opener: Some(opener) })
+    let state = Box::new(FeedCore::new(now, setup));
+    Ok(Components { config_store: None, log, state, opener: Some(opener) })
 }
 
-fn own_parts(
+fn build_core(
     now: Moment,
     settings: &Settings,
     callers: Option<SocketAddr>,
-    found: bool,
+    is_founding: bool,
     recorder: Recorder,
-) -> Result<Parts, Error> {
-    let (held, kept) = held(settings)?;
-    let founders = found.then(|| Membership::founding(controls(settings)));
-    let opened = office(settings, founders, found)?;
-    let (office, log) = opened.map_or((None, None), |(office, log)| (Some(office), Some(log)));
+) -> Result<Components, Error> {
+    let (config_store, kept) = open_config_store(settings)?;
+    let founders = is_founding.then(|| Membership::founding(controls(settings)));
+    let opened = open_controller(settings, founders, is_founding)?;
+    let (controller, log) =
+        opened.map_or((None, None), |(controller, log)| (Some(controller), Some(log)));
     let setup = Setup {
         controls: controls(settings),
         kept,
-        me: me(settings, callers),
-        office,
+        me: own_record(settings, callers),
+        controller,
         recorder,
         seeds: seeds(settings),
         seed: rand::random(),
     };
-    Ok(Parts { held, log, machine: Box::new(Core::new(now, setup)), opener: None })
+    Ok(Components { config_store, log, state: Box::new(Core::new(now, setup)), opener: None })
 }
 
-/// Ids of the controls that are known from the start: their addresses.
+/// Ids of the controls that are the seeds: their IP addresses.
 pub(super) fn seed_ids(settings: &Settings) -> Vec<NodeId> {
     let ids = settings.seeds.iter().map(|seed| NodeId::from(seed.ip().to_string()));
     ids.collect()
 }
 
-/// The first members of the log, at those of them that start for the first time.
+/// First members of the quorum, on a seed that starts for the first time.
 fn founders(settings: &Settings) -> Option<Membership> {
     let ids = seed_ids(settings);
     let founds = settings.first_start && ids.contains(&settings.node.id);
     founds.then(|| Membership::founding(ids))
 }
 
-fn nowhere() -> SocketAddr {
+fn unspecified_address() -> SocketAddr {
     SocketAddr::from(([0, 0, 0, 0], 0))
 }
 
-fn me(settings: &Settings, callers: Option<SocketAddr>) -> fleet::Record {
+fn own_record(settings: &Settings, callers: Option<SocketAddr>) -> fleet::Record {
     let roles: BTreeSet<fleet::Role> = settings.roles.iter().map(role).collect();
     fleet::Record {
         id: settings.node.id.clone(),
         incarnation: super::incarnation(),
         meta: fleet::Meta {
-            callers: callers.unwrap_or_else(nowhere),
+            callers: callers.unwrap_or_else(unspecified_address),
             config: 0,
             domain: settings.node.failure_domain.clone(),
             links: settings.listen.links,
@@ -167,39 +169,42 @@
     settings.peers.iter().map(seed).collect()
 }
 
-fn held(settings: &Settings) -> Result<(Option<Held>, Option<config::Version>), Error> {
+fn open_config_store(
+    settings: &Settings,
+) -> Result<(Option<ConfigStore>, Option<config::Version>), Error> {
     let Some(data) = &settings.data else { return Ok((None, None)) };
-    let (held, kept) = Held::open(&data.join("held"))?;
-    Ok((Some(held), kept))
+    let (config_store, kept) = ConfigStore::open(&data.join("held"))?;
+    Ok((Some(config_store), kept))
 }
 
-/// Opens a control's log. `found` refuses a folder that has one already.
-fn office(
+/// Opens a control's log; `None` on other processes. With `is_founding`, a folder that holds a log
+/// already is an error.
+fn open_controller(
     settings: &Settings,
     founders: Option<Membership>,
-    found: bool,
-) -> Result<Option<(Office, Log)>, Error> {
+    is_founding: bool,
+) -> Result<Option<(Controller, Log)>, Error> {
     let Some(data) = settings.data.as_deref().filter(|_| settings.has(Role::Control)) else {
         return Ok(None);
     };
     let folder = data.join("log");
-    let (log, recovered) = open(&folder)?;
+    let (log, recovered) = open_log(&folder)?;
     let mut setup = quorum::Setup::new(settings.node.id.clone());
     if !settings.seeds.is_empty() {
-        setup.timing = ATTACHED;
+        setup.timing = SUBSCRIBED_TIMING;
     }
     if recovered.identity.is_some() {
-        if found {
-            return Err(Error::Founded(folder));
+        if is_founding {
+            return Err(Error::AlreadyFounded(folder));
         }
     } else {
         setup.founders = founders;
     }
-    let office = Office::new(setup, recovered, rand::random());
-    Ok(Some((office.with_window(settings.quota.window), log)))
+    let controller = Controller::new(setup, recovered, rand::random());
+    Ok(Some((controller.with_quota_window(settings.quota.window), log)))
 }
 
-fn open(folder: &Path) -> Result<(Log, quorum::Recovered), Error> {
+fn open_log(folder: &Path) -> Result<(Log, quorum::Recovered), Error> {
     let disk = Folder::open(folder)?;
     Ok(Log::open(Box::new(disk))?)
 }
--- a/src/node/core/claims.rs
+++ b/src/node/core/claims.rs
@@ -1,14 +1,14 @@
 use crate::claim;
 use crate::clock::Moment;
 use crate::id::NodeId;
+use crate::node::controller;
 use crate::node::core::Core;
 use crate::node::core::Output;
-use crate::node::input::Claimed;
-use crate::node::office;
+use crate::node::input::ClaimDecision;
 use crate::wire::Frame;
 
 impl Core {
-    pub(super) fn tell_agent(
+    pub(super) fn step_agent(
         &mut self,
         now: Moment,
         input: claim::Input,
@@ -17,13 +17,14 @@
         for output in self.agent.handle(now, input) {
             match output {
                 claim::Output::Answer { answer, ticket } => {
-                    outputs.push(Output::Claimed(ticket, Claimed::Answer(answer)));
+                    outputs.push(Output::ClaimDecision(ticket, ClaimDecision::Answer(answer)));
                 }
                 claim::Output::Granted(ticket) => {
-                    outputs.push(Output::Claimed(ticket, Claimed::Granted));
+                    outputs.push(Output::ClaimDecision(ticket, ClaimDecision::Granted));
                 }
                 claim::Output::Refused { retry_after, ticket } => {
-                    outputs.push(Output::Claimed(ticket, Claimed::Refused(retry_after)));
+                    outputs
+                        .push(Output::ClaimDecision(ticket, ClaimDecision::Refused(retry_after)));
                 }
                 claim::Output::Send { message, to } => {
                     self.send(now, to, Frame::Claim(message), outputs);
@@ -43,10 +44,10 @@
             Some(outcome) => claim::Input::Finish { outcome, ticket },
             None => claim::Input::Abandon(ticket),
         };
-        self.tell_agent(now, input, outputs);
+        self.step_agent(now, input, outputs);
     }
 
-    pub(super) fn claim_message(
+    pub(super) fn receive_claim(
         &mut self,
         now: Moment,
         from: NodeId,
@@ -55,9 +56,9 @@
     ) {
         match message {
             claim::Message::Submit(actions) => {
-                self.tell_office(now, office::Input::Claims(from, actions), outputs);
+                self.step_controller(now, controller::Input::Claims(from, actions), outputs);
             }
-            message => self.tell_agent(now, claim::Input::Receive { from, message }, outputs),
+            message => self.step_agent(now, claim::Input::Receive { from, message }, outputs),
         }
     }
 }
--- a/src/node/core/machine.rs
+++ b/src/node/core/state_machine.rs
@@ -1,25 +1,25 @@
-//! The core as the driver sees it.
+//! Implements the interface of the control thread.
 
 use crate::clock::Epoch;
 use crate::clock::Moment;
 use crate::fleet;
 use crate::id::NodeId;
-use crate::node::Office;
+use crate::node::Controller;
 use crate::node::View;
 use crate::node::core::Core;
 use crate::node::core::Input;
 use crate::node::core::Output;
-use crate::node::machine::Machine;
+use crate::node::state_machine::StateMachine;
 use crate::node::status;
 use crate::node::status::Report;
 
-impl Machine for Core {
+impl StateMachine for Core {
     fn handle(&mut self, now: Moment, wall: Epoch, input: Input) -> Vec<Output> {
         self.handle(now, wall, input)
     }
 
-    fn wake(&self, now: Moment) -> Moment {
-        self.wake().min(now + fleet::Member::TICK)
+    fn next_at(&self, now: Moment) -> Moment {
+        self.next_at().min(now + fleet::Member::TICK)
     }
 
     fn view(&mut self, now: Moment, last: &View) -> Option<View> {
@@ -46,11 +46,11 @@
         self.open_claims()
     }
 
-    fn close_office(&mut self, reason: String) {
-        self.close_office(reason);
+    fn close_controller(&mut self, reason: String) {
+        self.close_controller(reason);
     }
 
-    fn open_office(&mut self, office: Office) {
-        self.open_office(office);
+    fn open_controller(&mut self, controller: Controller) {
+        self.open_controller(controller);
     }
 }
--- /dev/null
+++ b/src/node/feed_core/control_role.rs
@@ -0,0 +1,534 @@
+//! State of a control: the replicated state machine, the feed to entries, and automatic changes
+//! of the log's members.
+
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use std::time::Duration;
+
+use crate::catalog::Action;
+use crate::catalog::Catalog;
+use crate::clock::Epoch;
+use crate::clock::Moment;
+use crate::config::Version;
+use crate::directory;
+use crate::feed::Control;
+use crate::feed::Ledger;
+use crate::feed::Message;
+use crate::feed::Publisher;
+use crate::feed::Ready;
+use crate::id::Index;
+use crate::id::NodeId;
+use crate::node::Controller;
+use crate::node::View;
+use crate::node::controller;
+use crate::node::core::Input;
+use crate::node::core::Output;
+use crate::node::forwarder;
+use crate::node::forwarder::Forwarder;
+use crate::node::status;
+use crate::quorum::repair;
+use crate::quota;
+use crate::timeline::Kind;
+use crate::wire::Frame;
+use crate::wire::Order;
+use crate::wire::Verdict;
+
+use super::Setup;
+use super::events;
+use super::peers::Peers;
+
+/// A control marks its news as fresh if its log was in touch with the leader, or with a majority
+/// if it leads, within this span: four heartbeats, so that one lost heartbeat does not matter.
+const FRESH_TIMEOUT: Duration = Duration::from_millis(700);
+/// Interval between two greetings to the other controls.
+const HELLO_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval between two checks for a due change of the log's members.
+const MEMBER_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Longest time for which an announcement or a read is retried. The sender waits for a
+/// second and then turns to another control.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(800);
+/// Longest time for which a submission is retried; an election may take place within it.
+const SUBMIT_TIMEOUT: Duration = Duration::from_millis(1900);
+/// Base of the tickets for demands of entries, above all tickets of this process's control thread.
+const DEMAND_TICKET_BASE: u64 = 1 << 63;
+
+/// State of a control.
+#[derive(Debug)]
+pub(super) struct ControlRole {
+    /// Orders that the forwarder has not answered, by ticket.
+    pending: BTreeMap<u64, Pending>,
+    forwarder: Forwarder,
+    hello_at: Moment,
+    member_check_at: Moment,
+    last_demand_ticket: u64,
+    controller: Option<Controller>,
+    peers: Peers,
+    publisher: Publisher,
+    reads: Vec<PendingRead>,
+    /// Why the controller stopped, if it did.
+    stopped: Option<String>,
+}
+
+/// Kind of a pending order.
+#[derive(Clone, Debug, Eq, PartialEq)]
+enum Pending {
+    Catalog,
+    /// Demand of an entry, with its own ticket.
+    Quota(NodeId, u64),
+    Read,
+    Submit,
+}
+
+/// A read that waits until this replica has applied the log up to `index`.
+#[derive(Clone, Copy, Debug)]
+struct PendingRead {
+    index: Index,
+    ticket: u64,
+    deadline: Moment,
+}
+
+impl ControlRole {
+    pub(super) fn new(now: Moment, setup: Setup) -> Self {
+        let me = Control { domain: setup.domain, id: setup.id };
+        let mut role = Self {
+            pending: BTreeMap::new(),
+            forwarder: Forwarder::default(),
+            hello_at: now,
+            member_check_at: now,
+            last_demand_ticket: DEMAND_TICKET_BASE,
+            controller: setup.controller,
+            peers: Peers::new(me, setup.seeds),
+            publisher: Publisher::default(),
+            reads: Vec::new(),
+            stopped: None,
+        };
+        role.add_members();
+        role
+    }
+
+    pub(super) fn handle(&mut self, now: Moment, wall: Epoch, input: Input) -> Vec<Output> {
+        let mut outputs = Vec::new();
+        match input {
+            Input::Catalog(ticket, action) => {
+                self.forward_announcement(now, ticket, action, &mut outputs);
+            }
+            Input::ChangeMembers(ticket, change) => {
+                self.step_controller(
+                    now,
+                    wall,
+                    controller::Input::Change(ticket, change),
+                    &mut outputs,
+                );
+            }
+            Input::Frame(from, frame) => self.receive(now, wall, from, frame, &mut outputs),
+            Input::ReadConfiguration(ticket) => {
+                self.forward(now, ticket, Pending::Read, Order::Read, ORDER_TIMEOUT, &mut outputs);
+            }
+            Input::Seeds(seeds) => {
+                self.peers.set_seeds(seeds);
+                self.add_members();
+            }
+            Input::Submit(ticket, version) => self.submit(now, ticket, version, &mut outputs),
+            Input::Synced(number) => {
+                self.step_controller(now, wall, controller::Input::Synced(number), &mut outputs);
+            }
+            Input::Tick => self.tick(now, wall, &mut outputs),
+            _ => (),
+        }
+        self.answer_reads(now, &mut outputs);
+        outputs
+    }
+
+    pub(super) fn next_at(&self, now: Moment) -> Moment {
+        let controller = self.controller.as_ref().and_then(Controller::next_at);
+        let reads = self.reads.iter().map(|read| read.deadline).min();
+        let member_check = self
+            .controller
+            .as_ref()
+            .filter(|controller| controller.is_leader())
+            .map(|_| self.member_check_at);
+        let due =
+            controller.into_iter().chain(reads).chain(member_check).chain(self.forwarder.next_at());
+        due.fold(self.publisher.wake().min(self.hello_at), Moment::min).max(now)
+    }
+
+    pub(super) fn version(&self) -> Option<&Version> {
+        self.controller.as_ref()?.in_force()
+    }
+
+    pub(super) fn status(&self, now: Moment) -> status::Control {
+        status::Control {
+            claims: self.controller.as_ref().map_or(0, Controller::remembered_claims),
+            log: self.controller.as_ref().map(|controller| controller.status(now)),
+            stopped: self.stopped.clone(),
+        }
+    }
+
+    /// Entries that accept callers; `None` if they are the same as in the last view.
+    pub(super) fn entries(&self, now: Moment, last: &View) -> Option<Arc<Vec<directory::Entry>>> {
+        let mut entries: Vec<directory::Entry> =
+            self.publisher.named(now).into_iter().map(super::directory_entry).collect();
+        entries.sort_by(|one, other| one.id.cmp(&other.id));
+        (entries != *last.entries).then(|| Arc::new(entries))
+    }
+
+    pub(super) fn close_controller(&mut self, reason: String) {
+        self.controller = None;
+        self.stopped = Some(reason);
+    }
+
+    pub(super) fn open_controller(&mut self, controller: Controller) {
+        self.controller = Some(controller);
+        self.stopped = None;
+        self.add_members();
+    }
+
+    fn receive(
+        &mut self,
+        now: Moment,
+        wall: Epoch,
+        from: NodeId,
+        frame: Frame,
+        outputs: &mut Vec<Output>,
+    ) {
+        match frame {
+            Frame::Feed(message) => self.receive_feed(now, from, message, outputs),
+            Frame::Order { ticket, order } => {
+                let input = match order {
+                    Order::Catalog(action) => controller::Input::Catalog(from, ticket, action),
+                    Order::Quota(ask) => controller::Input::Quota(from, ticket, ask),
+                    Order::Read => controller::Input::Read(from, ticket),
+                    Order::Submit(version) => controller::Input::Submit(from, ticket, version),
+                };
+                self.step_controller(now, wall, input, outputs);
+            }
+            Frame::Quorum(message) => {
+                self.step_controller(now, wall, controller::Input::Receive(from, message), outputs);
+            }
+            Frame::Submit { ticket, version } => {
+                let input = controller::Input::Submit(from, ticket, version);
+                self.step_controller(now, wall, input, outputs);
+            }
+            Frame::Verdict { ticket, verdict } => {
+                let effects = self.forwarder.handle_verdict(now, ticket, verdict);
+                self.handle_effects(now, effects, outputs);
+            }
+            _ => tracing::warn!(
+                target: "hemlockfield::link",
+                peer = %from,
+                "frame of another kind of fleet"
+            ),
+        }
+    }
+
+    fn receive_feed(
+        &mut self,
+        now: Moment,
+        from: NodeId,
+        message: Message,
+        outputs: &mut Vec<Output>,
+    ) {
+        match message {
+            Message::Controls { controls, leader } => {
+                let added = controls.into_iter().filter(|it| self.peers.add(it.clone())).count();
+                if added > 0 {
+                    self.update_forwarder();
+                }
+                if let Some(leader) = leader {
+                    self.forwarder.set_leader(&leader);
+                }
+            }
+            Message::Hello { control, disk, ready } => {
+                let has_greeted = self.peers.has_greeted(&from);
+                if self.peers.record_greeting(now, control, disk) {
+                    self.update_forwarder();
+                }
+                self.publisher.hear(now, &from, ready);
+                if !has_greeted {
+                    let controls = self.peers.live(now);
+                    let leader = self.controller.as_ref().and_then(Controller::leader);
+                    outputs.push(send(from, Message::Controls { controls, leader }));
+                }
+            }
+            Message::Ask { ticket, ask } => self.forward_demand(now, from, ticket, ask, outputs),
+            Message::Grant { .. } | Message::News(_) => (),
+            Message::Tallies(tallies) => self.publisher.gather(now, &tallies, false),
+            Message::Poll(poll) => {
+                let controls = self.peers.live(now);
+                let empty = Catalog::default();
+                let ledger = ledger(now, self.controller.as_ref(), &empty, controls);
+                let sends = self.publisher.poll(now, poll, &ledger);
+                outputs.extend(sends.into_iter().map(|(to, message)| send(to, message)));
+            }
+        }
+    }
+
+    fn tick(&mut self, now: Moment, wall: Epoch, outputs: &mut Vec<Output>) {
+        self.step_controller(now, wall, controller::Input::Tick, outputs);
+        let effects = self.forwarder.tick(now);
+        self.handle_effects(now, effects, outputs);
+        self.publish(now, outputs);
+        self.greet(now, outputs);
+        self.change_members(now, wall, outputs);
+    }
+
+    fn publish(&mut self, now: Moment, outputs: &mut Vec<Output>) {
+        if now < self.publisher.wake() {
+            return;
+        }
+        let controls = self.peers.live(now);
+        let empty = Catalog::default();
+        let ledger = ledger(now, self.controller.as_ref(), &empty, controls);
+        let sends = self.publisher.tick(now, &ledger);
+        outputs.extend(sends.into_iter().map(|(to, message)| send(to, message)));
+    }
+
+    /// Greets the other controls and sends them the entries that poll this one.
+    fn greet(&mut self, now: Moment, outputs: &mut Vec<Output>) {
+        if now < self.hello_at && !self.publisher.has_moved() {
+            return;
+        }
+        self.hello_at = now + HELLO_INTERVAL;
+        self.peers.remove_silent(now, self.members());
+        let disk =
+            self.controller.as_ref().and_then(|controller| controller.replica().synced_disk());
+        let ready = Ready { entries: self.publisher.own(now) };
+        for id in self.peers.others() {
+            let (control, ready) = (self.peers.me().clone(), ready.clone());
+            outputs.push(send(id.clone(), Message::Hello { control, disk, ready }));
+        }
+    }
+
+    /// Changes the log's members if this control leads and the set of live controls calls for it.
+    fn change_members(&mut self, now: Moment, wall: Epoch, outputs: &mut Vec<Output>) {
+        let Some(controller) = self.controller.as_ref().filter(|controller| controller.is_leader())
+        else {
+            return;
+        };
+        if now < self.member_check_at {
+            return;
+        }
+        self.member_check_at = now + MEMBER_CHECK_INTERVAL;
+        let change = repair::next_change(
+            &controller.status(now),
+            controller.tenure(now),
+            &self.peers.disks(now),
+        );
+        if let Some(change) = change {
+            let event = events::event(&self.peers.me().id, Kind::MemberChanged);
+            outputs.push(Output::Event(event.detail("change", format!("{change:?}"))));
+            self.step_controller(now, wall, controller::Input::Change(0, change), outputs);
+        }
+    }
+
+    fn forward_announcement(
+        &mut self,
+        now: Moment,
+        ticket: u64,
+        action: Action,
+        outputs: &mut Vec<Output>,
+    ) {
+        let Some(controller) = &self.controller else {
+            outputs.push(Output::Announced(ticket, Err("no disk to write to".to_owned())));
+            return;
+        };
+        if !controller.catalog().would_change(&action) {
+            outputs.push(Output::Announced(ticket, Ok(())));
+            return;
+        }
+        self.forward(now, ticket, Pending::Catalog, Order::Catalog(action), ORDER_TIMEOUT, outputs);
+    }
+
+    /// Forwards a demand of an entry; an entry may demand only for itself.
+    fn forward_demand(
+        &mut self,
+        now: Moment,
+        from: NodeId,
+        ticket: u64,
+        demand: quota::Demand,
+        outputs: &mut Vec<Output>,
+    ) {
+        if demand.holder != from {
+            tracing::warn!(target: "hemlockfield::link", peer = %from, holder = %demand.holder, "quota demand for another entry");
+            return;
+        }
+        self.last_demand_ticket += 1;
+        let kind = Pending::Quota(from, ticket);
+        let order = Order::Quota(demand);
+        self.forward(
+            now,
+            self.last_demand_ticket,
+            kind,
+            order,
+            quota::Limiter::RESEND_INTERVAL,
+            outputs,
+        );
+    }
+
+    fn submit(&mut self, now: Moment, ticket: u64, version: Version, outputs: &mut Vec<Output>) {
+        let in_force = self.version().map(|version| version.number);
+        if let Some(number) = in_force.filter(|number| *number >= version.number) {
+            // Already committed, or older than the committed one.
+            outputs.push(Output::Verdict(ticket, Verdict::AlreadyAccepted(number)));
+            return;
+        }
+        let order = Order::Submit(version);
+        self.forward(now, ticket, Pending::Submit, order, SUBMIT_TIMEOUT, outputs);
+    }
+
+    fn forward(
+        &mut self,
+        now: Moment,
+        ticket: u64,
+        kind: Pending,
+        order: Order,
+        timeout: Duration,
+        outputs: &mut Vec<Output>,
+    ) {
+        if let Some(leader) = self.controller.as_ref().and_then(Controller::leader) {
+            self.forwarder.set_leader(&leader);
+        }
+        self.pending.insert(ticket, kind);
+        let effects = self.forwarder.forward(now, ticket, order, timeout);
+        self.handle_effects(now, effects, outputs);
+    }
+
+    fn handle_effects(
+        &mut self,
+        now: Moment,
+        effects: Vec<forwarder::Output>,
+        outputs: &mut Vec<Output>,
+    ) {
+        for output in effects {
+            match output {
+                forwarder::Output::Answer(ticket, verdict) => {
+                    self.answer(now, ticket, verdict, outputs);
+                }
+                forwarder::Output::Send(to, frame) => outputs.push(Output::Send(to, None, *frame)),
+            }
+        }
+    }
+
+    fn answer(&mut self, now: Moment, ticket: u64, verdict: Verdict, outputs: &mut Vec<Output>) {
+        match (self.pending.remove(&ticket), verdict) {
+            (Some(Pending::Catalog), Verdict::Announced) => {
+                outputs.push(Output::Announced(ticket, Ok(())));
+            }
+            (Some(Pending::Catalog), _) => {
+                let text = "the log could not take it in time".to_owned();
+                outputs.push(Output::Announced(ticket, Err(text)));
+            }
+            (Some(Pending::Quota(to, ticket)), Verdict::Granted(grant)) => {
+                outputs.push(send(to, Message::Grant { ticket, grant }));
+            }
+            // The entry repeats its demand.
+            (Some(Pending::Quota(..)), _) => (),
+            (Some(Pending::Read), Verdict::Readable(index)) => {
+                self.reads.push(PendingRead { index, ticket, deadline: now + ORDER_TIMEOUT });
+            }
+            (Some(Pending::Read), _) => outputs.push(Output::Configuration(ticket, None)),
+            (Some(Pending::Submit) | None, verdict) => {
+                outputs.push(Output::Verdict(ticket, verdict));
+            }
+        }
+    }
+
+    fn answer_reads(&mut self, now: Moment, outputs: &mut Vec<Output>) {
+        if self.reads.is_empty() {
+            return;
+        }
+        let applied = self.controller.as_ref().map(Controller::applied);
+        for read in std::mem::take(&mut self.reads) {
+            if applied.is_some_and(|applied| applied >= read.index) {
+                outputs.push(Output::Configuration(read.ticket, Some(self.version().cloned())));
+            } else if read.deadline <= now {
+                outputs.push(Output::Configuration(read.ticket, None));
+            } else {
+                self.reads.push(read);
+            }
+        }
+    }
+
+    fn step_controller(
+        &mut self,
+        now: Moment,
+        wall: Epoch,
+        input: controller::Input,
+        outputs: &mut Vec<Output>,
+    ) {
+        let Some(controller) = &mut self.controller else { return };
+        let mut changed = false;
+        for output in controller.handle(now, wall, input) {
+            match output {
+                controller::Output::Changed(ticket, result) => {
+                    outputs.push(Output::MembersChanged(ticket, result));
+                }
+                controller::Output::Committed(version) => {
+                    changed = true;
+                    let event = events::event(&self.peers.me().id, Kind::ConfigurationAccepted);
+                    outputs.push(Output::Event(event.configuration(version.number)));
+                }
+                controller::Output::SnapshotInstalled => changed = true,
+                controller::Output::Leadership(_) => (),
+                controller::Output::Persist(number, records) => {
+                    outputs.push(Output::Persist(number, records));
+                }
+                controller::Output::Send(to, frame) => outputs.push(Output::Send(to, None, *frame)),
+                controller::Output::RoleChanged(role, term) => {
+                    let event = events::event(&self.peers.me().id, Kind::Election).term(term);
+                    outputs.push(Output::Event(event.detail("role", format!("{role:?}"))));
+                }
+                controller::Output::UpstreamChanged(action) => {
+                    changed = true;
+                    outputs.push(Output::Event(events::catalog(&self.peers.me().id, &action)));
+                }
+            }
+        }
+        if changed {
+            let upstreams =
+                self.controller.iter().flat_map(|controller| controller.catalog().upstreams());
+            self.publisher.set_slots(upstreams.map(|announcement| announcement.slots).sum());
+            self.publisher.changed(now);
+            self.add_members();
+            self.publish(now, outputs);
+        }
+    }
+
+    fn members(&self) -> Vec<NodeId> {
+        let members = self.controller.as_ref().map(|controller| controller.replica().membership());
+        members
+            .map(|membership| membership.members().map(|(id, _)| id.clone()).collect())
+            .unwrap_or_default()
+    }
+
+    fn add_members(&mut self) {
+        self.peers.add_members_and_seeds(self.members());
+        self.update_forwarder();
+    }
+
+    fn update_forwarder(&mut self) {
+        self.forwarder.set_controls(self.peers.ids());
+    }
+}
+
+fn ledger<'a>(
+    now: Moment,
+    controller: Option<&'a Controller>,
+    empty: &'a Catalog,
+    controls: Vec<Control>,
+) -> Ledger<'a> {
+    let Some(controller) = controller else {
+        return Ledger { applied: 0, catalog: empty, configuration: None, controls, fresh: false };
+    };
+    Ledger {
+        applied: controller.applied(),
+        catalog: controller.catalog(),
+        configuration: controller.configuration(),
+        controls,
+        fresh: controller.replica().is_current(now, FRESH_TIMEOUT),
+    }
+}
+
+fn send(to: NodeId, message: Message) -> Output {
+    Output::Send(to, None, Frame::Feed(message))
+}
--- /dev/null
+++ b/src/node/feed_core/setup.rs
@@ -0,0 +1,38 @@
+//! Initial values of a process, from its settings and its data folder.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+use crate::boundary::Boundary;
+use crate::feed::Room;
+use crate::id::DomainId;
+use crate::id::NodeId;
+use crate::node::Controller;
+
+/// Initial values of a [`super::FeedCore`].
+#[derive(Debug)]
+pub(in crate::node) struct Setup {
+    /// Compiles configurations.
+    pub(in crate::node) boundary: Arc<dyn Boundary>,
+    /// Address at which an entry accepts callers.
+    pub(in crate::node) callers: SocketAddr,
+    /// Failure domain of this process.
+    pub(in crate::node) domain: DomainId,
+    /// Id of this process: the address of its VM.
+    pub(in crate::node) id: NodeId,
+    /// Whether this process is a control.
+    pub(in crate::node) is_control: bool,
+    /// Whether this process is an entry.
+    pub(in crate::node) is_entry: bool,
+    /// Replicated state machine, at a control.
+    pub(in crate::node) controller: Option<Controller>,
+    /// Load that an entry is sized for.
+    pub(in crate::node) room: Room,
+    /// Window over which an entry counts retries.
+    pub(in crate::node) retry_window: Duration,
+    /// Seed of all random numbers.
+    pub(in crate::node) seed: u64,
+    /// Ids of the controls in the settings.
+    pub(in crate::node) seeds: Vec<NodeId>,
+}
--- a/src/node/doors.rs
+++ b/src/node/orders.rs
@@ -1,5 +1,6 @@
-//! Side doors: announcements, operators, lists of entries and readiness, as the boundary
-//! reads them.
+//! Listeners for orders: announcements, configurations, lists of entries and readiness checks.
+//!
+//! The boundary defines what they look like on the wire.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,8 +13,8 @@
 use async_std::net::TcpStream;
 use async_std::task;
 
-use super::Inbox;
 use super::Input;
+use super::InputSender;
 use super::traffic::Proxy;
 use crate::boundary::Done;
 use crate::boundary::Order;
@@ -29,34 +30,39 @@
 use crate::runtime;
 use crate::wire::Verdict;
 
-/// Longest order, in bytes: a configuration many times that of the size planned for.
-const ORDER_MAX: u64 = 16 << 20;
-/// Longest pause in an order, and longest that a connection lies idle.
-const IDLE: Duration = Duration::from_secs(20);
-/// Longest that control is waited for: those who ask give up sooner.
-const PATIENCE: Duration = Duration::from_millis(2500);
-/// Pause after a failed accept.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Largest body of an order, in bytes: several times the largest planned configuration.
+const BODY_BYTES_MAX: u64 = 16 << 20;
+/// Longest pause within a request, and longest time for which a connection stays idle.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Longest wait for an answer of the control thread; clients give up sooner.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Backoff after a failed accept.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Serves one door.
-pub(super) async fn serve(listener: TcpListener, inbox: Inbox, proxy: Arc<Proxy>) {
+/// Serves the orders that arrive at `listener`.
+pub(super) async fn serve(listener: TcpListener, inbox: InputSender, proxy: Arc<Proxy>) {
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
-                runtime::spawn(connection(stream, peer, inbox.clone(), Arc::clone(&proxy)));
+                runtime::spawn(serve_connection(stream, peer, inbox.clone(), Arc::clone(&proxy)));
             }
             Err(error) => {
                 tracing::warn!(target: "hemlockfield::node", "can't accept: {error}");
-                task::sleep(PAUSE).await;
+                task::sleep(ACCEPT_BACKOFF).await;
             }
         }
     }
 }
 
-async fn connection(stream: TcpStream, peer: SocketAddr, inbox: Inbox, proxy: Arc<Proxy>) {
+async fn serve_connection(
+    stream: TcpStream,
+    peer: SocketAddr,
+    inbox: InputSender,
+    proxy: Arc<Proxy>,
+) {
     let mut reader = RequestReader::new(stream, peer);
-    while let Some((request, mut writer)) = reader.next(IDLE).await {
-        order(request, &mut writer, &inbox, &proxy).await;
+    while let Some((request, mut writer)) = reader.next(IDLE_TIMEOUT).await {
+        serve_order(request, &mut writer, &inbox, &proxy).await;
         if writer.is_closing() {
             reader.linger().await;
             return;
@@ -64,8 +70,14 @@
     }
 }
 
-async fn order(mut request: Request, writer: &mut ResponseWriter, inbox: &Inbox, proxy: &Proxy) {
-    let body = match Payload::take(&mut request, ORDER_MAX, ORDER_MAX, IDLE).await {
+async fn serve_order(
+    mut request: Request,
+    writer: &mut ResponseWriter,
+    inbox: &InputSender,
+    proxy: &Proxy,
+) {
+    let body = match Payload::take(&mut request, BODY_BYTES_MAX, BODY_BYTES_MAX, IDLE_TIMEOUT).await
+    {
         Ok(Payload::Buffered(body)) => body,
         Ok(Payload::Stream(Some(mut body_reader), _)) => match body_reader.read_all().await {
             Ok(body) => body,
@@ -79,7 +91,7 @@
         Err(refusal) => proxy.boundary.refuse(&refusal),
     };
     if let Err(error) = writer.send(response).await {
-        tracing::debug!(target: "hemlockfield::node", "who asked is gone: {error}");
+        tracing::debug!(target: "hemlockfield::node", "client is gone: {error}");
     }
 }
 
@@ -87,11 +99,11 @@
     writer.close_after();
     let refusal = Refusal::new(status, Outcome::NotRun, reason);
     if let Err(error) = writer.send(proxy.boundary.refuse(&refusal)).await {
-        tracing::debug!(target: "hemlockfield::node", "who asked is gone: {error}");
+        tracing::debug!(target: "hemlockfield::node", "client is gone: {error}");
     }
 }
 
-async fn carry_out(order: Order, inbox: &Inbox, proxy: &Proxy) -> Done {
+async fn carry_out(order: Order, inbox: &InputSender, proxy: &Proxy) -> Done {
     match order {
         Order::Announce(change) => announce(Action::Announce(*change), inbox).await,
         Order::Leave(upstream) => announce(Action::Leave(upstream), inbox).await,
@@ -99,13 +111,13 @@
         Order::Read => read(inbox).await,
         Order::Ready => {
             let view = proxy.view.load();
-            Done::Readiness(view.serves() && !view.leaving)
+            Done::Readiness(view.serves() && !view.is_leaving)
         }
         Order::Submit(version) => submit(version, inbox).await,
     }
 }
 
-async fn announce(action: Action, inbox: &Inbox) -> Done {
+async fn announce(action: Action, inbox: &InputSender) -> Done {
     let (sender, receiver) = bounded(1);
     match ask(inbox, Input::Catalog(action, sender), &receiver).await {
         Some(Ok(())) => Done::Announced(None),
@@ -123,18 +135,18 @@
     Done::Entries(entries, proxy.settings.directory.lifetime)
 }
 
-async fn read(inbox: &Inbox) -> Done {
+async fn read(inbox: &InputSender) -> Done {
     let (sender, receiver) = bounded(1);
-    match ask(inbox, Input::Read(sender), &receiver).await {
+    match ask(inbox, Input::ReadConfiguration(sender), &receiver).await {
         Some(Some(version)) => Done::Configuration(version),
         Some(None) | None => Done::Busy("which configuration is the newest is not sure".into()),
     }
 }
 
-async fn submit(version: crate::config::Version, inbox: &Inbox) -> Done {
+async fn submit(version: crate::config::Version, inbox: &InputSender) -> Done {
     let (sender, receiver) = bounded(1);
     match ask(inbox, Input::Submit(version, sender), &receiver).await {
-        // One that is not higher than what is in force is overtaken, which is no error.
+        // A version that is not higher than the one in force is superseded, which is no error.
         Some(
             Verdict::Accepted(_)
             | Verdict::AlreadyAccepted(_)
@@ -145,9 +157,9 @@
     }
 }
 
-async fn ask<T>(inbox: &Inbox, input: Input, answer: &Receiver<T>) -> Option<T> {
+async fn ask<T>(inbox: &InputSender, input: Input, receiver: &Receiver<T>) -> Option<T> {
     if !inbox.send(input).await {
         return None;
     }
-    timeout(PATIENCE, answer.recv()).await.ok()?.ok()
+    timeout(ANSWER_TIMEOUT, receiver.recv()).await.ok()?.ok()
 }
--- a/tests/suite/config/site.rs
+++ b/tests/suite/config/simulation.rs
@@ -1,14 +1,14 @@
-//! Holders on the fake network.
+//! Replicators on a simulated network.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use hemlockfield::clock::Moment;
-use hemlockfield::config::Holder;
 use hemlockfield::config::Input;
 use hemlockfield::config::Message;
 use hemlockfield::config::Output;
 use hemlockfield::config::Peer;
+use hemlockfield::config::Replicator;
 use hemlockfield::config::Settings;
 use hemlockfield::config::Standing;
 use hemlockfield::config::Version;
@@ -26,9 +26,9 @@
     Version::new(number, format!("s{number}").into(), &format!("limit: 4\nnumber: {number}\n"))
 }
 
-/// Holders, of which the first is a control replica.
-pub(super) struct Site {
-    pub(super) holders: BTreeMap<NodeId, Holder>,
+/// A set of replicators, of which the first is a control replica that leads.
+pub(super) struct Simulation {
+    pub(super) replicators: BTreeMap<NodeId, Replicator>,
     pub(super) net: Net,
     pub(super) now: Moment,
     count: usize,
@@ -36,11 +36,11 @@
     served: BTreeMap<NodeId, u64>,
 }
 
-impl Site {
-    /// `count` holders that serve version 1, or have not heard anything yet.
+impl Simulation {
+    /// Starts `count` replicators, commits version 1 and runs for 5 s.
     pub(super) fn new(seed: u64, count: usize, weather: Weather) -> Self {
-        let mut site = Self {
-            holders: BTreeMap::new(),
+        let mut simulation = Self {
+            replicators: BTreeMap::new(),
             net: Net::new(seed, weather),
             now: Duration::ZERO,
             count,
@@ -48,12 +48,12 @@
             served: BTreeMap::new(),
         };
         for index in 0..count {
-            site.start(index, None);
+            simulation.start(index, None);
         }
-        site.input(0, Input::Leads(true));
-        site.commit(1);
-        site.run(ms(5_000));
-        site
+        simulation.input(0, Input::Leads(true));
+        simulation.commit(1);
+        simulation.run(ms(5_000));
+        simulation
     }
 
     pub(super) fn id(index: usize) -> NodeId {
@@ -69,12 +69,13 @@
         (0..self.count).map(peer).collect()
     }
 
-    /// Starts or restarts a holder; `kept` is what its disk holds.
+    /// Starts or restarts a replicator. `kept` is the version on its disk.
     pub(super) fn start(&mut self, index: usize, kept: Option<Version>) {
         self.seed += 1;
         let random = ChaCha8Rng::seed_from_u64(self.seed);
-        let holder = Holder::new(self.now, Self::id(index), Settings::default(), kept, random);
-        self.holders.insert(Self::id(index), holder);
+        let replicator =
+            Replicator::new(self.now, Self::id(index), Settings::default(), kept, random);
+        self.replicators.insert(Self::id(index), replicator);
         let peers = self.peers();
         self.input(index, Input::Peers(peers));
     }
@@ -88,19 +89,19 @@
     }
 
     pub(super) fn number(&self, index: usize) -> Option<u64> {
-        self.holders[&Self::id(index)].head().map(|head| head.number)
+        self.replicators[&Self::id(index)].head().map(|head| head.number)
     }
 
     pub(super) fn standing(&self, index: usize) -> Standing {
-        self.holders[&Self::id(index)].standing()
+        self.replicators[&Self::id(index)].standing()
     }
 
-    /// Whether all hold this number.
+    /// Whether all replicators hold this number.
     pub(super) fn all_hold(&self, number: u64) -> bool {
         (0..self.count).all(|index| self.number(index) == Some(number))
     }
 
-    /// Cuts a holder off from all others, both ways.
+    /// Cuts the links between a replicator and all others, in both directions.
     pub(super) fn isolate(&mut self, index: usize) {
         for other in (0..self.count).filter(|other| *other != index) {
             self.net.cut_both(&Self::id(index), &Self::id(other));
@@ -115,15 +116,15 @@
                 let message = postcard::from_bytes::<Message>(&delivery.bytes).unwrap();
                 self.handle(&delivery.to, Input::Receive { from: delivery.from, message });
             }
-            let ids = self.holders.keys().cloned().collect::<Vec<_>>();
+            let ids = self.replicators.keys().cloned().collect::<Vec<_>>();
             ids.iter().for_each(|id| self.handle(id, Input::Tick));
         }
     }
 
     fn handle(&mut self, id: &NodeId, input: Input) {
-        let Some(holder) = self.holders.get_mut(id) else { return };
-        let mut before = holder.head().map(|head| head.number);
-        for output in holder.handle(self.now, input) {
+        let Some(replicator) = self.replicators.get_mut(id) else { return };
+        let mut before = replicator.head().map(|head| head.number);
+        for output in replicator.handle(self.now, input) {
             match output {
                 Output::Apply(version) => {
                     assert!(before < Some(version.number), "`{id}` went back");
@@ -133,20 +134,20 @@
                     let bytes = postcard::to_stdvec(&message).unwrap();
                     self.net.send(self.now, id, &to, bytes);
                 }
-                Output::Stand(_) => {}
+                Output::StandingChanged(_) => {}
             }
         }
         self.check(id);
     }
 
-    /// A process that takes callers never does so by an older version than it, or
-    /// an earlier process of its name, did before.
+    /// Asserts that a process that serves callers has no older version than the one by which
+    /// it, or an earlier process of the same name, served before.
     fn check(&mut self, id: &NodeId) {
-        let holder = &self.holders[id];
-        if !holder.standing().serves() {
+        let replicator = &self.replicators[id];
+        if !replicator.standing().serves() {
             return;
         }
-        let number = holder.head().map_or(0, |head| head.number);
+        let number = replicator.head().map_or(0, |head| head.number);
         let served = self.served.entry(id.clone()).or_default();
         assert!(number >= *served, "`{id}` serves an older version");
         *served = number;
