--- a/src/node/controller.rs
+++ b/src/node/controller.rs
@@ -4,7 +4,7 @@
 use crate::catalog;
 use crate::catalog::Catalog;
 use crate::claim;
-use crate::claim::Desk;
+use crate::claim::Batcher;
 use crate::claim::Ledger;
 use crate::clock::Epoch;
 use crate::clock::Moment;
@@ -48,7 +48,7 @@
     catalog: Catalog,
     /// Log index of the configuration in force.
     configuration_index: Index,
-    claim_queue: Desk,
+    claim_queue: Batcher,
     /// Batches of claims proposed but not committed yet.
     claim_batches: usize,
     leader_since: Moment,
@@ -148,7 +148,7 @@
             submissions: Submissions::default(),
             catalog: Catalog::default(),
             configuration_index: 0,
-            claim_queue: Desk::default(),
+            claim_queue: Batcher::default(),
             claim_batches: 0,
             leader_since: Moment::ZERO,
             is_leader: false,
@@ -208,7 +208,7 @@
     pub fn next_at(&self) -> Option<Moment> {
         let quota_at =
             self.is_leader.then(|| self.quota_coordinator.wake(&self.quota_ledger)).flatten();
-        self.replica.wake().into_iter().chain(quota_at).min()
+        self.replica.next_at().into_iter().chain(quota_at).min()
     }
 
     /// Status of the log, for operators.
@@ -442,7 +442,7 @@
             Body::Claims(claims) => {
                 let replies = self.claim_ledger.apply(command.at, claims.clone());
                 if self.is_leader {
-                    let receipts = Desk::receipts(&claims, replies).into_iter();
+                    let receipts = Batcher::receipts(&claims, replies).into_iter();
                     let frames = receipts.map(|(to, message)| (to, Frame::Claim(message)));
                     outputs.extend(frames.map(|(to, frame)| Output::Send(to, Box::new(frame))));
                 }
--- a/src/node/feed_core/control_role.rs
+++ b/src/node/feed_core/control_role.rs
@@ -26,7 +26,7 @@
 use crate::node::forwarder;
 use crate::node::forwarder::Forwarder;
 use crate::node::status;
-use crate::quorum::mend;
+use crate::quorum::repair;
 use crate::quota;
 use crate::timeline::Kind;
 use crate::wire::Frame;
@@ -291,7 +291,7 @@
         self.hello_at = now + HELLO_INTERVAL;
         self.peers.remove_silent(now, self.members());
         let disk =
-            self.controller.as_ref().and_then(|controller| controller.replica().named_disk());
+            self.controller.as_ref().and_then(|controller| controller.replica().synced_disk());
         let ready = Ready { entries: self.publisher.own(now) };
         for id in self.peers.others() {
             let (control, ready) = (self.peers.me().clone(), ready.clone());
@@ -309,8 +309,11 @@
             return;
         }
         self.member_check_at = now + MEMBER_CHECK_INTERVAL;
-        let change =
-            mend::next(&controller.status(now), controller.tenure(now), &self.peers.disks(now));
+        let change = repair::next_change(
+            &controller.status(now),
+            controller.tenure(now),
+            &self.peers.disks(now),
+        );
         if let Some(change) = change {
             let event = events::event(&self.peers.me().id, Kind::MemberChanged);
             outputs.push(Output::Event(event.detail("change", format!("{change:?}"))));
