--- a/src/link.rs
+++ b/src/link.rs
@@ -1,26 +1,25 @@
-//! Mutually authenticated QUIC links between our processes.
+//! Mutually authenticated QUIC links between the processes of a fleet.
 //!
-//! An [`Endpoint`] owns one UDP socket. Frames to a peer go through bounded queues
-//! of that peer alone, so a slow or silent peer delays no other and can't exhaust
-//! memory. Frames may be lost with a connection; the state machines above send
-//! again what matters. See `docs/design/link.md`.
+//! An [`Endpoint`] owns one UDP socket. Each peer has bounded send queues of its own, so a slow
+//! or silent peer neither delays other peers nor exhausts memory. Frames can be lost with a
+//! connection; the state machines that use links retransmit what must arrive. See `docs/design/link.md`.
 
-mod courier;
 mod endpoint;
 mod error;
-mod event;
-mod live;
 mod peer;
 mod queue;
+mod receiver;
 mod refusals;
+mod session;
 mod settings;
 mod status;
 mod supervisor;
+mod tasks;
 mod tls;
 
 pub use endpoint::Endpoint;
 pub use error::Error;
-pub use event::Receiver;
+pub use receiver::Receiver;
 pub use settings::Settings;
 pub use status::PeerStatus;
 pub use status::Refusal;
--- a/src/link/endpoint.rs
+++ b/src/link/endpoint.rs
@@ -1,4 +1,4 @@
-//! The process's end of all links.
+//! Local endpoint of all links of a process.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -29,56 +29,56 @@
 use super::Receiver;
 use super::Settings;
 use super::Status;
-use super::courier;
 use super::peer::Peer;
 use super::refusals::Refusals;
 use super::supervisor;
+use super::tasks;
 use super::tls::Tls;
 
-/// The process's end of all links. Clones share it.
+/// Local endpoint of all links of a process. Clones share one socket and its links.
 #[derive(Clone)]
 pub struct Endpoint {
     pub(super) shared: Arc<Shared>,
 }
 
-/// What the tasks of an endpoint share.
+/// State shared by the tasks of an endpoint.
 pub(super) struct Shared {
-    /// Whether all ended; a frame sent later must not start tasks again.
+    /// Whether the endpoint is closed. A frame sent afterwards must not spawn new tasks.
     pub(super) closed: AtomicBool,
     /// The socket that peers dial.
     pub(super) endpoint: quinn::Endpoint,
     /// Certificate and key in use.
     pub(super) identity: ArcSwap<Identity>,
-    /// Why renewed files could not be taken up.
+    /// Why the last reload of the certificate files failed.
     pub(super) keys_error: ArcSwapOption<String>,
     /// Peers by name.
     pub(super) peers: Mutex<BTreeMap<NodeId, Arc<Peer>>>,
-    /// Where received frames go.
+    /// Handles received frames.
     pub(super) receiver: Box<dyn Receiver>,
-    /// Connections that were refused.
+    /// Refused connections.
     pub(super) refusals: Mutex<Refusals>,
-    /// Settings.
+    /// Settings that the endpoint was started with.
     pub(super) settings: Settings,
-    /// Ends all tasks.
+    /// Token that stops the supervisor, which then closes the endpoint.
     pub(super) stop: StopToken,
     /// TLS configuration of new connections.
     pub(super) tls: ArcSwap<Tls>,
 }
 
 impl Endpoint {
-    /// Opens the socket and starts to take links; all ends with `stop`.
+    /// Opens the socket and starts to accept links. `stop` closes the endpoint.
     ///
     /// # Errors
     ///
-    /// [`Error::Keys`] for a certificate that peers would refuse, [`Error::Name`]
-    /// for that of another process, [`Error::Socket`] when the address can't be
-    /// had, [`Error::Tls`] when the library refuses.
+    /// [`Error::Keys`] for a certificate that peers would refuse, [`Error::NameMismatch`] for a
+    /// certificate of another process, [`Error::Socket`] if the address can't be bound,
+    /// [`Error::Tls`] if the TLS library rejects the configuration.
     pub fn start(
         settings: Settings,
         receiver: Box<dyn Receiver>,
         stop: StopToken,
     ) -> Result<Self, Error> {
-        let identity = load(&settings)?;
+        let identity = load_identity(&settings)?;
         let tls = Tls::new(&identity, &settings)?;
         let endpoint = open(settings.listen, Some(tls.server.clone()))?;
         let shared = Arc::new(Shared {
@@ -93,41 +93,41 @@
             stop,
             tls: ArcSwap::from_pointee(tls),
         });
-        task::spawn(courier::accept(Arc::clone(&shared)));
+        task::spawn(tasks::accept(Arc::clone(&shared)));
         task::spawn(supervisor::run(Arc::clone(&shared)));
         Ok(Self { shared })
     }
 
-    /// Address that it listens at.
+    /// Returns the address that the endpoint listens on.
     ///
     /// # Errors
     ///
-    /// [`Error::Socket`] when the system does not tell.
+    /// [`Error::Socket`] if the system does not report it.
     pub fn address(&self) -> Result<SocketAddr, Error> {
         let address = self.shared.settings.listen;
         self.shared.endpoint.local_addr().map_err(|source| Error::Socket { address, source })
     }
 
-    /// Queues a frame; never waits. A link is made if there is none.
+    /// Queues a frame without waiting. A link is established if there is none.
     pub fn send(&self, to: &NodeId, frame: Vec<u8>) {
-        if self.is_other(to) {
+        if self.can_link(to) {
             self.shared.peer(to).push(frame);
         }
     }
 
-    /// Tells where peers are; those not named keep what was known.
+    /// Sets the addresses of peers. Peers that are not listed keep theirs.
     pub fn set_addresses(&self, addresses: impl IntoIterator<Item = (NodeId, SocketAddr)>) {
         for (id, address) in addresses {
-            if self.is_other(&id) {
+            if self.can_link(&id) {
                 self.shared.peer(&id).state().address = Some(address);
             }
         }
     }
 
-    /// Tells which links to keep up while idle. Others are made on demand, and
-    /// closed when nobody uses them.
+    /// Sets the peers whose links are kept up while idle. Other links are established on demand
+    /// and closed when unused.
     pub fn set_wanted(&self, wanted: &BTreeSet<NodeId>) {
-        for id in wanted.iter().filter(|id| self.is_other(id)) {
+        for id in wanted.iter().filter(|id| self.can_link(id)) {
             self.shared.peer(id);
         }
         for (id, peer) in self.shared.peers().iter() {
@@ -135,24 +135,24 @@
         }
     }
 
-    /// Forgets a peer that has left the fleet.
+    /// Removes a peer that has left the fleet and closes its link.
     pub fn forget(&self, id: &NodeId) {
         if let Some(peer) = self.shared.peers().remove(id) {
             peer.stop();
         }
     }
 
-    /// Takes up renewed certificate files. Done by itself within seconds of a
-    /// change; connections that stand go on until their certificates expire.
+    /// Loads renewed certificate files. The endpoint also does so by itself within seconds of a
+    /// change. Established connections continue until their certificates expire.
     ///
     /// # Errors
     ///
-    /// As for [`Endpoint::start`]; the old certificate stays in use.
+    /// The same as [`Endpoint::start`]; the old certificate stays in use.
     pub fn reload(&self) -> Result<(), Error> {
         self.shared.reload()
     }
 
-    /// State for operators.
+    /// Returns the state that operators see.
     pub fn status(&self) -> Status {
         let refusals = self.shared.refusals();
         Status {
@@ -160,23 +160,23 @@
             keys_error: self.shared.keys_error.load().as_deref().cloned(),
             peers: self.shared.peers().values().map(|peer| peer.status()).collect(),
             refused: refusals.count(),
-            refusals: refusals.last(),
+            refusals: refusals.recent(),
         }
     }
 
-    /// Closes all links and waits until the peers have been told, for a moment.
+    /// Closes all links and waits until the connections have drained, so that peers are notified.
     pub async fn close(&self) {
         self.shared.close();
         self.shared.endpoint.wait_idle().await;
     }
 
-    fn is_other(&self, id: &NodeId) -> bool {
-        *id != self.shared.settings.me && !self.shared.closed.load(Ordering::Acquire)
+    fn can_link(&self, id: &NodeId) -> bool {
+        *id != self.shared.settings.id && !self.shared.closed.load(Ordering::Acquire)
     }
 }
 
 impl Shared {
-    /// The peer of a name, made if there is none.
+    /// Returns the peer of a name, which is added if it is unknown.
     pub(super) fn peer(self: &Arc<Self>, id: &NodeId) -> Arc<Peer> {
         let mut peers = self.peers();
         if let Some(peer) = peers.get(id) {
@@ -184,23 +184,23 @@
         }
         let peer = Arc::new(Peer::new(id.clone()));
         peers.insert(id.clone(), Arc::clone(&peer));
-        courier::start(self, &peer);
+        tasks::spawn_senders(self, &peer);
         peer
     }
 
-    /// All peers.
+    /// Locks the peers.
     pub(super) fn peers(&self) -> MutexGuard<'_, BTreeMap<NodeId, Arc<Peer>>> {
         self.peers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Refused connections.
+    /// Locks the refused connections.
     pub(super) fn refusals(&self) -> MutexGuard<'_, Refusals> {
         self.refusals.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes up the certificate files.
+    /// Loads the certificate files and uses them for new connections.
     pub(super) fn reload(&self) -> Result<(), Error> {
-        let identity = load(&self.settings)?;
+        let identity = load_identity(&self.settings)?;
         let tls = Tls::new(&identity, &self.settings)?;
         self.endpoint.set_server_config(Some(tls.server.clone()));
         self.tls.store(Arc::new(tls));
@@ -218,12 +218,12 @@
     }
 }
 
-/// The system's wall clock.
+/// Reads the system's wall clock.
 pub(super) fn wall_clock() -> Epoch {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
 
-/// Opens a socket.
+/// Binds a UDP socket; with `server`, it accepts connections too.
 pub(super) fn open(
     address: SocketAddr,
     server: Option<quinn::ServerConfig>,
@@ -234,10 +234,10 @@
         .map_err(error)
 }
 
-fn load(settings: &Settings) -> Result<Identity, Error> {
+fn load_identity(settings: &Settings) -> Result<Identity, Error> {
     let identity = Identity::load(&settings.keys, wall_clock())?;
-    if *identity.id() == settings.me {
+    if *identity.id() == settings.id {
         return Ok(identity);
     }
-    Err(Error::Name { found: identity.id().clone(), wanted: settings.me.clone() })
+    Err(Error::NameMismatch { found: identity.id().clone(), wanted: settings.id.clone() })
 }
--- a/src/link/error.rs
+++ b/src/link/error.rs
@@ -8,18 +8,18 @@
 use crate::id::NodeId;
 use crate::keys;
 
-/// Why an endpoint can't start, or a link can't be made.
+/// Why an endpoint can't start or a link can't be established.
 #[derive(Debug, Error)]
 pub enum Error {
     /// The peer's address is not known.
     #[error("no address of `{0}` is known")]
-    Address(NodeId),
+    UnknownAddress(NodeId),
     /// The handshake failed: wrong certificate, no answer, or another reason.
     #[error("no link to `{peer}` at `{address}`: {reason}")]
     Handshake {
         /// Address that was dialled.
         address: SocketAddr,
-        /// Reason as the library reported it.
+        /// Reason that the library reported.
         reason: String,
         /// Peer that was dialled.
         peer: NodeId,
@@ -27,9 +27,9 @@
     /// The certificate is not usable.
     #[error(transparent)]
     Keys(#[from] keys::Error),
-    /// The certificate was made for another process.
+    /// The certificate was issued to another process.
     #[error("certificate says `{found}`, but this process is `{wanted}`")]
-    Name {
+    NameMismatch {
         /// Name in the certificate.
         found: NodeId,
         /// Name in the settings.
@@ -38,15 +38,15 @@
     /// The UDP socket can't be opened.
     #[error("`{address}`: {source}")]
     Socket {
-        /// Address to listen at.
+        /// Address to listen on.
         address: SocketAddr,
-        /// What the system reported.
+        /// Error that the system reported.
         source: io::Error,
     },
-    /// The TLS library refused the configuration.
+    /// The TLS library rejected the configuration.
     #[error("tls: {reason}")]
     Tls {
-        /// What it reported.
+        /// Reason that the library reported.
         reason: String,
     },
 }
--- a/src/link/peer.rs
+++ b/src/link/peer.rs
@@ -1,4 +1,4 @@
-//! One peer: its queues and its connection.
+//! Send queues and connection of one peer.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -12,65 +12,65 @@
 
 use crate::id::NodeId;
 
-use super::live::Live;
-use super::live::Reason;
 use super::queue::Queue;
+use super::session::CloseReason;
+use super::session::Session;
 use super::status::PeerStatus;
 
-/// Frames above this size go by a queue of their own, so that a document on its
-/// way does not hold up heartbeats behind it.
-const SMALL_BYTES: usize = 16 << 10;
-/// Bytes of small frames that wait for one peer.
+/// Frames above this size have a queue of their own, so that a document in transfer does not delay
+/// heartbeats.
+const MAX_SMALL_BYTES: usize = 16 << 10;
+/// Limit of queued small frames for one peer.
 const SMALL_QUEUE_BYTES: usize = 512 << 10;
-/// Bytes of large frames that wait for one peer: two documents and some patches.
+/// Limit of queued large frames for one peer: two documents and some patches.
 const LARGE_QUEUE_BYTES: usize = 4 << 20;
-/// Doublings of the time between dials that are counted.
-const BACKOFF_LIMIT: u32 = 10;
-/// Connections that both ends dialled at about the same time.
-const CROSSED: Duration = Duration::from_secs(2);
+/// Failed dials after which the backoff is doubled no more.
+const MAX_BACKOFF_DOUBLINGS: u32 = 10;
+/// Age below which two connections, one dialled by each end, count as dialled simultaneously.
+const SIMULTANEOUS_DIAL_WINDOW: Duration = Duration::from_secs(2);
 
-/// Age at which a connection counts as accepted by the peer: in TLS 1.3 the
-/// dialling end is done before its own certificate is checked.
-const PROVEN: Duration = Duration::from_secs(1);
+/// Age at which a connection counts as accepted by the peer. In TLS 1.3 the handshake of the
+/// dialling end completes before the peer has checked its certificate.
+const ACCEPTED_AFTER: Duration = Duration::from_secs(1);
 
-/// One peer: its queues and its connection.
+/// Send queues and connection of one peer.
 #[derive(Debug)]
 pub(super) struct Peer {
-    /// Held while it is being dialled.
+    /// Held while the peer is being dialled.
     pub(super) dialling: async_std::sync::Mutex<()>,
-    /// Its name.
+    /// Name of the peer.
     pub(super) id: NodeId,
     /// Frames above 16 KiB.
     pub(super) large: Queue,
-    /// All other frames.
+    /// Frames up to 16 KiB.
     pub(super) small: Queue,
     state: Mutex<State>,
 }
 
-/// What changes of a peer.
+/// Mutable state of a peer.
 #[derive(Debug, Default)]
 pub(super) struct State {
-    /// Where to dial it.
+    /// Address to dial.
     pub(super) address: Option<SocketAddr>,
     /// Why the last dial failed.
     pub(super) error: Option<String>,
-    /// Dials in a row that failed, or that the peer soon ended.
+    /// Consecutive dials that failed or whose connection the peer soon closed.
     pub(super) failures: u32,
-    /// Whether the next dial takes a new port: the flow from the usual one may be
-    /// what the path has lost track of.
-    pub(super) fresh_port: bool,
-    /// The connection in use.
-    pub(super) live: Option<Live>,
-    /// When it may be dialled again.
+    /// Whether the next dial uses a new local port, because the path may have lost the state of
+    /// the flow from the usual one.
+    pub(super) use_new_port: bool,
+    /// Session in use.
+    pub(super) session: Option<Session>,
+    /// Earliest time of the next dial.
     pub(super) retry_at: Option<Instant>,
-    /// Times that the path was found silent.
+    /// Number of times that the path was found silent.
     pub(super) silences: u64,
-    /// Whether the link is kept up.
+    /// Whether the link is kept up while idle.
     pub(super) wanted: bool,
 }
 
 impl Peer {
-    /// Peer without a connection.
+    /// Creates a peer without a connection.
     pub(super) fn new(id: NodeId) -> Self {
         Self {
             dialling: async_std::sync::Mutex::new(()),
@@ -81,137 +81,138 @@
         }
     }
 
-    /// What changes of it.
+    /// Locks the mutable state.
     pub(super) fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Queues a frame; never waits.
+    /// Queues a frame without waiting.
     pub(super) fn push(&self, frame: Vec<u8>) {
-        if frame.len() > SMALL_BYTES { self.large.push(frame) } else { self.small.push(frame) }
+        if frame.len() > MAX_SMALL_BYTES { self.large.push(frame) } else { self.small.push(frame) }
     }
 
-    /// The connection in use.
+    /// Returns the connection in use.
     pub(super) fn connection(&self) -> Option<Connection> {
         let mut state = self.state();
-        state.live.take_if(|live| live.is_closed());
-        state.live.as_ref().map(|live| live.connection.clone())
+        state.session.take_if(|session| session.is_closed());
+        state.session.as_ref().map(|session| session.connection.clone())
     }
 
-    /// Takes a new connection into use, in place of an older one.
+    /// Uses a new session in place of an older one.
     ///
-    /// When both ends dialled at once, both keep the one that the lower name
-    /// dialled. Otherwise the newer one wins: its dialler found the older silent.
-    pub(super) fn adopt(&self, live: Live, me: &NodeId) {
+    /// When both ends dialled simultaneously, both keep the session that the peer with the lower
+    /// name dialled. Otherwise the newer one wins: its dialler found the older one silent.
+    pub(super) fn adopt(&self, session: Session, own_id: &NodeId) {
         let mut state = self.state();
-        let keeps_old = state.live.as_ref().is_some_and(|old| {
-            let crossed = old.dialled != live.dialled && old.since.elapsed() < CROSSED;
-            crossed && !old.is_closed() && old.dialled == (*me < self.id)
+        let is_old_kept = state.session.as_ref().is_some_and(|old| {
+            let is_simultaneous =
+                old.dialled != session.dialled && old.since.elapsed() < SIMULTANEOUS_DIAL_WINDOW;
+            is_simultaneous && !old.is_closed() && old.dialled == (*own_id < self.id)
         });
-        if keeps_old {
-            live.close(Reason::Superseded);
+        if is_old_kept {
+            session.close(CloseReason::Superseded);
             return;
         }
-        state.fresh_port = false;
-        if let Some(old) = state.live.replace(live) {
-            old.close(Reason::Superseded);
+        state.use_new_port = false;
+        if let Some(old) = state.session.replace(session) {
+            old.close(CloseReason::Superseded);
         }
     }
 
-    /// Notes a dial that failed, or a connection that ended before it was proven,
-    /// and puts off the next dial.
-    pub(super) fn note_failure(&self, reason: String, gap: Duration, gap_max: Duration) {
+    /// Records a failed dial, or a connection that ended before it counted as accepted, and delays
+    /// the next dial by a backoff.
+    pub(super) fn note_failure(&self, reason: String, backoff: Duration, backoff_max: Duration) {
         let mut state = self.state();
-        tracing::warn!(peer = %self.id, reason, "no link");
-        let gap = gap * 2_u32.saturating_pow(state.failures.min(BACKOFF_LIMIT));
+        tracing::warn!(peer = %self.id, reason, "link failed");
+        let delay = backoff * 2_u32.saturating_pow(state.failures.min(MAX_BACKOFF_DOUBLINGS));
         state.error = Some(reason);
         state.failures += 1;
-        state.fresh_port = true;
-        state.retry_at = Some(Instant::now() + gap.min(gap_max));
+        state.use_new_port = true;
+        state.retry_at = Some(Instant::now() + delay.min(backoff_max));
     }
 
-    /// Notes that the peer, or the library, ended a connection.
+    /// Records that the peer or the library ended a connection.
     pub(super) fn note_end(
         &self,
         since: Instant,
         error: &ConnectionError,
-        gap: Duration,
-        gap_max: Duration,
+        backoff: Duration,
+        backoff_max: Duration,
     ) {
         match error {
             ConnectionError::TimedOut => self.state().note_silence(&self.id),
             ConnectionError::ConnectionClosed(_) | ConnectionError::TransportError(_)
-                if since.elapsed() < PROVEN =>
+                if since.elapsed() < ACCEPTED_AFTER =>
             {
-                self.note_failure(error.to_string(), gap, gap_max);
+                self.note_failure(error.to_string(), backoff, backoff_max);
             }
             _ => {}
         }
     }
 
-    /// Closes the connection in use.
-    pub(super) fn close(&self, reason: Reason) {
-        if let Some(live) = self.state().live.take() {
-            live.close(reason);
+    /// Closes the session in use.
+    pub(super) fn close(&self, reason: CloseReason) {
+        if let Some(session) = self.state().session.take() {
+            session.close(reason);
         }
     }
 
-    /// Ends the peer's tasks.
+    /// Ends the peer's send tasks and closes its session.
     pub(super) fn stop(&self) {
         self.small.close();
         self.large.close();
-        self.close(Reason::Stopped);
+        self.close(CloseReason::Stopped);
     }
 
-    /// What it shows of itself.
+    /// Returns the state that operators see.
     pub(super) fn status(&self) -> PeerStatus {
         let state = self.state();
-        let live = state.live.as_ref().filter(|live| !live.is_closed());
-        let (sent_bytes, received_bytes) = live.map(Live::bytes).unwrap_or_default();
-        let socket = live
-            .and_then(|live| live.endpoint.as_ref())
+        let session = state.session.as_ref().filter(|session| !session.is_closed());
+        let (sent_bytes, received_bytes) = session.map(Session::bytes).unwrap_or_default();
+        let socket = session
+            .and_then(|session| session.endpoint.as_ref())
             .and_then(|endpoint| endpoint.local_addr().ok());
         PeerStatus {
-            address: live.map(|live| live.connection.remote_address()),
+            address: session.map(|session| session.connection.remote_address()),
             dropped: self.small.dropped() + self.large.dropped(),
             error: state.error.clone(),
             id: self.id.clone(),
             local_port: socket.map(|address| address.port()),
             queued: self.small.len() + self.large.len(),
             received_bytes,
-            round_trip: live.map(|live| live.connection.rtt()),
+            round_trip: session.map(|session| session.connection.rtt()),
             sent_bytes,
             silences: state.silences,
             wanted: state.wanted,
         }
     }
 
-    /// Looks after the connection; true when the peer is to be dialled.
-    pub(super) fn supervise(&self, now: Instant, at: Duration, limits: &Limits) -> bool {
+    /// Closes a session that is silent, expired or unwanted. Returns whether to dial the peer.
+    pub(super) fn supervise(&self, now: Instant, wall_time: Duration, limits: &Limits) -> bool {
         let mut state = self.state();
-        let Some(live) = state.live.as_mut() else { return state.wanted };
-        live.observe(now);
-        let dialled = live.dialled;
-        let proven = live.since.elapsed() >= PROVEN;
-        let reason = if live.is_closed() {
+        let Some(session) = state.session.as_mut() else { return state.wanted };
+        session.observe(now);
+        let dialled = session.dialled;
+        let is_accepted = session.since.elapsed() >= ACCEPTED_AFTER;
+        let reason = if session.is_closed() {
             return state.wanted;
-        } else if live.is_silent(now, limits.silent_after) {
-            Reason::Silent
-        } else if live.expires <= at {
-            Reason::Expired
-        } else if dialled && live.unused(now) >= limits.unwanted_after && !state.wanted {
-            Reason::Unwanted
+        } else if session.is_silent(now, limits.silent_after) {
+            CloseReason::Silent
+        } else if session.expires <= wall_time {
+            CloseReason::Expired
+        } else if dialled && session.idle_time(now) >= limits.unwanted_after && !state.wanted {
+            CloseReason::Unwanted
         } else {
-            if proven {
+            if is_accepted {
                 state.failures = 0;
                 state.error = None;
             }
             return false;
         };
-        if let Some(live) = state.live.take() {
-            live.close(reason);
+        if let Some(session) = state.session.take() {
+            session.close(reason);
         }
-        if matches!(reason, Reason::Silent) {
+        if matches!(reason, CloseReason::Silent) {
             state.note_silence(&self.id);
         }
         state.wanted
@@ -222,15 +223,15 @@
     fn note_silence(&mut self, id: &NodeId) {
         tracing::warn!(peer = %id, "link is silent, to be dialled from a new port");
         self.silences += 1;
-        self.fresh_port = true;
+        self.use_new_port = true;
     }
 }
 
-/// Times that a connection is judged by.
+/// Limits after which a session is closed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Limits {
-    /// Longest wait for a sign of life that is owed.
+    /// Longest wait for an outstanding answer.
     pub(super) silent_after: Duration,
-    /// Longest time without a frame of a link that is not wanted.
+    /// Longest time without a frame on a link that is not wanted.
     pub(super) unwanted_after: Duration,
 }
--- a/src/link/queue.rs
+++ b/src/link/queue.rs
@@ -1,4 +1,4 @@
-//! Bounded queue of frames for one peer.
+//! Bounded send queue of one peer.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -11,15 +11,15 @@
 use async_std::channel::Receiver;
 use async_std::channel::Sender;
 
-/// Frames kept at most.
-const FRAME_LIMIT: usize = 256;
+/// Largest number of queued frames.
+const MAX_FRAMES: usize = 256;
 
-/// Bounded queue of frames, which drops the oldest: a newer heartbeat or digest
-/// says all that the older one said.
+/// Bounded queue of frames that drops the oldest ones, because a newer heartbeat or digest
+/// replaces an older one.
 #[derive(Debug)]
 pub(super) struct Queue {
     byte_limit: usize,
-    bell: (Sender<()>, Receiver<()>),
+    wakeup: (Sender<()>, Receiver<()>),
     state: Mutex<State>,
 }
 
@@ -31,44 +31,44 @@
 }
 
 impl Queue {
-    /// Queue of at most this many bytes; a frame larger than that passes alone.
+    /// Creates a queue of at most `byte_limit` bytes. A larger frame is queued only by itself.
     pub(super) fn new(byte_limit: usize) -> Self {
-        Self { byte_limit, bell: channel::bounded(1), state: Mutex::default() }
+        Self { byte_limit, wakeup: channel::bounded(1), state: Mutex::default() }
     }
 
-    /// Adds a frame; never waits.
+    /// Adds a frame without waiting and drops the oldest frames above the limits.
     pub(super) fn push(&self, frame: Vec<u8>) {
         let mut state = self.state();
         state.bytes += frame.len();
         state.frames.push_back((Instant::now(), frame));
         while state.frames.len() > 1
-            && (state.frames.len() > FRAME_LIMIT || state.bytes > self.byte_limit)
+            && (state.frames.len() > MAX_FRAMES || state.bytes > self.byte_limit)
         {
-            state.drop_first();
+            state.drop_oldest();
         }
         drop(state);
-        // A full bell rings already.
-        let _ = self.bell.0.try_send(());
+        // A full channel already holds a wake-up.
+        let _ = self.wakeup.0.try_send(());
     }
 
-    /// Waits for a frame; `None` when the queue was closed.
+    /// Waits for a frame. `None` once the queue is closed.
     pub(super) async fn wait(&self) -> Option<()> {
         while self.is_empty() {
-            self.bell.1.recv().await.ok()?;
+            self.wakeup.1.recv().await.ok()?;
         }
-        (!self.bell.0.is_closed()).then_some(())
+        (!self.wakeup.0.is_closed()).then_some(())
     }
 
-    /// Drops frames older than `age`; true when others are left.
-    pub(super) fn refresh(&self, age: Duration) -> bool {
+    /// Drops frames older than `age`. Returns whether any are left.
+    pub(super) fn drop_expired(&self, age: Duration) -> bool {
         let mut state = self.state();
         while state.frames.front().is_some_and(|(at, _)| at.elapsed() > age) {
-            state.drop_first();
+            state.drop_oldest();
         }
         !state.frames.is_empty()
     }
 
-    /// Takes the first frame.
+    /// Removes and returns the oldest frame.
     pub(super) fn pop(&self) -> Option<Vec<u8>> {
         let mut state = self.state();
         let (_, frame) = state.frames.pop_front()?;
@@ -76,27 +76,27 @@
         Some(frame)
     }
 
-    /// Counts a frame that was lost after it left the queue.
-    pub(super) fn note_lost(&self) {
+    /// Counts a frame that was lost after its removal from the queue.
+    pub(super) fn count_lost(&self) {
         self.state().dropped += 1;
     }
 
-    /// Ends the waiting.
+    /// Closes the queue, which ends [`Self::wait`].
     pub(super) fn close(&self) {
-        self.bell.0.close();
+        self.wakeup.0.close();
     }
 
-    /// Frames dropped or lost.
+    /// Returns the number of frames dropped or lost.
     pub(super) fn dropped(&self) -> u64 {
         self.state().dropped
     }
 
-    /// Whether nothing waits.
+    /// Whether no frame is queued.
     pub(super) fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Frames that wait.
+    /// Returns the number of queued frames.
     pub(super) fn len(&self) -> usize {
         self.state().frames.len()
     }
@@ -107,7 +107,7 @@
 }
 
 impl State {
-    fn drop_first(&mut self) {
+    fn drop_oldest(&mut self) {
         if let Some((_, frame)) = self.frames.pop_front() {
             self.bytes -= frame.len();
             self.dropped += 1;
--- a/src/link/refusals.rs
+++ b/src/link/refusals.rs
@@ -1,4 +1,4 @@
-//! Connections that were refused.
+//! Refused connections.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -6,35 +6,35 @@
 use super::Refusal;
 use super::endpoint::wall_clock;
 
-/// Refusals kept for operators.
-const KEPT: usize = 16;
+/// Number of recent refusals that operators see.
+const MAX_RECENT: usize = 16;
 
-/// Connections that were refused: a wrong, expired or foreign certificate, or a
-/// handshake that did not end.
+/// Refused connections: the peer had a wrong, expired or foreign certificate, or its handshake
+/// failed or timed out.
 #[derive(Debug, Default)]
 pub(super) struct Refusals {
     count: u64,
-    last: VecDeque<Refusal>,
+    recent: VecDeque<Refusal>,
 }
 
 impl Refusals {
-    /// Notes one.
-    pub(super) fn note(&mut self, address: SocketAddr, reason: String) {
-        tracing::warn!(%address, reason, "link refused");
+    /// Logs and records a refusal.
+    pub(super) fn record(&mut self, address: SocketAddr, reason: String) {
+        tracing::warn!(%address, reason, "refused a link");
         self.count += 1;
-        self.last.push_back(Refusal { address, at: wall_clock(), reason });
-        if self.last.len() > KEPT {
-            self.last.pop_front();
+        self.recent.push_back(Refusal { address, at: wall_clock(), reason });
+        if self.recent.len() > MAX_RECENT {
+            self.recent.pop_front();
         }
     }
 
-    /// Refused since the start.
+    /// Returns the number of refusals since the start.
     pub(super) fn count(&self) -> u64 {
         self.count
     }
 
-    /// The last few.
-    pub(super) fn last(&self) -> Vec<Refusal> {
-        self.last.iter().cloned().collect()
+    /// Returns the most recent refusals, oldest first.
+    pub(super) fn recent(&self) -> Vec<Refusal> {
+        self.recent.iter().cloned().collect()
     }
 }
--- a/src/link/status.rs
+++ b/src/link/status.rs
@@ -1,4 +1,4 @@
-//! What an endpoint shows of itself.
+//! State of an endpoint for operators.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,42 +8,41 @@
 use crate::clock::Epoch;
 use crate::id::NodeId;
 
-/// One link.
+/// State of the link to one peer.
 #[derive(Clone, Debug, Serialize)]
 pub struct PeerStatus {
-    /// Address of the other end, while there is a connection.
+    /// Address of the peer, while there is a connection.
     pub address: Option<SocketAddr>,
-    /// Frames dropped: the queue was full, they were too old, or the connection
-    /// failed.
+    /// Frames dropped because the queue was full, they were too old or the connection failed.
     pub dropped: u64,
-    /// Last reason why no link could be made.
+    /// Why the last dial failed. Cleared once a connection counts as accepted.
     pub error: Option<String>,
     /// Name of the peer.
     pub id: NodeId,
-    /// Local port, while there is a connection that this end dialled.
+    /// Local port, while there is a connection that was dialled from a port of its own.
     pub local_port: Option<u16>,
-    /// Frames waiting.
+    /// Frames that wait to be sent.
     pub queued: usize,
-    /// Bytes received over the present connection, with IP and UDP headers.
+    /// Bytes received over the current connection, with IP and UDP headers.
     pub received_bytes: u64,
-    /// Round trip, while there is a connection.
+    /// Round-trip time, while there is a connection.
     pub round_trip: Option<Duration>,
-    /// Bytes sent over the present connection, with IP and UDP headers.
+    /// Bytes sent over the current connection, with IP and UDP headers.
     pub sent_bytes: u64,
-    /// Times that the path was found silent.
+    /// Number of times that the path was found silent.
     pub silences: u64,
     /// Whether the link is kept up while idle.
     pub wanted: bool,
 }
 
-/// Somebody whose certificate or handshake was refused.
+/// Refused connection.
 #[derive(Clone, Debug, Serialize)]
 pub struct Refusal {
-    /// Address that it came from.
+    /// Address of the dialling end.
     pub address: SocketAddr,
-    /// When.
+    /// Time of the refusal.
     pub at: Epoch,
-    /// Why.
+    /// Reason of the refusal.
     pub reason: String,
 }
 
@@ -52,12 +51,12 @@
 pub struct Status {
     /// When this VM's certificate expires.
     pub certificate_until: Epoch,
-    /// Why a renewed certificate could not be taken up; the old one is in use.
+    /// Why a renewed certificate could not be loaded; the old one stays in use.
     pub keys_error: Option<String>,
-    /// The links, by name.
+    /// Links, sorted by the name of the peer.
     pub peers: Vec<PeerStatus>,
     /// Connections refused since the start.
     pub refused: u64,
-    /// The last few of them.
+    /// The most recent refusals, oldest first.
     pub refusals: Vec<Refusal>,
 }
--- a/tests/suite/link.rs
+++ b/tests/suite/link.rs
@@ -1,8 +1,8 @@
-//! Tests of `hemlockfield::link` on loopback. They wait for events; a wait ends
-//! the test only when the event never comes.
+//! Tests of `hemlockfield::link` on loopback. They wait for events, with a timeout so long that it
+//! only fails a test whose event never happens.
 #![allow(clippy::unwrap_used)]
 
+mod fixture;
 mod path;
 mod refusal;
 mod relay;
-mod site;
--- a/tests/suite/link/site.rs
+++ b/tests/suite/link/fixture.rs
@@ -1,4 +1,4 @@
-//! Endpoints with certificates of one authority.
+//! Test fixture: endpoints with certificates of one authority.
 
 use std::collections::BTreeSet;
 use std::path::PathBuf;
@@ -21,33 +21,33 @@
 use tempfile::tempdir;
 
 pub(super) const DAY: Duration = Duration::from_secs(24 * 3600);
-/// Patience with an event that has to come.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Timeout of an event that has to happen.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(60);
 
 pub(super) fn now() -> Epoch {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap()
 }
 
-/// Waits for an event.
+/// Polls until `happened` returns true; panics after [`EVENT_TIMEOUT`].
 pub(super) fn wait_for(what: &str, mut happened: impl FnMut() -> bool) {
-    let pace = Duration::from_millis(20);
-    let tries = PATIENCE.as_millis() / pace.as_millis();
+    let interval = Duration::from_millis(20);
+    let tries = EVENT_TIMEOUT.as_millis() / interval.as_millis();
     assert!(
         (0..tries).any(|_| happened() || {
-            sleep(pace);
+            sleep(interval);
             false
         }),
-        "{what} never came"
+        "{what} did not happen"
     );
 }
 
-/// Folder with an authority.
-pub(super) struct Site {
+/// Certificate authority and its folder, in which nodes have their certificates.
+pub(super) struct Fixture {
     pub(super) authority: Authority,
     pub(super) folder: TempDir,
 }
 
-impl Site {
+impl Fixture {
     pub(super) fn new() -> Self {
         let folder = tempdir().unwrap();
         Self { authority: Authority::create(folder.path(), now()).unwrap(), folder }
@@ -70,7 +70,7 @@
     }
 }
 
-/// One endpoint and what it received.
+/// Endpoint with the frames that it received.
 pub(super) struct Node {
     pub(super) endpoint: Endpoint,
     pub(super) frames: Receiver<(NodeId, Vec<u8>)>,
@@ -87,11 +87,11 @@
         Self { endpoint, frames, _stop: stop }
     }
 
-    pub(super) fn knows(&self, id: &str, other: &Node) {
-        self.endpoint.set_addresses([(id.into(), other.endpoint.address().unwrap())]);
+    pub(super) fn set_address(&self, id: &str, peer: &Node) {
+        self.endpoint.set_addresses([(id.into(), peer.endpoint.address().unwrap())]);
     }
 
-    pub(super) fn want(&self, ids: &[&str]) {
+    pub(super) fn set_wanted(&self, ids: &[&str]) {
         self.endpoint.set_wanted(&ids.iter().map(|id| NodeId::from(*id)).collect::<BTreeSet<_>>());
     }
 
@@ -100,7 +100,7 @@
     }
 
     pub(super) fn receive(&self) -> (NodeId, Vec<u8>) {
-        self.frames.recv_timeout(PATIENCE).unwrap()
+        self.frames.recv_timeout(EVENT_TIMEOUT).unwrap()
     }
 
     pub(super) fn peer(&self, id: &str) -> PeerStatus {
--- a/tests/suite/link/path.rs
+++ b/tests/suite/link/path.rs
@@ -1,4 +1,4 @@
-//! Frames, and paths that fail.
+//! Transfer of frames, also over paths that fail.
 
 use std::net::UdpSocket;
 use std::time::Duration;
@@ -6,20 +6,20 @@
 use hemlockfield::link::Settings;
 use rstest::rstest;
 
+use super::fixture::Fixture;
+use super::fixture::Node;
+use super::fixture::wait_for;
 use super::relay::Relay;
-use super::site::Node;
-use super::site::Site;
-use super::site::wait_for;
 
 #[rstest]
 #[case::empty(0)]
 #[case::small(60)]
-#[case::above_a_packet(5_000)]
+#[case::larger_than_packet(5_000)]
 #[case::document(2 << 20)]
 fn send_both_ways(#[case] size: usize) {
-    let site = Site::new();
-    let (a, b) = (site.start("a"), site.start("b"));
-    a.knows("b", &b);
+    let fixture = Fixture::new();
+    let (a, b) = (fixture.start("a"), fixture.start("b"));
+    a.set_address("b", &b);
     let frame = (0..size).map(|byte| byte as u8).collect::<Vec<_>>();
     a.send("b", &frame);
     assert_eq!(b.receive(), ("a".into(), frame.clone()));
@@ -27,39 +27,38 @@
     assert_eq!(a.receive(), ("b".into(), frame));
 }
 
-/// Something between two processes loses track of their link: what is sent on it
-/// vanishes, without an error, for good. New flows pass.
-/// The sender is owed an answer, hears nothing, notices within seconds, and dials
-/// from a new local port. The peer takes the newer link in place of the old one.
-/// The busy case has no keep-alive and no idle timeout that could help it.
+/// A device on the path loses the state of the link and drops its packets silently and for good,
+/// but passes new flows. The dialling end must detect that its packets are not answered and dial
+/// from a new local port, and the peer must replace the old link.
+/// In the busy case the intervals of keep-alive and idle timeout are too long to help.
 #[rstest]
 #[case::busy(true)]
 #[case::idle(false)]
-fn send_over_silent_path(#[case] busy: bool) {
-    let site = Site::new();
+fn send_silent_path(#[case] busy: bool) {
+    let fixture = Fixture::new();
     let settings = |id| Settings {
         keep_alive: Duration::from_millis(if busy { 60_000 } else { 500 }),
         silent_after: Duration::from_secs(1),
-        ..site.settings(id)
+        ..fixture.settings(id)
     };
     let (a, b) = (Node::start(settings("a")), Node::start(settings("b")));
     let relay = Relay::start(b.endpoint.address().unwrap());
     a.endpoint.set_addresses([("b".into(), relay.address)]);
-    a.want(&["b"]);
+    a.set_wanted(&["b"]);
     a.send("b", b"before");
     assert_eq!(b.receive().1, b"before");
-    relay.swallow();
+    relay.drop_flows();
     if busy {
-        a.send("b", b"swallowed");
+        a.send("b", b"dropped");
     }
     wait_for("a new flow", || relay.flows() >= 2 && a.is_linked("b"));
     assert!(a.peer("b").silences >= 1);
     assert!(a.peer("b").local_port.is_some());
-    exchange(&a, &b);
+    exchange_frames(&a, &b);
 }
 
-/// Sends both ways until a frame has come each way.
-fn exchange(a: &Node, b: &Node) {
+/// Sends in both directions until a frame has arrived in each.
+fn exchange_frames(a: &Node, b: &Node) {
     for (from, to, id) in [(a, b, "b"), (b, a, "a")] {
         wait_for("a frame", || {
             from.send(id, b"after");
@@ -68,68 +67,68 @@
     }
 }
 
-/// One peer takes packets and never answers. Frames to it are dropped, oldest
-/// first, with bounded memory; frames to another peer arrive as ever.
+/// A peer receives packets but never answers. Its queues must stay bounded and drop frames, while
+/// frames to another peer arrive.
 #[test]
-fn send_to_slow_peer() {
-    let site = Site::new();
-    let (a, b) = (site.start("a"), site.start("b"));
-    let hole = UdpSocket::bind("127.0.0.1:0").unwrap();
-    a.knows("b", &b);
-    a.endpoint.set_addresses([("hole".into(), hole.local_addr().unwrap())]);
-    (0..10_000).for_each(|_| a.send("hole", &[7; 100]));
-    (0..10).for_each(|_| a.send("hole", &[7; 1 << 20]));
+fn send_unresponsive_peer() {
+    let fixture = Fixture::new();
+    let (a, b) = (fixture.start("a"), fixture.start("b"));
+    let unresponsive = UdpSocket::bind("127.0.0.1:0").unwrap();
+    a.set_address("b", &b);
+    a.endpoint.set_addresses([("unresponsive".into(), unresponsive.local_addr().unwrap())]);
+    (0..10_000).for_each(|_| a.send("unresponsive", &[7; 100]));
+    (0..10).for_each(|_| a.send("unresponsive", &[7; 1 << 20]));
     a.send("b", b"quick");
     assert_eq!(b.receive().1, b"quick");
-    let status = a.peer("hole");
+    let status = a.peer("unresponsive");
     assert!(status.queued <= 256 + 4, "{}", status.queued);
     assert!(status.dropped >= 9_700, "{}", status.dropped);
 }
 
-/// Both ends dial at the same moment. One link is left, and frames pass.
+/// Both ends dial simultaneously. One link must remain and transfer frames.
 #[test]
-fn send_crossed_dials() {
-    let site = Site::new();
-    let (a, b) = (site.start("a"), site.start("b"));
-    a.knows("b", &b);
-    b.knows("a", &a);
+fn send_simultaneous_dials() {
+    let fixture = Fixture::new();
+    let (a, b) = (fixture.start("a"), fixture.start("b"));
+    a.set_address("b", &b);
+    b.set_address("a", &a);
     for round in 0_u8..50 {
         a.send("b", &[round]);
         b.send("a", &[round]);
     }
-    a.want(&["b"]);
-    b.want(&["a"]);
+    a.set_wanted(&["b"]);
+    b.set_wanted(&["a"]);
     wait_for("links", || a.is_linked("b") && b.is_linked("a"));
-    exchange(&a, &b);
+    exchange_frames(&a, &b);
 }
 
-/// A peer restarts. The wanted link to it comes back though nothing is sent.
+/// A peer restarts. The wanted link to it must be established again although nothing is sent.
 #[test]
-fn want_restarted_peer() {
-    let site = Site::new();
-    let a = site.start("a");
-    let b = site.start("b");
+fn set_wanted_restarted_peer() {
+    let fixture = Fixture::new();
+    let a = fixture.start("a");
+    let b = fixture.start("b");
     let address = b.endpoint.address().unwrap();
-    a.knows("b", &b);
-    a.want(&["b"]);
+    a.set_address("b", &b);
+    a.set_wanted(&["b"]);
     wait_for("a link", || b.is_linked("a"));
     async_std::task::block_on(b.endpoint.close());
-    wait_for("its end", || !a.is_linked("b"));
+    wait_for("the end of the link", || !a.is_linked("b"));
     drop(b);
-    wait_for("the port", || UdpSocket::bind(address).is_ok());
-    let b = Node::start(Settings { listen: address, ..site.settings("b") });
+    wait_for("release of the port", || UdpSocket::bind(address).is_ok());
+    let b = Node::start(Settings { listen: address, ..fixture.settings("b") });
     wait_for("the link", || b.is_linked("a"));
 }
 
 #[test]
-fn close_unwanted_link() {
-    let site = Site::new();
-    let settings = Settings { unwanted_after: Duration::from_secs(1), ..site.settings("a") };
-    let (a, b) = (Node::start(settings), site.start("b"));
-    a.knows("b", &b);
+fn unwanted_after_last_frame() {
+    let fixture = Fixture::new();
+    let settings = Settings { unwanted_after: Duration::from_secs(1), ..fixture.settings("a") };
+    let (a, b) = (Node::start(settings), fixture.start("b"));
+    a.set_address("b", &b);
     a.send("b", b"once");
     assert_eq!(b.receive().1, b"once");
-    wait_for("the close", || !a.is_linked("b") && !b.is_linked("a"));
+    wait_for("the close of the link", || !a.is_linked("b") && !b.is_linked("a"));
     a.send("b", b"again");
     assert_eq!(b.receive().1, b"again");
 }
--- a/tests/suite/link/refusal.rs
+++ b/tests/suite/link/refusal.rs
@@ -1,4 +1,4 @@
-//! Certificates that are refused, and renewed ones that are taken up.
+//! Refused certificates and reloads of renewed ones.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -20,48 +20,48 @@
 use rustls_pki_types::pem::PemObject;
 use stop_token::StopSource;
 
-use super::site::DAY;
-use super::site::Site;
-use super::site::now;
-use super::site::wait_for;
+use super::fixture::DAY;
+use super::fixture::Fixture;
+use super::fixture::now;
+use super::fixture::wait_for;
 
-/// What a stranger shows.
-enum Shown {
+/// Certificate that a dialling client presents.
+enum Credential {
     Expired,
     Foreign,
     Nothing,
 }
 
-/// A client trusts our authority, but has no good certificate of its own. Its
-/// connection is refused; the operator finds the reason in the status and the log.
+/// A client trusts the authority but has no valid certificate of its own. Its connection must be
+/// refused, and the status must give the reason.
 #[rstest]
-#[case::expired(Shown::Expired, "expired")]
-#[case::foreign(Shown::Foreign, "UnknownIssuer")]
-#[case::nothing(Shown::Nothing, "no certificates")]
-fn accept_bad_certificate(#[case] shown: Shown, #[case] reason: &str) {
-    let site = Site::new();
-    let b = site.start("b");
-    let (folder, past) = (site.folder_of("a"), now() - DAY * 10);
-    let paths = match shown {
-        Shown::Expired => Some(site.authority.issue(&folder, "a", past, DAY).unwrap()),
-        Shown::Foreign => {
-            let other = Authority::create(&site.folder_of("other"), now()).unwrap();
+#[case::expired(Credential::Expired, "expired")]
+#[case::foreign(Credential::Foreign, "UnknownIssuer")]
+#[case::nothing(Credential::Nothing, "no certificates")]
+fn accept_invalid_certificate(#[case] credential: Credential, #[case] reason: &str) {
+    let fixture = Fixture::new();
+    let b = fixture.start("b");
+    let (folder, past) = (fixture.folder_of("a"), now() - DAY * 10);
+    let paths = match credential {
+        Credential::Expired => Some(fixture.authority.issue(&folder, "a", past, DAY).unwrap()),
+        Credential::Foreign => {
+            let other = Authority::create(&fixture.folder_of("other"), now()).unwrap();
             Some(other.issue(&folder, "a", now(), DAY).unwrap())
         }
-        Shown::Nothing => None,
+        Credential::Nothing => None,
     };
-    dial(&site, paths, b.endpoint.address().unwrap());
+    dial(&fixture, paths, b.endpoint.address().unwrap());
     wait_for("the refusal", || b.endpoint.status().refused == 1);
     let refusal = b.endpoint.status().refusals.remove(0);
     assert!(refusal.reason.contains(reason), "{}", refusal.reason);
     assert!(!b.is_linked("a"));
 }
 
-/// Dials as "a", with these files' certificate or none.
-fn dial(site: &Site, paths: Option<Paths>, address: SocketAddr) {
+/// Dials `b` with the certificate in `paths`, or with none, and waits for the close.
+fn dial(fixture: &Fixture, paths: Option<Paths>, address: SocketAddr) {
     let mut roots = RootCertStore::empty();
     roots
-        .add(CertificateDer::from_pem_slice(site.authority.certificate().as_bytes()).unwrap())
+        .add(CertificateDer::from_pem_slice(fixture.authority.certificate().as_bytes()).unwrap())
         .unwrap();
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let builder = rustls::ClientConfig::builder_with_provider(provider);
@@ -92,17 +92,17 @@
     });
 }
 
-/// Another fleet's process answers at the peer's address, or another VM of ours.
-/// It is not taken for the peer, and the status tells why.
+/// A process of another fleet, or another VM of this fleet, answers at the peer's address. It must
+/// get no frames, and the status must give the reason.
 #[rstest]
 #[case::foreign(true, "UnknownIssuer")]
 #[case::other_name(false, "not valid for name")]
 fn dial_wrong_peer(#[case] foreign: bool, #[case] reason: &str) {
-    let site = Site::new();
-    let other = Site::new();
-    let a = site.start("a");
-    let peer = if foreign { other.start("b") } else { site.start("c") };
-    a.knows("b", &peer);
+    let fixture = Fixture::new();
+    let other_fleet = Fixture::new();
+    let a = fixture.start("a");
+    let peer = if foreign { other_fleet.start("b") } else { fixture.start("c") };
+    a.set_address("b", &peer);
     a.send("b", b"secret");
     wait_for("the error", || a.peer("b").error.is_some());
     let error = a.peer("b").error.unwrap();
@@ -111,18 +111,18 @@
     assert_eq!(peer.frames.try_iter().count(), 0);
 }
 
-/// A VM's certificate is renewed while its process runs. The process takes it up
-/// by itself, keeps its links, and makes new ones.
+/// A VM's certificate is renewed while its process runs. The process must load it by itself, keep
+/// its links and accept new ones.
 #[test]
-fn renew_while_running() {
-    let site = Site::new();
-    let (a, b, c) = (site.start("a"), site.start("b"), site.start("c"));
-    a.knows("b", &b);
-    c.knows("b", &b);
+fn reload_renewed_certificate() {
+    let fixture = Fixture::new();
+    let (a, b, c) = (fixture.start("a"), fixture.start("b"), fixture.start("c"));
+    a.set_address("b", &b);
+    c.set_address("b", &b);
     a.send("b", b"before");
     assert_eq!(b.receive().1, b"before");
     let until = b.endpoint.status().certificate_until;
-    site.authority.issue(&site.folder_of("b"), "b", now(), DAY * 2).unwrap();
+    fixture.authority.issue(&fixture.folder_of("b"), "b", now(), DAY * 2).unwrap();
     wait_for("the new certificate", || b.endpoint.status().certificate_until > until);
     a.send("b", b"old link");
     assert_eq!(b.receive().1, b"old link");
@@ -130,29 +130,29 @@
     assert_eq!(b.receive().1, b"new link");
 }
 
-/// An expired or damaged file is put in place of a good one. The process goes on
-/// with what it has, and the status says what is wrong.
+/// An expired or damaged file replaces a valid one. The process must continue with the old
+/// certificate, and the status must give the error.
 #[test]
-fn renew_with_bad_file() {
-    let site = Site::new();
-    let (a, b) = (site.start("a"), site.start("b"));
-    a.knows("b", &b);
-    site.authority.issue(&site.folder_of("b"), "b", now() - DAY * 10, DAY).unwrap();
+fn reload_invalid_certificate() {
+    let fixture = Fixture::new();
+    let (a, b) = (fixture.start("a"), fixture.start("b"));
+    a.set_address("b", &b);
+    fixture.authority.issue(&fixture.folder_of("b"), "b", now() - DAY * 10, DAY).unwrap();
     wait_for("the error", || b.endpoint.status().keys_error.is_some());
     assert_eq!(b.endpoint.status().keys_error.unwrap(), "certificate of `b` has expired");
-    fs::write(site.folder_of("b").join("identity.pem"), "").unwrap();
+    fs::write(fixture.folder_of("b").join("identity.pem"), "").unwrap();
     assert!(matches!(b.endpoint.reload(), Err(Error::Keys(_))));
     a.send("b", b"still");
     assert_eq!(b.receive().1, b"still");
-    site.issue("b");
-    wait_for("the mend", || b.endpoint.status().keys_error.is_none());
+    fixture.issue("b");
+    wait_for("the reload of a valid certificate", || b.endpoint.status().keys_error.is_none());
 }
 
 #[test]
-fn start_as_another() {
-    let site = Site::new();
-    let mut settings = site.settings("a");
-    settings.me = "b".into();
+fn start_name_mismatch() {
+    let fixture = Fixture::new();
+    let mut settings = fixture.settings("a");
+    settings.id = "b".into();
     let started = Endpoint::start(settings, Box::new(|_: &_, _| {}), StopSource::new().token());
     let error = started.err().unwrap().to_string();
     assert_eq!(error, "certificate says `a`, but this process is `b`");
