--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,4 +1,4 @@
-//! Frames between our processes.
+//! Frames that the processes of a fleet exchange.
 
 mod envelope;
 mod error;
--- a/src/wire/envelope.rs
+++ b/src/wire/envelope.rs
@@ -6,31 +6,31 @@
 use super::Error;
 use super::Frame;
 
-/// A frame with its sender's stamp, which puts effects after causes on the time line.
+/// Frame with its sender's stamp, which orders effects after their causes on the time line.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Envelope {
-    /// What is said.
+    /// Message to the receiver.
     pub frame: Frame,
-    /// Sender's hybrid logical clock.
+    /// Time of the sender's hybrid logical clock.
     pub stamp: Stamp,
 }
 
 impl Envelope {
-    /// Encoded form.
+    /// Encodes the envelope.
     ///
     /// # Errors
-    /// When the codec refuses, which it does only for lack of memory.
+    /// If the codec fails, which happens only when memory is short.
     pub fn encode(&self) -> Result<Vec<u8>, Error> {
-        postcard::to_stdvec(self).map_err(|error| unreadable(0, error))
+        postcard::to_stdvec(self).map_err(|error| codec_error(0, error))
     }
 
-    /// Reads an encoded frame; bytes left over are an error too.
+    /// Decodes an envelope.
     ///
     /// # Errors
-    /// For bytes that are no frame.
+    /// If the bytes are not one encoded envelope, or more bytes follow it.
     pub fn decode(bytes: &[u8]) -> Result<Self, Error> {
         let (envelope, rest) =
-            postcard::take_from_bytes(bytes).map_err(|error| unreadable(bytes.len(), error))?;
+            postcard::take_from_bytes(bytes).map_err(|error| codec_error(bytes.len(), error))?;
         if rest.is_empty() {
             return Ok(envelope);
         }
@@ -38,6 +38,6 @@
     }
 }
 
-fn unreadable(length: usize, error: postcard::Error) -> Error {
+fn codec_error(length: usize, error: postcard::Error) -> Error {
     Error::Unreadable { length, reason: error.to_string() }
 }
--- a/src/wire/error.rs
+++ b/src/wire/error.rs
@@ -1,14 +1,14 @@
 use thiserror::Error as ThisError;
 
-/// Why bytes are no frame.
+/// Why an envelope can't be encoded or decoded.
 #[derive(Clone, Debug, Eq, PartialEq, ThisError)]
 pub enum Error {
-    /// Bytes that the codec can't read.
+    /// The codec failed, or bytes were left over.
     #[error("frame of `{length}` bytes can't be read: {reason}")]
     Unreadable {
-        /// Bytes received.
+        /// Number of bytes received; 0 if encoding failed.
         length: usize,
-        /// What the codec said.
+        /// Reason that the codec reported.
         reason: String,
     },
 }
--- a/src/wire/frame.rs
+++ b/src/wire/frame.rs
@@ -17,89 +17,89 @@
 use crate::quota;
 use crate::registry;
 
-/// What one process says to another, by slice.
+/// Message from one process to another, by slice.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Frame {
-    /// Claims of keys and their receipts.
+    /// Claims of idempotency keys and their receipts.
     Claim(claim::Message),
-    /// Spread of the configuration.
+    /// Replication of the configuration.
     Config(config::Message),
-    /// Membership.
+    /// Fleet membership.
     Fleet(fleet::Message),
-    /// Evidence on the upstreams of a service.
+    /// Health observations of the upstreams of a service.
     Health {
-        /// What one entry saw.
+        /// Observations of one entry.
         digest: health::Digest,
-        /// The service.
+        /// Service that the upstreams belong to.
         service: ServiceId,
     },
-    /// The replicated log.
+    /// Consensus on the replicated log.
     Quorum(quorum::Message),
-    /// Announced upstreams.
+    /// Replication of announced upstreams.
     Registry(registry::Message),
-    /// An operator's submission on its way to the leader; safe to send again.
+    /// Forwards an operator's submission to the leader. Idempotent, so it may be sent again.
     Submit {
-        /// Sender's number for it.
+        /// Number by which the sender identifies the submission.
         ticket: u64,
-        /// What is submitted.
+        /// Submitted configuration version.
         version: Version,
     },
-    /// What became of a submission.
+    /// Answers a submission or an order.
     Verdict {
-        /// Number that the submission came with.
+        /// Number that the submission or order came with.
         ticket: u64,
-        /// What became of it.
+        /// Result.
         verdict: Verdict,
     },
-    /// Between controls and entries.
+    /// Messages between controls and entries.
     Feed(feed::Message),
-    /// Asks the leader for something.
+    /// Sends an order to the leader.
     Order {
-        /// Names the order at its sender.
+        /// Number by which the sender identifies the order.
         ticket: u64,
-        /// What is asked.
+        /// Order for the leader.
         order: Order,
     },
 }
 
-/// What a process asks of the leader.
+/// Request of a process to the leader.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Order {
-    /// Write this about an upstream into the log.
+    /// Append an action on an upstream to the log.
     Catalog(catalog::Action),
-    /// Say up to which index of the log one must know to know the newest.
+    /// Return the log index that a reader must have applied to see the latest state.
     Read,
-    /// Put a configuration in force.
+    /// Activate a configuration.
     Submit(Version),
-    /// Move parts of allowances to an entry, or from it.
+    /// Move parts of quotas to an entry or back from it.
     Quota(quota::Demand),
 }
 
-/// What became of a submission.
+/// Result of a submission or an order.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Verdict {
     /// Committed and synced by a majority of the controls.
     Accepted(ConfigNumber),
     /// The same submission was accepted before.
     AlreadyAccepted(ConfigNumber),
-    /// This process does not lead; it may know who does.
+    /// This process is not the leader. Names the leader if it is known.
     NotLeader(Option<NodeId>),
-    /// The number is not above the one in force.
+    /// The configuration number is not above the active one.
     Refused {
-        /// Number in force.
+        /// Active configuration number.
         number: ConfigNumber,
-        /// Submission that brought it.
+        /// Submission that activated it.
         submission: SubmissionId,
     },
-    /// The submission id was used for another number or document.
+    /// The submission ID was used for another number or document before.
     Reused(ConfigNumber),
-    /// Nobody could confirm it in time: it may be accepted yet. The same submission
-    /// sent again is safe.
+    /// The result was not confirmed in time, so the submission may still be accepted. It is safe
+    /// to send the same submission again.
     Unconfirmed,
-    /// What was said about an upstream is in the log.
+    /// The action on an upstream is committed to the log.
     Announced,
-    /// Whoever knows the log up to here knows the newest.
+    /// A reader that has applied the log up to this index sees the latest state.
     Readable(Index),
-    /// What an entry holds of allowances from now on.
+    /// Parts of quotas that an entry holds from now on.
     Granted(quota::Grant),
 }
