--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,9 +1,9 @@
-//! Time as decision modules see it: a value handed in, never read.
+//! Types of time. Decision modules receive the time as a value and never read a clock.
 
 use std::time::Duration;
 
-/// Monotonic time since the start of the process (or of a test's virtual clock).
+/// Monotonic time since the start of the process, or of a test's virtual clock.
 pub type Moment = Duration;
 
-/// Wall-clock time since the Unix epoch; only for windows that outlive a process.
+/// Wall-clock time since the Unix epoch, only for periods that outlive a process.
 pub type Epoch = Duration;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
-//! A proxy fleet for upstreams with gray failures.
+//! Proxy fleet that tolerates gray failures of upstreams.
 //!
-//! Slices that decide are state machines without socket, clock, thread or
-//! randomness of their own; [`node`] carries their inputs and outputs.
+//! Modules that make decisions are state machines without sockets, clocks, threads or randomness of
+//! their own. [`node`] connects their inputs and outputs.
 #![warn(clippy::unwrap_used)]
 
 pub mod admission;
--- a/src/runtime.rs
+++ b/src/runtime.rs
@@ -1,9 +1,9 @@
-//! Threads that carry traffic.
+//! Executor of the tasks that handle traffic.
 //!
-//! The executor that comes with the runtime's library drives the reactor from its own
-//! threads, beside the reactor's thread: at rest the two take turns and wake each other some
-//! hundred times a second, which cost an idle process 1.75% of a core. These threads only
-//! run tasks and sleep in between; the reactor's thread alone waits for sockets.
+//! The executor of the runtime library also drives the reactor from its own threads. In an idle
+//! process, these and the reactor's thread wake each other about a hundred times a second, which
+//! cost 1.75% of a core. The threads here only run tasks; the reactor's thread alone waits for
+//! sockets.
 
 use std::future::Future;
 use std::sync::Once;
@@ -12,29 +12,29 @@
 
 use async_executor::Executor;
 
-/// Threads started where nobody says how many.
-const THREADS: usize = 2;
+/// Number of threads unless [`set_threads`] changes it.
+const DEFAULT_THREADS: usize = 2;
 
-static COUNT: AtomicUsize = AtomicUsize::new(THREADS);
+static THREAD_COUNT: AtomicUsize = AtomicUsize::new(DEFAULT_THREADS);
 static EXECUTOR: Executor<'static> = Executor::new();
 static START: Once = Once::new();
 
-/// Sets the number of threads; without effect once a task was spawned.
+/// Sets the number of threads, at least 1. Has no effect once a task was spawned.
 pub fn set_threads(count: usize) {
-    COUNT.store(count.max(1), Ordering::Relaxed);
+    THREAD_COUNT.store(count.max(1), Ordering::Relaxed);
 }
 
-/// Runs a task to its end on the traffic threads.
+/// Spawns a detached task on the traffic threads.
 pub fn spawn<F>(future: F)
 where
     F: Future<Output = ()> + Send + 'static,
 {
-    START.call_once(start);
+    START.call_once(start_threads);
     EXECUTOR.spawn(future).detach();
 }
 
-fn start() {
-    for _ in 0..COUNT.load(Ordering::Relaxed) {
+fn start_threads() {
+    for _ in 0..THREAD_COUNT.load(Ordering::Relaxed) {
         let run = || futures::executor::block_on(EXECUTOR.run(futures::future::pending::<()>()));
         let started = std::thread::Builder::new().name("traffic".into()).spawn(run);
         if let Err(error) = started {
