--- a/src/node/builder.rs
+++ b/src/node/builder.rs
@@ -75,8 +75,8 @@
         callers: callers.unwrap_or_else(unspecified_address),
         domain: settings.node.failure_domain.clone(),
         id: settings.node.id.clone(),
-        is_control: settings.has(Role::Control),
-        is_entry: settings.has(Role::Entry),
+        is_control: settings.has_role(Role::Control),
+        is_entry: settings.has_role(Role::Entry),
         controller,
         room: Room::new(settings.limits.processor, settings.limits.link),
         retry_window: settings.retry.window,
@@ -158,7 +158,7 @@
 }
 
 fn controls(settings: &Settings) -> Vec<NodeId> {
-    let own = settings.has(Role::Control).then(|| settings.node.id.clone());
+    let own = settings.has_role(Role::Control).then(|| settings.node.id.clone());
     let peers = settings.peers.iter().filter(|peer| peer.roles.contains(&Role::Control));
     own.into_iter().chain(peers.map(|peer| peer.id.clone())).collect()
 }
@@ -184,7 +184,7 @@
     founders: Option<Membership>,
     is_founding: bool,
 ) -> Result<Option<(Controller, Log)>, Error> {
-    let Some(data) = settings.data.as_deref().filter(|_| settings.has(Role::Control)) else {
+    let Some(data) = settings.data.as_deref().filter(|_| settings.has_role(Role::Control)) else {
         return Ok(None);
     };
     let folder = data.join("log");
--- a/src/rule/action.rs
+++ b/src/rule/action.rs
@@ -63,7 +63,7 @@
 
 fn read_refusal(yaml: &Yaml, mistakes: &Mistakes) -> Option<Action> {
     let fields = Fields::open(yaml, mistakes, &["message", "status"])?;
-    let message = fields.or("message", DEFAULT_MESSAGE.into());
+    let message = fields.or_default("message", DEFAULT_MESSAGE.into());
     let status = fields.ranged("status", DEFAULT_STATUS, &400, &599);
     Some(Action::Refuse { message, status })
 }
--- a/src/rule/condition.rs
+++ b/src/rule/condition.rs
@@ -101,13 +101,13 @@
             check_method(method, &fields);
         }
         Some(Self {
-            callers: fields.several("caller"),
+            callers: fields.values("caller"),
             headers: read_headers(&fields),
-            hosts: fields.several("host"),
+            hosts: fields.values("host"),
             methods: methods.iter().map(CompactString::to_uppercase).collect(),
-            paths: fields.several("path"),
+            paths: fields.values("path"),
             states: read_states(&fields),
-            teams: fields.several("team"),
+            teams: fields.values("team"),
         })
     }
 }
@@ -158,7 +158,7 @@
 fn read_state(yaml: &Yaml, mistakes: &Mistakes) -> Option<(ServiceId, Vec<ServiceState>)> {
     let fields = Fields::open(yaml, mistakes, &["is", "service"])?;
     let service = fields.required::<CompactString>("service");
-    fields.needed("is");
+    fields.required_yaml("is");
     let states = fields.several::<ServiceState>("is");
     Some((service?, states))
 }
--- a/src/rule/not_run_signal.rs
+++ b/src/rule/not_run_signal.rs
@@ -42,9 +42,9 @@
     /// Reads the `not_run` field of a service.
     pub(super) fn read(yaml: &Yaml, mistakes: &Mistakes) -> Option<Self> {
         let fields = Fields::open(yaml, mistakes, &["header", "status", "value"])?;
-        let header: CompactString = fields.or("header", DEFAULT_HEADER.0.into());
+        let header: CompactString = fields.or_default("header", DEFAULT_HEADER.0.into());
         let status = fields.ranged("status", DEFAULT_STATUS, &400, &599);
-        let value = fields.or("value", DEFAULT_HEADER.1.into());
+        let value = fields.or_default("value", DEFAULT_HEADER.1.into());
         Some(Self { header: header.to_lowercase(), status, value })
     }
 }
--- a/src/rule/probe.rs
+++ b/src/rule/probe.rs
@@ -34,7 +34,7 @@
         let min = Duration::from_millis(100);
         let max = Duration::from_secs(300);
         let interval = fields.ranged("interval", DEFAULT_INTERVAL, &min, &max);
-        let path: CompactString = fields.or("path", DEFAULT_PATH.into());
+        let path: CompactString = fields.or_default("path", DEFAULT_PATH.into());
         if !path.starts_with('/') {
             let text = format!("`{path}` is not a path; write one such as `/health`");
             mistakes.add(fields.line_of("path"), text);
--- a/src/rule/rule.rs
+++ b/src/rule/rule.rs
@@ -35,7 +35,7 @@
             Some(yaml) => Condition::read(yaml, mistakes),
             None => Some(Condition::default()),
         };
-        let then = fields.needed("then");
+        let then = fields.required_yaml("then");
         let then = then.and_then(|yaml| Action::read(yaml, class, classes, mistakes));
         Some(Self { line: yaml.line, name: name?, then: then?, when: when? })
     }
--- a/src/rule/service.rs
+++ b/src/rule/service.rs
@@ -45,10 +45,10 @@
         let probe = fields.yaml("probe").and_then(|yaml| Probe::read(yaml, mistakes));
         Some(Self {
             connections: read_count(&fields, "connections"),
-            floor: fields.or("floor", DEFAULT_FLOOR).0,
+            floor: fields.or_default("floor", DEFAULT_FLOOR).0,
             not_run: not_run.unwrap_or_default(),
             probe: probe.unwrap_or_default(),
-            sensitivity: fields.or("sensitivity", DEFAULT_SENSITIVITY).0,
+            sensitivity: fields.or_default("sensitivity", DEFAULT_SENSITIVITY).0,
             slots: read_count(&fields, "slots"),
             warm_up: fields.ranged("warm_up", DEFAULT_WARM_UP, &Duration::ZERO, &max_warm_up),
         })
--- a/src/rule/terms.rs
+++ b/src/rule/terms.rs
@@ -77,14 +77,14 @@
                 .map(|_| fields.ranged("aim", DEFAULT_DEADLINE, &min, &MAX_DEADLINE)),
             attempts: fields.ranged("attempts", DEFAULT_ATTEMPTS as usize, &1, &10) as u32,
             body: fields.ranged("body", DEFAULT_BODY, &Size(0), &MAX_BODY).0,
-            class: fields.or("class", class.clone()),
+            class: fields.or_default("class", class.clone()),
             deadline: fields.ranged("deadline", DEFAULT_DEADLINE, &min, &MAX_DEADLINE),
-            hedge: fields.or("hedge", false),
-            idempotent: fields.or("idempotent", false),
+            hedge: fields.or_default("hedge", false),
+            idempotent: fields.or_default("idempotent", false),
             key: read_key(&fields),
-            long: fields.or("long", false),
-            public: fields.or("public", false),
-            retry: fields.or("retry", true),
+            long: fields.or_default("long", false),
+            public: fields.or_default("public", false),
+            retry: fields.or_default("retry", true),
         };
         terms.check(&fields, classes);
         Some(terms)
--- a/src/settings/fields.rs
+++ b/src/settings/fields.rs
@@ -51,7 +51,7 @@
     }
 
     /// Value of field `name`; a missing one is a mistake.
-    pub(crate) fn needed(&self, name: &str) -> Option<&'a Yaml> {
+    pub(crate) fn required_yaml(&self, name: &str) -> Option<&'a Yaml> {
         let yaml = self.yaml(name);
         if yaml.is_none() {
             self.mistakes.add(self.line, format!("field `{name}` is missing"));
@@ -66,11 +66,11 @@
 
     /// Typed field that must be there.
     pub(crate) fn required<T: Scalar>(&self, name: &str) -> Option<T> {
-        scalar(self.needed(name)?, self.mistakes)
+        scalar(self.required_yaml(name)?, self.mistakes)
     }
 
     /// Typed field with a default.
-    pub(crate) fn or<T: Scalar>(&self, name: &str, default: T) -> T {
+    pub(crate) fn or_default<T: Scalar>(&self, name: &str, default: T) -> T {
         self.optional(name).unwrap_or(default)
     }
 
@@ -93,7 +93,7 @@
     }
 
     /// Field that holds one value or a list of them; empty where missing.
-    pub(crate) fn several<T: Scalar>(&self, name: &str) -> Vec<T> {
+    pub(crate) fn values<T: Scalar>(&self, name: &str) -> Vec<T> {
         let Some(yaml) = self.yaml(name) else { return Vec::new() };
         match &yaml.content {
             Content::List(items) => {
--- a/src/settings/log.rs
+++ b/src/settings/log.rs
@@ -110,6 +110,6 @@
                 slices.insert(slice.clone(), level);
             }
         }
-        Some(Self { level: fields.or("level", Level::Info), slices })
+        Some(Self { level: fields.or_default("level", Level::Info), slices })
     }
 }
--- a/src/settings/peer.rs
+++ b/src/settings/peer.rs
@@ -50,7 +50,7 @@
 
 /// Roles of a process: at least one, each once, in a settled order.
 pub(super) fn roles(fields: &Fields) -> Vec<Role> {
-    let mut roles = match fields.needed("roles") {
+    let mut roles = match fields.required_yaml("roles") {
         Some(_) => fields.several::<Role>("roles"),
         None => Vec::new(),
     };
--- a/src/settings/quota.rs
+++ b/src/settings/quota.rs
@@ -23,7 +23,7 @@
     pub(super) fn read(yaml: &Yaml, mistakes: &Mistakes) -> Option<Self> {
         let fields = Fields::open(yaml, mistakes, &["overage", "tolerance", "window"])?;
         Some(Self {
-            overage: fields.or("overage", Ratio(0.0)).0,
+            overage: fields.or_default("overage", Ratio(0.0)).0,
             tolerance: fields.ranged("tolerance", 0.0, &0.0, &TOLERANCE_MOST),
             window: fields.ranged("window", WINDOW, &Duration::from_secs(1), &WINDOW_MOST),
         })
--- a/src/settings/retry.rs
+++ b/src/settings/retry.rs
@@ -40,8 +40,8 @@
         let most = Duration::from_secs(600);
         Some(Self {
             burst: fields.ranged("burst", BURST, &0.0, &1e6),
-            pooled: fields.or("pooled", false),
-            share: fields.or("share", SHARE).0,
+            pooled: fields.or_default("pooled", false),
+            share: fields.or_default("share", SHARE).0,
             window: fields.ranged("window", WINDOW, &Duration::from_secs(1), &most),
         })
     }
--- a/src/settings/settings.rs
+++ b/src/settings/settings.rs
@@ -116,22 +116,22 @@
     }
 
     /// Whether the process has `role`.
-    pub fn has(&self, role: Role) -> bool {
+    pub fn has_role(&self, role: Role) -> bool {
         self.roles.contains(&role)
     }
 
     fn read(yaml: &Yaml, mistakes: &Mistakes) -> Option<Self> {
         let fields = Fields::open(yaml, mistakes, ALLOWED)?;
         let part = |name: &str| fields.yaml(name);
-        let node = fields.needed("node").and_then(|yaml| Node::read(yaml, mistakes));
-        let listen = fields.needed("listen").and_then(|yaml| Listen::read(yaml, mistakes));
+        let node = fields.required_yaml("node").and_then(|yaml| Node::read(yaml, mistakes));
+        let listen = fields.required_yaml("listen").and_then(|yaml| Listen::read(yaml, mistakes));
         let settings = Self {
             data: fields.optional("data"),
             directory: part("directory")
                 .and_then(|yaml| Directory::read(yaml, mistakes))
                 .unwrap_or_default(),
-            first_start: fields.or("first_start", false),
-            interface: fields.or("interface", Interface::default()),
+            first_start: fields.or_default("first_start", false),
+            interface: fields.or_default("interface", Interface::default()),
             keys: part("keys").and_then(|yaml| Keys::read(yaml, mistakes)),
             limits: part("limits")
                 .and_then(|yaml| Limits::read(yaml, mistakes))
@@ -145,7 +145,7 @@
             record: part("record").and_then(|yaml| Record::read(yaml, mistakes)),
             retry: part("retry").and_then(|yaml| Retry::read(yaml, mistakes)).unwrap_or_default(),
             roles: roles(&fields),
-            seeds: fields.several("seeds"),
+            seeds: fields.values("seeds"),
             shutdown: part("shutdown")
                 .and_then(|yaml| Shutdown::read(yaml, mistakes))
                 .unwrap_or_default(),
@@ -153,7 +153,7 @@
             traffic: part("traffic")
                 .and_then(|yaml| Traffic::read(yaml, mistakes))
                 .unwrap_or_default(),
-            trusted_network: fields.or("trusted_network", false),
+            trusted_network: fields.or_default("trusted_network", false),
             listen: listen?,
             node: node?,
         };
@@ -165,10 +165,10 @@
     fn check(&self, fields: &Fields) {
         let mistakes = fields.mistakes();
         let roles = fields.line_of("roles");
-        if self.has(Role::Control) && fields.yaml("data").is_none() {
+        if self.has_role(Role::Control) && fields.yaml("data").is_none() {
             mistakes.add(roles, "role `control` needs `data`, the folder of its durable state");
         }
-        if self.has(Role::Entry) && self.listen.callers.is_none() {
+        if self.has_role(Role::Entry) && self.listen.callers.is_none() {
             mistakes.add(roles, "role `entry` needs `listen.callers`, the address for callers");
         }
         self.check_loopback(fields);
--- a/src/settings/traffic.rs
+++ b/src/settings/traffic.rs
@@ -26,7 +26,7 @@
         let fields = Fields::open(yaml, mistakes, &["local", "threads"])?;
         Some(Self {
             threads: fields.ranged("threads", THREADS, &1, &256),
-            local: fields.or("local", false),
+            local: fields.or_default("local", false),
         })
     }
 }
--- a/tests/suite/settings.rs
+++ b/tests/suite/settings.rs
@@ -42,7 +42,7 @@
     let path = format!("{}/examples/settings/{name}.yaml", env!("CARGO_MANIFEST_DIR"));
     let settings = Settings::load(Path::new(&path)).expect("sound");
     assert_eq!(settings.node.id, name);
-    assert!(settings.has(role));
+    assert!(settings.has_role(role));
     assert_eq!(settings.peers.len(), 5);
 }
 
