--- a/src/rule/condition.rs
+++ b/src/rule/condition.rs
@@ -96,7 +96,7 @@
     pub(super) fn read(yaml: &Yaml, mistakes: &Mistakes) -> Option<Self> {
         let allowed = ["caller", "header", "host", "method", "path", "service_state", "team"];
         let fields = Fields::open(yaml, mistakes, &allowed)?;
-        let methods = fields.several::<CompactString>("method");
+        let methods = fields.values::<CompactString>("method");
         for method in &methods {
             check_method(method, &fields);
         }
@@ -159,6 +159,6 @@
     let fields = Fields::open(yaml, mistakes, &["is", "service"])?;
     let service = fields.required::<CompactString>("service");
     fields.required_yaml("is");
-    let states = fields.several::<ServiceState>("is");
+    let states = fields.values::<ServiceState>("is");
     Some((service?, states))
 }
--- a/src/rule/teams.rs
+++ b/src/rule/teams.rs
@@ -60,7 +60,7 @@
     if let Some(yaml) = fields.yaml("callers") {
         add_callers(team, yaml, mistakes, teams);
     }
-    for key in fields.several::<Digest>("keys") {
+    for key in fields.values::<Digest>("keys") {
         if let Err(taken) = teams.add_key(team, key) {
             let text = format!("key `{key}` is of team `{}` already; one team each", taken.by);
             mistakes.add(fields.line_of("keys"), text);
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,8 +1,8 @@
-//! Checked settings of one process.
+//! Validated settings of one process.
 //!
-//! A file is read into a tree that knows the line of every value, and is
-//! then checked field by field, so that one run reports every mistake. A
-//! derived decoder would stop at the first. Unknown fields are mistakes.
+//! A file is parsed into a tree that knows the line of every value, and then checked field
+//! by field, so that one run reports every mistake. A derived decoder would stop at the
+//! first one. Unknown fields are mistakes too.
 
 mod directory;
 mod error;
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -2,18 +2,18 @@
 
 use super::Mistake;
 
-/// Why settings could not be taken.
+/// Reasons for which settings can't be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The file holds mistakes; each has its line.
+    /// The file has mistakes, each with its line.
     #[error("{}", join(.0))]
     Invalid(Vec<Mistake>),
     /// The file could not be read.
     #[error("file `{}` can't be read: {source}", path.display())]
     Unreadable {
-        /// File that was asked for.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
--- a/src/settings/fields.rs
+++ b/src/settings/fields.rs
@@ -5,7 +5,7 @@
 use super::Scalar;
 use super::Yaml;
 
-/// A mapping under check: hands out typed fields and notes every mistake.
+/// A mapping whose fields are read with their types. Every mistake is recorded.
 pub(crate) struct Fields<'a> {
     entries: &'a [(u64, CompactString, Yaml)],
     line: u64,
@@ -13,16 +13,16 @@
 }
 
 impl<'a> Fields<'a> {
-    /// Opens `yaml` as a mapping with the `allowed` fields and no others.
+    /// Reads `yaml` as a mapping that may have the `allowed` fields and no others.
     pub(crate) fn open(yaml: &'a Yaml, mistakes: &'a Mistakes, allowed: &[&str]) -> Option<Self> {
         let Content::Map(entries) = &yaml.content else {
-            let names = list(allowed);
-            mistakes.add(yaml.line, format!("{} is not a mapping; write {names}", shown(yaml)));
+            let names = quote_list(allowed);
+            mistakes.add(yaml.line, format!("{} is not a mapping; write {names}", describe(yaml)));
             return None;
         };
         for (line, key, _) in entries {
             if !allowed.contains(&key.as_str()) {
-                let names = list(allowed);
+                let names = quote_list(allowed);
                 mistakes.add(*line, format!("`{key}` is not a known field; allowed are {names}"));
             }
         }
@@ -34,23 +34,23 @@
         self.line
     }
 
-    /// Line of field `name`, or of the mapping where the field is missing.
+    /// Line of field `name`, or of the mapping if the field is missing.
     pub(crate) fn line_of(&self, name: &str) -> u64 {
         self.entries.iter().find(|entry| entry.1 == name).map_or(self.line, |entry| entry.0)
     }
 
-    /// Where mistakes are noted.
+    /// Collection in which mistakes are recorded.
     pub(crate) fn mistakes(&self) -> &'a Mistakes {
         self.mistakes
     }
 
-    /// Value of field `name`, unread.
+    /// Untyped value of field `name`; `None` if the field is missing or empty.
     pub(crate) fn yaml(&self, name: &str) -> Option<&'a Yaml> {
         let (_, _, yaml) = self.entries.iter().find(|entry| entry.1 == name)?;
         (!matches!(yaml.content, Content::Empty)).then_some(yaml)
     }
 
-    /// Value of field `name`; a missing one is a mistake.
+    /// Untyped value of field `name`; a missing field is a mistake.
     pub(crate) fn required_yaml(&self, name: &str) -> Option<&'a Yaml> {
         let yaml = self.yaml(name);
         if yaml.is_none() {
@@ -59,12 +59,12 @@
         yaml
     }
 
-    /// Typed field, where the file has it.
+    /// Typed field; `None` if it is missing or invalid.
     pub(crate) fn optional<T: Scalar>(&self, name: &str) -> Option<T> {
         scalar(self.yaml(name)?, self.mistakes)
     }
 
-    /// Typed field that must be there.
+    /// Typed field; a missing one is a mistake.
     pub(crate) fn required<T: Scalar>(&self, name: &str) -> Option<T> {
         scalar(self.required_yaml(name)?, self.mistakes)
     }
@@ -74,25 +74,25 @@
         self.optional(name).unwrap_or(default)
     }
 
-    /// Typed field with a default, which must lie between `least` and `most`.
+    /// Typed field with a default. A value below `min` or above `max` is a mistake.
     pub(crate) fn ranged<T: Scalar + PartialOrd>(
         &self,
         name: &str,
         default: T,
-        least: &T,
-        most: &T,
+        min: &T,
+        max: &T,
     ) -> T {
         let Some(value) = self.optional::<T>(name) else { return default };
-        if value >= *least && value <= *most {
+        if value >= *min && value <= *max {
             return value;
         }
-        let bounds = format!("allowed is `{}` to `{}`", least.show(), most.show());
+        let bounds = format!("allowed is `{}` to `{}`", min.show(), max.show());
         let text = format!("`{}` is out of range; {bounds}", value.show());
         self.mistakes.add(self.line_of(name), text);
         default
     }
 
-    /// Field that holds one value or a list of them; empty where missing.
+    /// Field that holds one value or a list of them; empty if it is missing.
     pub(crate) fn values<T: Scalar>(&self, name: &str) -> Vec<T> {
         let Some(yaml) = self.yaml(name) else { return Vec::new() };
         match &yaml.content {
@@ -103,26 +103,26 @@
         }
     }
 
-    /// Items of a list field; empty where missing.
+    /// Items of a list field; empty if it is missing.
     pub(crate) fn items(&self, name: &str) -> &'a [Yaml] {
         let Some(yaml) = self.yaml(name) else { return &[] };
         match &yaml.content {
             Content::List(items) => items,
             _ => {
                 self.mistakes
-                    .add(yaml.line, format!("{} is not a list; write `- ...`", shown(yaml)));
+                    .add(yaml.line, format!("{} is not a list; write `- ...`", describe(yaml)));
                 &[]
             }
         }
     }
 
-    /// Entries of a mapping field whose keys are names; empty where missing.
+    /// Entries of a mapping field with arbitrary names as keys; empty if it is missing.
     pub(crate) fn entries(&self, name: &str) -> &'a [(u64, CompactString, Yaml)] {
         let Some(yaml) = self.yaml(name) else { return &[] };
         match &yaml.content {
             Content::Map(entries) => entries,
             _ => {
-                let text = format!("{} is not a mapping; write `name: value`", shown(yaml));
+                let text = format!("{} is not a mapping; write `name: value`", describe(yaml));
                 self.mistakes.add(yaml.line, text);
                 &[]
             }
@@ -130,20 +130,20 @@
     }
 }
 
-/// Reads one scalar; `None` notes a mistake.
+/// Reads one scalar. An invalid one is recorded as a mistake and gives `None`.
 pub(crate) fn scalar<T: Scalar>(yaml: &Yaml, mistakes: &Mistakes) -> Option<T> {
     let value = match &yaml.content {
         Content::Text(text) => T::read(text),
         _ => None,
     };
     if value.is_none() {
-        let text = format!("{} is not {}; {}", shown(yaml), T::KIND, T::ALLOWED);
+        let text = format!("{} is not {}; {}", describe(yaml), T::KIND, T::ALLOWED);
         mistakes.add(yaml.line, text);
     }
     value
 }
 
-fn shown(yaml: &Yaml) -> String {
+fn describe(yaml: &Yaml) -> String {
     match &yaml.content {
         Content::Empty => "an empty value".into(),
         Content::List(_) => "a list".into(),
@@ -152,7 +152,7 @@
     }
 }
 
-fn list(names: &[&str]) -> String {
+fn quote_list(names: &[&str]) -> String {
     let quoted: Vec<String> = names.iter().map(|name| format!("`{name}`")).collect();
     quoted.join(", ")
 }
--- a/src/settings/interface.rs
+++ b/src/settings/interface.rs
@@ -1,12 +1,12 @@
 use super::Scalar;
 
-/// How the world outside speaks to a process.
+/// Protocol by which upstreams, callers and operators talk to a process.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Interface {
-    /// The product's own interface.
+    /// The interface that hemlockfield defines itself.
     #[default]
     Own,
-    /// The interface of the platform that the fleet runs on.
+    /// The interface that the platform on which the fleet runs defines.
     Platform,
 }
 
--- a/src/settings/keys.rs
+++ b/src/settings/keys.rs
@@ -4,13 +4,13 @@
 use super::Mistakes;
 use super::Yaml;
 
-/// Files of the keys for links between processes, as PEM.
+/// PEM files with the keys for links between processes.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Keys {
     /// Certificate of the fleet's authority.
     pub authority: PathBuf,
-    /// Certificate and private key of this process, in one file so that a renewal
-    /// replaces both at once.
+    /// Certificate and private key of this process, in one file so that a renewal replaces
+    /// both atomically.
     pub identity: PathBuf,
 }
 
--- a/src/settings/listen.rs
+++ b/src/settings/listen.rs
@@ -7,14 +7,14 @@
 /// Addresses that the process listens on.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Listen {
-    /// Callers' HTTP traffic; TCP. Needed by an entry.
+    /// TCP address for callers' HTTP requests; required for an entry.
     pub callers: Option<SocketAddr>,
-    /// Links between our processes; UDP.
+    /// UDP address for links between processes of the fleet.
     pub links: SocketAddr,
-    /// Status, submissions and announcements by HTTP; TCP.
+    /// TCP address for status, submissions and announcements by HTTP.
     pub operators: Option<SocketAddr>,
-    /// Addresses at which the interface takes orders: announcements, configurations, lists
-    /// of entries, readiness.
+    /// Addresses at which the configured interface serves announcements, configurations, lists
+    /// of entries and readiness.
     pub orders: Vec<SocketAddr>,
 }
 
@@ -23,12 +23,12 @@
         let fields = Fields::open(yaml, mistakes, &["callers", "links", "operators", "orders"])?;
         let callers = fields.optional::<SocketAddr>("callers");
         let links = fields.required::<SocketAddr>("links");
-        let orders = fields.several::<SocketAddr>("orders");
+        let orders = fields.values::<SocketAddr>("orders");
         let operators = match fields.yaml("operators") {
             None if !orders.is_empty() => None,
             _ => fields.required::<SocketAddr>("operators"),
         };
-        // Links are UDP, so only the two TCP listeners can collide.
+        // Links use UDP, so they can't collide with the TCP listeners.
         if callers.is_some() && callers == operators {
             let line = fields.line_of("operators");
             let taken = callers.map(|address| address.to_string()).unwrap_or_default();
--- a/src/settings/log.rs
+++ b/src/settings/log.rs
@@ -8,7 +8,7 @@
 use super::Yaml;
 use super::fields::scalar;
 
-/// Slices whose level can be set on its own.
+/// Slices (modules) whose log level can be set separately.
 const SLICES: &[&str] = &[
     "admission",
     "balance",
@@ -35,20 +35,20 @@
     "timeline",
 ];
 
-/// Least severe events that are logged.
+/// Severity from which events are logged.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Level {
-    /// What the process does inside.
+    /// Internal steps of the process.
     Debug,
-    /// Failures that need a person.
+    /// Failures that need an operator.
     Error,
-    /// What an operator wants to know.
+    /// Regular events of interest to an operator.
     Info,
-    /// Nothing.
+    /// No events.
     Off,
-    /// Each message.
+    /// Every message.
     Trace,
-    /// Failures that were dealt with.
+    /// Failures that were handled automatically.
     Warn,
 }
 
@@ -73,12 +73,12 @@
     }
 }
 
-/// What is logged.
+/// Log levels.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Log {
-    /// For every slice without a level of its own.
+    /// Level of every slice that has none in `slices`.
     pub level: Level,
-    /// Levels by slice.
+    /// Levels of individual slices.
     pub slices: BTreeMap<CompactString, Level>,
 }
 
@@ -89,7 +89,7 @@
 }
 
 impl Log {
-    /// The filter as `tracing-subscriber` reads it.
+    /// Filter directives for `tracing-subscriber`.
     pub fn filter(&self) -> String {
         let mut parts = vec![self.level.show()];
         for (slice, level) in &self.slices {
--- a/src/settings/metrics.rs
+++ b/src/settings/metrics.rs
@@ -4,12 +4,12 @@
 use super::Mistakes;
 use super::Yaml;
 
-/// Where metrics go.
+/// Targets of metrics.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Metrics {
-    /// Address at which they can be fetched as text, at `/metrics`.
+    /// Address that serves metrics as text at `/metrics`.
     pub listen: Option<SocketAddr>,
-    /// UDP address of a statsd server.
+    /// UDP address of a statsd server to send metrics to.
     pub statsd: Option<SocketAddr>,
 }
 
--- a/src/settings/mistake.rs
+++ b/src/settings/mistake.rs
@@ -1,13 +1,13 @@
 use std::fmt;
 
-/// One mistake in a file, for the person who wrote the file.
+/// A mistake in a file, reported to its author.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Mistake {
-    /// File as the reader named it.
+    /// Name of the file, as given to the parser.
     pub file: String,
     /// Line of the value, from 1.
     pub line: u64,
-    /// The value in backticks and what is allowed.
+    /// The value in backticks, and which values are allowed.
     pub text: String,
 }
 
--- a/src/settings/node.rs
+++ b/src/settings/node.rs
@@ -7,7 +7,7 @@
 use crate::id::NodeId;
 use crate::id::RegionId;
 
-/// Who this process is and where its VM stands.
+/// Name of this process and location of its VM.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Node {
     /// Failure domain of the VM.
--- a/src/settings/peer.rs
+++ b/src/settings/peer.rs
@@ -10,20 +10,20 @@
 use crate::id::NodeId;
 use crate::id::RegionId;
 
-/// Another process that this one knows from its start.
+/// Another process that is configured in advance.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Peer {
-    /// Callers' address, where the peer is an entry.
+    /// Address for callers, if the peer is an entry.
     pub callers: Option<SocketAddr>,
     /// Failure domain of its VM.
     pub failure_domain: DomainId,
-    /// Its name, which its certificate must bear.
+    /// Its name, which must be the name in its certificate.
     pub id: NodeId,
     /// Its UDP address for links.
     pub links: SocketAddr,
     /// Region of its failure domain.
     pub region: RegionId,
-    /// What it does.
+    /// Its roles.
     pub roles: Vec<Role>,
 }
 
@@ -48,10 +48,10 @@
     }
 }
 
-/// Roles of a process: at least one, each once, in a settled order.
+/// Roles of a process, sorted and without duplicates. No role is a mistake.
 pub(super) fn roles(fields: &Fields) -> Vec<Role> {
     let mut roles = match fields.required_yaml("roles") {
-        Some(_) => fields.several::<Role>("roles"),
+        Some(_) => fields.values::<Role>("roles"),
         None => Vec::new(),
     };
     roles.sort_unstable();
--- a/src/settings/quota.rs
+++ b/src/settings/quota.rs
@@ -6,16 +6,16 @@
 use super::Yaml;
 use crate::quota::Config;
 
-/// Default for `window`: long against a request, short against a working day.
-const WINDOW: Duration = Duration::from_secs(5);
-/// Longest window that makes sense: entries remember what passed in it.
-const WINDOW_MOST: Duration = Duration::from_secs(60);
-/// Most requests beyond a limit that may be tolerated.
-const TOLERANCE_MOST: f64 = 1e6;
+/// Default for `window`: long compared with a request, short compared with a working day.
+const DEFAULT_WINDOW: Duration = Duration::from_secs(5);
+/// Longest window. Entries keep in memory what they admitted within it.
+const MAX_WINDOW: Duration = Duration::from_secs(60);
+/// Largest number of requests that may be tolerated beyond a limit.
+const MAX_TOLERANCE: f64 = 1e6;
 
 impl Default for Config {
     fn default() -> Self {
-        Self { overage: 0.0, tolerance: 0.0, window: WINDOW }
+        Self { overage: 0.0, tolerance: 0.0, window: DEFAULT_WINDOW }
     }
 }
 
@@ -24,8 +24,8 @@
         let fields = Fields::open(yaml, mistakes, &["overage", "tolerance", "window"])?;
         Some(Self {
             overage: fields.or_default("overage", Ratio(0.0)).0,
-            tolerance: fields.ranged("tolerance", 0.0, &0.0, &TOLERANCE_MOST),
-            window: fields.ranged("window", WINDOW, &Duration::from_secs(1), &WINDOW_MOST),
+            tolerance: fields.ranged("tolerance", 0.0, &0.0, &MAX_TOLERANCE),
+            window: fields.ranged("window", DEFAULT_WINDOW, &Duration::from_secs(1), &MAX_WINDOW),
         })
     }
 }
--- a/src/settings/ratio.rs
+++ b/src/settings/ratio.rs
@@ -1,7 +1,7 @@
 use super::Scalar;
-use super::scalar::digits;
+use super::scalar::parse_decimal;
 
-/// A share between 0 and 1, written as `0.7` or `70%`.
+/// A ratio from 0 to 1, written as `0.7` or `70%`.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct Ratio(pub f64);
 
@@ -11,8 +11,8 @@
 
     fn read(text: &str) -> Option<Self> {
         let value = match text.strip_suffix('%') {
-            Some(percent) => digits(percent)? / 100.0,
-            None => digits(text)?,
+            Some(percent) => parse_decimal(percent)? / 100.0,
+            None => parse_decimal(text)?,
         };
         (0.0..=1.0).contains(&value).then_some(Self(value))
     }
--- a/src/settings/retry.rs
+++ b/src/settings/retry.rs
@@ -5,44 +5,45 @@
 use super::Ratio;
 use super::Yaml;
 
-/// Default for `share`: one try in twenty keeps a storm of retries from doubling any load.
-const SHARE: Ratio = Ratio(0.05);
-/// Default for `burst`, of each entry.
-const BURST: f64 = 2.0;
+/// Default for `share`. With one retry for twenty first tries, a retry storm adds about 5%
+/// to the load instead of doubling it.
+const DEFAULT_SHARE: Ratio = Ratio(0.05);
+/// Default for `burst`.
+const DEFAULT_BURST: f64 = 2.0;
 
-/// Default for `window`: long against a request, short against a fault.
-const WINDOW: Duration = Duration::from_secs(10);
+/// Default for `window`: long compared with a request, short compared with a fault.
+const DEFAULT_WINDOW: Duration = Duration::from_secs(10);
 
-/// How many tries beyond the first all entries together may make for a service.
+/// Retry budget for a service: tries beyond the first.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Retry {
-    /// Tries at once beyond the share; of each entry, or of all where `pooled`. May have a
-    /// fraction: the share of a larger budget.
+    /// Retries that may be made at once beyond the share, by each entry or, if `pooled`, by all
+    /// entries together. May be fractional, as a part of a larger budget.
     pub burst: f64,
-    /// Whether `burst` is shared by all entries, and tries that reached no upstream cost
-    /// nothing.
+    /// Whether all entries share one budget, in which retries after tries that reached no
+    /// upstream are free.
     pub pooled: bool,
-    /// Tries beyond the first, as a share of the first ones.
+    /// Retries as a share of first tries.
     pub share: f64,
-    /// Span over which a pooled budget is counted.
+    /// Sliding window over which a pooled budget is counted.
     pub window: Duration,
 }
 
 impl Default for Retry {
     fn default() -> Self {
-        Self { burst: BURST, pooled: false, share: SHARE.0, window: WINDOW }
+        Self { burst: DEFAULT_BURST, pooled: false, share: DEFAULT_SHARE.0, window: DEFAULT_WINDOW }
     }
 }
 
 impl Retry {
     pub(super) fn read(yaml: &Yaml, mistakes: &Mistakes) -> Option<Self> {
         let fields = Fields::open(yaml, mistakes, &["burst", "pooled", "share", "window"])?;
-        let most = Duration::from_secs(600);
+        let max = Duration::from_secs(600);
         Some(Self {
-            burst: fields.ranged("burst", BURST, &0.0, &1e6),
+            burst: fields.ranged("burst", DEFAULT_BURST, &0.0, &1e6),
             pooled: fields.or_default("pooled", false),
-            share: fields.or_default("share", SHARE).0,
-            window: fields.ranged("window", WINDOW, &Duration::from_secs(1), &most),
+            share: fields.or_default("share", DEFAULT_SHARE).0,
+            window: fields.ranged("window", DEFAULT_WINDOW, &Duration::from_secs(1), &max),
         })
     }
 }
--- a/src/settings/role.rs
+++ b/src/settings/role.rs
@@ -1,11 +1,11 @@
 use super::Scalar;
 
-/// Duty of a process; one process may have both.
+/// Role of a process. One process may have both.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Role {
-    /// Replica of the durable state; needs a data folder.
+    /// Keeps a replica of the durable state; requires a data folder.
     Control,
-    /// Takes callers' requests.
+    /// Proxies callers' requests.
     Entry,
 }
 
--- a/src/settings/scalar.rs
+++ b/src/settings/scalar.rs
@@ -6,15 +6,15 @@
 
 /// A typed value that a YAML scalar can hold.
 pub trait Scalar: Sized {
-    /// What the value must be, such as `a duration`.
+    /// Kind of value, such as `a duration`.
     const KIND: &'static str;
-    /// What to write instead, such as a sample value.
+    /// Instruction how to write such a value, for mistakes.
     const ALLOWED: &'static str;
 
-    /// Reads the text; `None` when it is not of this kind.
+    /// Parses the text; `None` if it is not of this kind.
     fn read(text: &str) -> Option<Self>;
 
-    /// The value as a person would write it.
+    /// Formats the value as it is written in a file.
     fn show(&self) -> String;
 }
 
@@ -25,7 +25,7 @@
 
     fn read(text: &str) -> Option<Self> {
         let split = text.find(|symbol: char| symbol.is_ascii_alphabetic())?;
-        let number: f64 = digits(&text[..split])?;
+        let number: f64 = parse_decimal(&text[..split])?;
         let unit = match &text[split..] {
             "ms" => 0.001,
             "s" => 1.0,
@@ -132,7 +132,7 @@
     const ALLOWED: &'static str = "write digits, with a point if need be, such as `21.5`";
 
     fn read(text: &str) -> Option<Self> {
-        digits(text)
+        parse_decimal(text)
     }
 
     fn show(&self) -> String {
@@ -140,8 +140,8 @@
     }
 }
 
-/// A plain decimal number: no sign, exponent, `inf` or `nan`.
-pub(super) fn digits(text: &str) -> Option<f64> {
+/// Parses a plain decimal number without sign and exponent, neither `inf` nor `nan`.
+pub(super) fn parse_decimal(text: &str) -> Option<f64> {
     let plain = text.chars().all(|symbol| symbol.is_ascii_digit() || symbol == '.');
     if plain { text.parse().ok() } else { None }
 }
--- a/src/settings/settings.rs
+++ b/src/settings/settings.rs
@@ -26,7 +26,7 @@
 use crate::quota;
 
 /// Every top-level field.
-const ALLOWED: &[&str] = &[
+const ALLOWED_FIELDS: &[&str] = &[
     "data",
     "directory",
     "first_start",
@@ -49,61 +49,73 @@
     "trusted_network",
 ];
 
-/// Settings of one process, checked.
+/// Validated settings of one process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Folder for durable state; a control has one.
+    /// Folder for durable state; required for a control.
     pub data: Option<PathBuf>,
-    /// What callers are told about the entries.
+    /// Directory of entries for callers.
     pub directory: Directory,
-    /// Whether the whole fleet starts for the first time: its seeds then found the log.
+    /// Whether the whole fleet starts for the first time, so that its seeds create the quorum
+    /// log.
     pub first_start: bool,
-    /// How the world outside speaks to this process.
+    /// Protocol by which others talk to this process.
     pub interface: Interface,
-    /// Keys for links; without them the process may only use loopback.
+    /// Keys for links. Without them links are limited to loopback, unless the network is
+    /// trusted.
     pub keys: Option<Keys>,
-    /// What the process takes on at most.
+    /// Resource and time limits.
     pub limits: Limits,
-    /// Addresses it listens on.
+    /// Addresses to listen on.
     pub listen: Listen,
-    /// What is logged.
+    /// Log levels.
     pub log: Log,
-    /// Where metrics go, if anywhere.
+    /// Targets of metrics; none if unset.
     pub metrics: Option<Metrics>,
-    /// Who it is.
+    /// Name and location of this process.
     pub node: Node,
-    /// Processes known from the start, in the order of their names.
+    /// Processes configured in advance, sorted by name.
     pub peers: Vec<Peer>,
-    /// How limits of teams are counted.
+    /// How the rate limits of teams are enforced.
     pub quota: quota::Config,
-    /// Recording of decisions; off unless set.
+    /// Recording of inputs of decision modules; off unless set.
     pub record: Option<Record>,
-    /// How much may be tried again.
+    /// Retry budget.
     pub retry: Retry,
-    /// What it does, in a settled order.
+    /// Roles, sorted.
     pub roles: Vec<Role>,
-    /// Addresses of some controls, by which the others are found. Where there are any,
-    /// entries follow the controls, and ids are addresses.
+    /// Addresses of some controls, through which the others are discovered. With seeds, entries
+    /// attach to controls, and the ids of processes are IP addresses.
     pub seeds: Vec<SocketAddr>,
-    /// How it ends.
+    /// Shutdown behaviour.
     pub shutdown: Shutdown,
-    /// File of events for the time line.
+    /// File to which events for the time line are written.
     pub timeline: Option<PathBuf>,
-    /// Threads for callers' requests.
+    /// Threads and routing of callers' requests.
     pub traffic: Traffic,
-    /// Whether whoever reaches a port of this process may be believed: links have no keys.
+    /// Whether everyone who can reach a port of this process is trusted, so that links need no
+    /// keys.
     pub trusted_network: bool,
 }
 
 impl Settings {
-    /// Reads and checks the file at `path`.
+    /// Reads and validates the file at `path`.
+    ///
+    /// # Errors
+    ///
+    /// [`Error::Unreadable`] when the file can't be read, [`Error::Invalid`] when it has
+    /// mistakes.
     pub fn load(path: &Path) -> Result<Self, Error> {
         let text = fs::read_to_string(path)
             .map_err(|source| Error::Unreadable { path: path.into(), source })?;
         Self::parse(&path.display().to_string(), &text)
     }
 
-    /// Checks `text`; `file` names it in mistakes.
+    /// Validates `text`. `file` is its name in mistakes.
+    ///
+    /// # Errors
+    ///
+    /// [`Error::Invalid`] when the text has mistakes.
     pub fn parse(file: &str, text: &str) -> Result<Self, Error> {
         let yaml = Yaml::parse(file, text).map_err(|mistake| Error::Invalid(vec![mistake]))?;
         let mistakes = Mistakes::new(file);
@@ -121,36 +133,38 @@
     }
 
     fn read(yaml: &Yaml, mistakes: &Mistakes) -> Option<Self> {
-        let fields = Fields::open(yaml, mistakes, ALLOWED)?;
-        let part = |name: &str| fields.yaml(name);
+        let fields = Fields::open(yaml, mistakes, ALLOWED_FIELDS)?;
+        let optional = |name: &str| fields.yaml(name);
         let node = fields.required_yaml("node").and_then(|yaml| Node::read(yaml, mistakes));
         let listen = fields.required_yaml("listen").and_then(|yaml| Listen::read(yaml, mistakes));
         let settings = Self {
             data: fields.optional("data"),
-            directory: part("directory")
+            directory: optional("directory")
                 .and_then(|yaml| Directory::read(yaml, mistakes))
                 .unwrap_or_default(),
             first_start: fields.or_default("first_start", false),
             interface: fields.or_default("interface", Interface::default()),
-            keys: part("keys").and_then(|yaml| Keys::read(yaml, mistakes)),
-            limits: part("limits")
+            keys: optional("keys").and_then(|yaml| Keys::read(yaml, mistakes)),
+            limits: optional("limits")
                 .and_then(|yaml| Limits::read(yaml, mistakes))
                 .unwrap_or_default(),
-            log: part("log").and_then(|yaml| Log::read(yaml, mistakes)).unwrap_or_default(),
-            metrics: part("metrics").and_then(|yaml| Metrics::read(yaml, mistakes)),
+            log: optional("log").and_then(|yaml| Log::read(yaml, mistakes)).unwrap_or_default(),
+            metrics: optional("metrics").and_then(|yaml| Metrics::read(yaml, mistakes)),
             peers: peers(&fields),
-            quota: part("quota")
+            quota: optional("quota")
                 .and_then(|yaml| quota::Config::read(yaml, mistakes))
                 .unwrap_or_default(),
-            record: part("record").and_then(|yaml| Record::read(yaml, mistakes)),
-            retry: part("retry").and_then(|yaml| Retry::read(yaml, mistakes)).unwrap_or_default(),
+            record: optional("record").and_then(|yaml| Record::read(yaml, mistakes)),
+            retry: optional("retry")
+                .and_then(|yaml| Retry::read(yaml, mistakes))
+                .unwrap_or_default(),
             roles: roles(&fields),
             seeds: fields.values("seeds"),
-            shutdown: part("shutdown")
+            shutdown: optional("shutdown")
                 .and_then(|yaml| Shutdown::read(yaml, mistakes))
                 .unwrap_or_default(),
-            timeline: part("timeline").and_then(|yaml| timeline(yaml, mistakes)),
-            traffic: part("traffic")
+            timeline: optional("timeline").and_then(|yaml| timeline(yaml, mistakes)),
+            traffic: optional("traffic")
                 .and_then(|yaml| Traffic::read(yaml, mistakes))
                 .unwrap_or_default(),
             trusted_network: fields.or_default("trusted_network", false),
@@ -161,7 +175,7 @@
         Some(settings)
     }
 
-    /// Checks what no field can tell by itself.
+    /// Checks constraints between fields.
     fn check(&self, fields: &Fields) {
         let mistakes = fields.mistakes();
         let roles = fields.line_of("roles");
@@ -172,11 +186,12 @@
             mistakes.add(roles, "role `entry` needs `listen.callers`, the address for callers");
         }
         self.check_loopback(fields);
-        self.check_attached(fields);
+        self.check_seeds(fields);
     }
 
-    /// Entries follow controls that are known by their addresses alone.
-    fn check_attached(&self, fields: &Fields) {
+    /// With seeds, controls are known by their addresses alone, so ids must be addresses and
+    /// links have no keys.
+    fn check_seeds(&self, fields: &Fields) {
         if self.seeds.is_empty() {
             return;
         }
@@ -192,11 +207,11 @@
         }
     }
 
-    /// Without keys anyone who reaches the port could join the fleet, so a
-    /// process without them stays on loopback, where only this VM reaches it.
+    /// Without keys anyone who can reach the port could join the fleet. A process without keys
+    /// is therefore limited to loopback, unless the network is trusted.
     fn check_loopback(&self, fields: &Fields) {
-        let believed = self.trusted_network || self.listen.links.ip().is_loopback();
-        if self.keys.is_some() || believed {
+        let is_trusted = self.trusted_network || self.listen.links.ip().is_loopback();
+        if self.keys.is_some() || is_trusted {
             return;
         }
         let address = self.listen.links;
@@ -207,7 +222,7 @@
     }
 }
 
-/// Peers in the order of their names; a name or address given twice is a mistake.
+/// Peers sorted by name. A duplicate name or address is a mistake.
 fn peers(fields: &Fields) -> Vec<Peer> {
     let mistakes = fields.mistakes();
     let mut names = BTreeSet::new();
--- a/src/settings/size.rs
+++ b/src/settings/size.rs
@@ -1,9 +1,9 @@
 use super::Scalar;
-use super::scalar::digits;
+use super::scalar::parse_decimal;
 
 const KIB: f64 = 1024.0;
 
-/// A number of bytes, written with a unit such as `64KiB`.
+/// A number of bytes, written with a unit, such as `64KiB`.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Size(pub u64);
 
@@ -14,7 +14,7 @@
 
     fn read(text: &str) -> Option<Self> {
         let split = text.find(|symbol: char| symbol.is_ascii_alphabetic())?;
-        let number = digits(&text[..split])?;
+        let number = parse_decimal(&text[..split])?;
         let unit = match &text[split..] {
             "B" => 1.0,
             "KiB" => KIB,
--- a/src/settings/yaml.rs
+++ b/src/settings/yaml.rs
@@ -11,27 +11,27 @@
 
 use super::Mistake;
 
-/// Most YAML events that aliases may repeat. Lists of aliases of lists grow a text of 300
-/// bytes to a million values, which took 230 MB where a control may use 128 MB; 4,200
-/// rules that each repeat a list of 20 values need 92,400, about a tenth of that.
-const ALIASED: usize = 100_000;
-/// Most YAML events of one document: 4,200 rules and 37,000 teams need
-/// about a million, and a hostile document still ends early: each takes some 200 bytes
-/// until the document is read.
-const EVENTS: usize = 2_000_000;
-/// Most bytes of all scalars of one document, for the same size.
-const BYTES: usize = 256 * 1024 * 1024;
-
-/// One YAML value with the line it stands on.
+/// YAML events that aliases may repeat at most. Nested aliases of lists expand a text of 300
+/// bytes to a million values, which took 230 MB where a control may use 128 MB. 4,200 rules
+/// that each repeat a list of 20 values need 92,400 events, about a tenth of that.
+const MAX_ALIAS_EVENTS: usize = 100_000;
+/// YAML events of one document at most. 4,200 rules and 37,000 teams need about a million. Each
+/// event takes some 200 bytes until the document is parsed, so the limit also bounds the
+/// memory that a malicious document takes.
+const MAX_EVENTS: usize = 2_000_000;
+/// Bytes of all scalars of one document at most, for a document of the same size.
+const MAX_SCALAR_BYTES: usize = 256 * 1024 * 1024;
+
+/// A YAML value and its line.
 #[derive(Clone, Debug)]
 pub(crate) struct Yaml {
-    /// What the value holds.
+    /// Content of the value.
     pub(crate) content: Content,
     /// Line in the file, from 1.
     pub(crate) line: u64,
 }
 
-/// What a YAML value holds. Scalars stay text until a field gives them a type.
+/// Content of a YAML value. Scalars stay text until they are read as a typed field.
 #[derive(Clone, Debug)]
 pub(crate) enum Content {
     /// Nothing, or `~`.
@@ -40,37 +40,37 @@
     List(Vec<Yaml>),
     /// A mapping, in the order of the file: line of the key, key, value.
     Map(Vec<(u64, CompactString, Yaml)>),
-    /// Text, a number or a truth value.
+    /// Text, a number or a boolean.
     Text(CompactString),
 }
 
 impl Yaml {
-    /// A mapping without fields, for one that the file leaves out.
+    /// A mapping without fields, in place of one that the file omits.
     pub(crate) fn empty() -> Self {
         Self { content: Content::Map(Vec::new()), line: 0 }
     }
 
-    /// Parses `text`; a syntax error is a mistake of the line where it was found.
+    /// Parses `text`. A syntax error is a mistake at the line where it was found.
     pub(crate) fn parse(file: &str, text: &str) -> Result<Self, Mistake> {
         let options = serde_saphyr::options! {
             budget: serde_saphyr::budget! {
-                max_events: EVENTS,
-                max_nodes: EVENTS,
-                max_total_scalar_bytes: BYTES,
+                max_events: MAX_EVENTS,
+                max_nodes: MAX_EVENTS,
+                max_total_scalar_bytes: MAX_SCALAR_BYTES,
             },
-            alias_limits: serde_saphyr::alias_limits! { max_total_replayed_events: ALIASED },
+            alias_limits: serde_saphyr::alias_limits! { max_total_replayed_events: MAX_ALIAS_EVENTS },
             with_snippet: false,
         };
         let raw: Raw = serde_saphyr::from_str_with_options(text, options).map_err(|error| {
             let line = error.location().map_or(1, |location| location.line());
             Mistake { file: file.into(), line, text: format!("is not valid YAML: {error}") }
         })?;
-        Ok(raw.settle(text))
+        Ok(raw.resolve_numbers(text))
     }
 }
 
-/// A value as the decoder gives it: what looks like a number has lost its
-/// spelling, so that version `1.10` would become `1.1`.
+/// A value as the decoder returns it. What looks like a number has lost its original text:
+/// version `1.10` would become `1.1`.
 struct Raw {
     content: RawContent,
     location: Location,
@@ -85,20 +85,21 @@
 }
 
 impl Raw {
-    /// Takes the spelling of numbers from the `source`.
-    fn settle(self, source: &str) -> Yaml {
+    /// Replaces numbers by their original text in `source`.
+    fn resolve_numbers(self, source: &str) -> Yaml {
         let line = self.location.line();
         let content = match self.content {
             RawContent::Empty => Content::Empty,
             RawContent::List(items) => {
-                Content::List(items.into_iter().map(|item| item.settle(source)).collect())
+                Content::List(items.into_iter().map(|item| item.resolve_numbers(source)).collect())
             }
             RawContent::Map(entries) => {
-                let settle = |(line, key, value): (u64, _, Raw)| (line, key, value.settle(source));
-                Content::Map(entries.into_iter().map(settle).collect())
+                let resolve_numbers =
+                    |(line, key, value): (u64, _, Raw)| (line, key, value.resolve_numbers(source));
+                Content::Map(entries.into_iter().map(resolve_numbers).collect())
             }
             RawContent::Number(value) => {
-                Content::Text(spelling(source, &self.location).unwrap_or(value))
+                Content::Text(source_text(source, &self.location).unwrap_or(value))
             }
             RawContent::Text(text) => Content::Text(text),
         };
@@ -106,7 +107,7 @@
     }
 }
 
-fn spelling(source: &str, location: &Location) -> Option<CompactString> {
+fn source_text(source: &str, location: &Location) -> Option<CompactString> {
     let span = location.span();
     let start = span.byte_offset()? as usize;
     let end = start + span.byte_len()? as usize;
@@ -122,13 +123,13 @@
 
 impl<'de> Deserialize<'de> for RawContent {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        deserializer.deserialize_any(Reader)
+        deserializer.deserialize_any(RawVisitor)
     }
 }
 
-struct Reader;
+struct RawVisitor;
 
-impl<'de> Visitor<'de> for Reader {
+impl<'de> Visitor<'de> for RawVisitor {
     type Value = RawContent;
 
     fn expecting(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
--- a/tests/suite/settings.rs
+++ b/tests/suite/settings.rs
@@ -14,7 +14,7 @@
 use proptest::test_runner::RngSeed;
 use rstest::rstest;
 
-const SOUND: &str = "\
+const VALID: &str = "\
 node: {id: entry-1, region: regensburg, failure_domain: halle-nord}
 roles: [entry]
 listen:
@@ -40,7 +40,7 @@
 #[case("entry-3", Role::Entry)]
 fn load_example(#[case] name: &str, #[case] role: Role) {
     let path = format!("{}/examples/settings/{name}.yaml", env!("CARGO_MANIFEST_DIR"));
-    let settings = Settings::load(Path::new(&path)).expect("sound");
+    let settings = Settings::load(Path::new(&path)).expect("valid settings");
     assert_eq!(settings.node.id, name);
     assert!(settings.has_role(role));
     assert_eq!(settings.peers.len(), 5);
@@ -48,22 +48,22 @@
 
 #[test]
 fn parse_defaults() {
-    let settings = Settings::parse("settings.yaml", SOUND).expect("sound");
+    let settings = Settings::parse("settings.yaml", VALID).expect("valid settings");
     assert_eq!(settings.directory.lifetime, Duration::from_secs(30));
     assert_eq!(settings.limits.head, 16 * 1024);
     assert_eq!(settings.log.filter(), "info");
     assert!(settings.record.is_none());
 }
 
-// A platform fills in bounds with fractions, such as its share of a larger retry budget. A
-// process that takes whole numbers only ends at its start, on every VM of that platform.
+// A platform may write fractional limits, such as its part of a larger retry budget. If only
+// whole numbers were accepted, no process on that platform could start.
 #[test]
-fn parse_fractions() {
+fn parse_fractional_values() {
     let text = format!(
-        "{SOUND}retry: {{share: \"0.2\", burst: \"21.686746987951807\", pooled: true}}\n\
+        "{VALID}retry: {{share: \"0.2\", burst: \"21.686746987951807\", pooled: true}}\n\
          directory: {{lifetime: \"0.5s\"}}\nshutdown: {{grace: \"4.8s\"}}\n"
     );
-    let settings = Settings::parse("settings.yaml", &text).expect("sound");
+    let settings = Settings::parse("settings.yaml", &text).expect("valid settings");
     assert_eq!(settings.retry.burst, 21.686746987951807);
     assert_eq!(settings.directory.lifetime, Duration::from_millis(500));
     assert_eq!(settings.shutdown.limit, Duration::from_millis(4400));
@@ -71,9 +71,8 @@
 }
 
 #[test]
-fn parse_every_mistake_at_once() {
-    // The operator sees all mistakes of a file in one run, each with its line,
-    // because the fields are checked one by one after the whole file was read.
+fn parse_several_mistakes() {
+    // One run must report all mistakes of a file, each with its line, and not only the first.
     let text = "\
 node: {id: entry-1, region: regensburg}
 roles: [entry, control, baker]
@@ -111,8 +110,8 @@
 #[case("7211", "7210", "settings.yaml:5: `127.0.0.1:7210` is taken by `callers`")]
 #[case("roles: [entry]", "roles: [entry", "is not valid YAML")]
 #[case("roles: [entry]", "roles: {}", "a mapping is not a role")]
-fn parse_rejects(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
-    let found = mistakes(&SOUND.replace(from, to));
+fn parse_invalid(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
+    let found = mistakes(&VALID.replace(from, to));
     assert_eq!(found.len(), 1, "{found:?}");
     assert!(found[0].contains(expected), "{found:?}");
 }
@@ -126,24 +125,24 @@
 #[case("yes")]
 #[case("True")]
 #[case("'1.10'")]
-fn parse_keeps_spelling(#[case] id: &str) {
-    // A process whose name looks like a number goes by the name as written.
-    let text = SOUND.replace("entry-1", id);
-    let settings = Settings::parse("settings.yaml", &text).expect("sound");
+fn parse_number_like_id(#[case] id: &str) {
+    // An id that looks like a number must keep its text as written.
+    let text = VALID.replace("entry-1", id);
+    let settings = Settings::parse("settings.yaml", &text).expect("valid settings");
     assert_eq!(settings.node.id, id.trim_matches('\''));
 }
 
 proptest! {
-    // The same cases every run, so that the verdict is the same.
+    // A fixed seed gives the same cases in every run.
     #![proptest_config(ProptestConfig {
         rng_seed: RngSeed::Fixed(1),
         ..ProptestConfig::default()
     })]
 
-    /// Whatever is in a file, it is refused with lines, or taken.
+    /// Any text is either accepted or refused with mistakes that have lines.
     #[test]
-    fn parse_any(place in 0_usize..200, junk in "[-a-z0-9:{}\\[\\], \\n'\"&*!|>%~#]{0,12}") {
-        let mut text = SOUND.to_string();
+    fn parse_any_text(place in 0_usize..200, junk in "[-a-z0-9:{}\\[\\], \\n'\"&*!|>%~#]{0,12}") {
+        let mut text = VALID.to_string();
         text.insert_str(place.min(text.len()), &junk);
         if let Err(Error::Invalid(list)) = Settings::parse("settings.yaml", &text) {
             prop_assert!(!list.is_empty());
