--- a/src/keys/identity.rs
+++ b/src/keys/identity.rs
@@ -68,7 +68,7 @@
     }
 
     /// When the certificate's time is over.
-    pub fn until(&self) -> Epoch {
+    pub fn expires_at(&self) -> Epoch {
         self.until
     }
 
--- a/src/link/endpoint.rs
+++ b/src/link/endpoint.rs
@@ -156,7 +156,7 @@
     pub fn status(&self) -> Status {
         let refusals = self.shared.refusals();
         Status {
-            certificate_until: self.shared.identity.load().until(),
+            certificate_until: self.shared.identity.load().expires_at(),
             keys_error: self.shared.keys_error.load().as_deref().cloned(),
             peers: self.shared.peers().values().map(|peer| peer.status()).collect(),
             refused: refusals.count(),
--- a/tests/suite/keys.rs
+++ b/tests/suite/keys.rs
@@ -29,7 +29,7 @@
     let (folder, _, paths) = issued();
     let identity = Identity::load(&paths, NOW).unwrap();
     assert_eq!(identity.id(), "halle-nord-1");
-    assert_eq!(identity.until(), NOW + DAY * 90);
+    assert_eq!(identity.expires_at(), NOW + DAY * 90);
     let key = folder.path().join("authority-key.pem");
     assert!(
         [&paths.identity, &key]
@@ -43,7 +43,7 @@
     let (folder, _, paths) = issued();
     let authority = Authority::load(folder.path()).unwrap();
     authority.issue(&folder.path().join("vm"), "halle-nord-1", NOW + DAY * 80, DAY * 90).unwrap();
-    assert_eq!(Identity::load(&paths, NOW + DAY * 100).unwrap().until(), NOW + DAY * 170);
+    assert_eq!(Identity::load(&paths, NOW + DAY * 100).unwrap().expires_at(), NOW + DAY * 170);
 }
 
 #[rstest]
