--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,7 +1,8 @@
-//! Command line: one file a subcommand.
+//! Command line interface, with one module for each subcommand.
 //!
-//! Exit codes of every subcommand: 0 done, 1 done with a finding (mistakes, a refusal, a
-//! broken promise), 2 wrong use or something that can't be read or reached.
+//! Exit codes of every subcommand: 0 for success, 1 for a finding (mistakes in a file, a
+//! refusal, a violated guarantee), 2 for wrong usage or something that can't be read or
+//! reached.
 
 pub mod bench;
 pub mod check;
@@ -29,18 +30,18 @@
 pub use command::Options;
 pub use error::Error;
 
-/// Exit code of a finding.
-pub const FINDING: u8 = 1;
-/// Exit code of wrong use, or of something that can't be read or reached.
-pub const USAGE: u8 = 2;
+/// Exit code of a command that completed with a finding.
+pub const EXIT_FINDING: u8 = 1;
+/// Exit code for wrong usage or something that can't be read or reached.
+pub const EXIT_USAGE: u8 = 2;
 
-/// Runs the command that `arguments` name.
+/// Runs the subcommand that `arguments` name.
 pub fn run(arguments: Vec<String>) -> ExitCode {
     let options = match Options::parse_args_default(&arguments) {
         Ok(options) => options,
         Err(error) => {
             eprintln!("{error}\n\n{}", help());
-            return ExitCode::from(USAGE);
+            return ExitCode::from(EXIT_USAGE);
         }
     };
     if options.version {
@@ -49,7 +50,7 @@
     }
     let Some(command) = options.command else {
         println!("{}", help());
-        return ExitCode::from(if options.help { 0 } else { USAGE });
+        return ExitCode::from(if options.help { 0 } else { EXIT_USAGE });
     };
     if command.help_requested() {
         println!("{}", command.help());
@@ -59,7 +60,7 @@
         Ok(code) => code,
         Err(error) => {
             eprintln!("hemlockfield: {error}");
-            ExitCode::from(USAGE)
+            ExitCode::from(EXIT_USAGE)
         }
     }
 }
--- a/src/cli/bench.rs
+++ b/src/cli/bench.rs
@@ -1,4 +1,4 @@
-//! `hemlockfield bench`: measures a slice and writes a small report.
+//! `hemlockfield bench`: measures a slice and prints a report.
 
 use std::process::ExitCode;
 
@@ -11,15 +11,15 @@
 pub struct Options {
     /// print this help
     pub help: bool,
-    /// what to measure; without it, the names are listed
+    /// name of the measurement; without it, all names are listed
     #[options(free)]
     pub name: Option<String>,
-    /// seeds, or the seed, in place of the usual ones
+    /// number of seeds, or the seed, instead of the default
     #[options(no_short)]
     pub seeds: Option<u64>,
 }
 
-/// Runs one measurement and prints its report.
+/// Runs one measurement and prints its report, or lists the names of all.
 pub(super) fn run(options: &Options) -> Result<ExitCode, Error> {
     let names: Vec<&str> = bench::ALL.iter().map(|(name, ..)| *name).collect();
     let Some(wanted) = &options.name else {
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -1,5 +1,5 @@
-//! `hemlockfield check`: finds every mistake in settings and rules, and
-//! explains which rule decides a request.
+//! `hemlockfield check`: reports every mistake in settings and rules, or explains which rule
+//! decides a request.
 
 use std::fs;
 use std::path::Path;
@@ -13,10 +13,10 @@
 use crate::rule::Rules;
 use crate::settings::Settings;
 
-/// Exit code when a file holds a mistake.
-const MISTAKES: u8 = 1;
-/// Exit code when the command line or a file can't be read.
-const USAGE: u8 = 2;
+/// Exit code when a file has a mistake.
+const EXIT_MISTAKES: u8 = 1;
+/// Exit code for wrong usage or an unreadable file.
+const EXIT_USAGE: u8 = 2;
 
 /// Options of `check`.
 #[derive(Debug, Default, gumdrop::Options)]
@@ -46,15 +46,15 @@
     pub settings: bool,
 }
 
-/// What a file holds.
+/// Kind of a file's content.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Kind {
     Rules,
     Settings,
 }
 
-/// Checks the files. Exit codes: 0 sound, 1 mistakes, 2 wrong use or an
-/// unreadable file.
+/// Checks the files. Returns exit code 0 for valid files, 1 for mistakes, 2 for wrong usage or
+/// an unreadable file.
 pub fn run(options: &Options) -> ExitCode {
     if options.help {
         println!("{}", help());
@@ -62,7 +62,7 @@
     }
     if options.files.is_empty() || options.rules && options.settings {
         eprintln!("{}", help());
-        return ExitCode::from(USAGE);
+        return ExitCode::from(EXIT_USAGE);
     }
     let codes = options.files.iter().map(|file| check(file, options));
     ExitCode::from(codes.max().unwrap_or(0))
@@ -80,7 +80,7 @@
         Ok(text) => text,
         Err(error) => {
             eprintln!("file `{name}` can't be read: {error}");
-            return USAGE;
+            return EXIT_USAGE;
         }
     };
     match kind(&text, options) {
@@ -90,18 +90,19 @@
                 println!("{name}: sound settings of `{}`", settings.node.id);
                 0
             }
-            Err(error) => mistakes(&error),
+            Err(error) => report_mistakes(&error),
         },
     }
 }
 
-/// Rules have services or rules at the top; settings have neither.
+/// Determines the kind from the options, or else from the top-level fields: only rules have
+/// `services` or `rules`.
 fn kind(text: &str, options: &Options) -> Kind {
     if options.rules || options.explain.is_some() {
         return Kind::Rules;
     }
-    let top = |line: &str| line.starts_with("rules:") || line.starts_with("services:");
-    match !options.settings && text.lines().any(top) {
+    let is_rules_key = |line: &str| line.starts_with("rules:") || line.starts_with("services:");
+    match !options.settings && text.lines().any(is_rules_key) {
         true => Kind::Rules,
         false => Kind::Settings,
     }
@@ -110,7 +111,7 @@
 fn check_rules(name: &str, text: &str, options: &Options) -> u8 {
     let rules = match Rules::parse_file(name, text) {
         Ok(rules) => rules,
-        Err(error) => return mistakes(&error),
+        Err(error) => return report_mistakes(&error),
     };
     let Some(request) = &options.explain else {
         let count = rules.rules().len();
@@ -124,20 +125,20 @@
         }
         Err(text) => {
             eprintln!("{text}");
-            USAGE
+            EXIT_USAGE
         }
     }
 }
 
-fn mistakes(error: &dyn std::error::Error) -> u8 {
+fn report_mistakes(error: &dyn std::error::Error) -> u8 {
     eprintln!("{error}");
-    MISTAKES
+    EXIT_MISTAKES
 }
 
 fn explain(rules: &Rules, request: &str, options: &Options) -> Result<String, String> {
-    let wrong = || format!("`{request}` is not a request; write `GET http://host/path`");
-    let (method, address) = request.split_once(' ').ok_or_else(wrong)?;
-    let rest = address.trim().strip_prefix("http://").ok_or_else(wrong)?;
+    let invalid = || format!("`{request}` is not a request; write `GET http://host/path`");
+    let (method, address) = request.split_once(' ').ok_or_else(invalid)?;
+    let rest = address.trim().strip_prefix("http://").ok_or_else(invalid)?;
     let (host, path) = match rest.find('/') {
         Some(slash) => rest.split_at(slash),
         None => (rest, "/"),
@@ -158,8 +159,8 @@
 
 fn headers(list: &[String]) -> Result<Vec<(String, String)>, String> {
     let read = |text: &String| {
-        let wrong = || format!("`{text}` is not a header; write `name:value`");
-        let (name, value) = text.split_once(':').ok_or_else(wrong)?;
+        let invalid = || format!("`{text}` is not a header; write `name:value`");
+        let (name, value) = text.split_once(':').ok_or_else(invalid)?;
         Ok((name.trim().to_lowercase(), value.trim().to_string()))
     };
     list.iter().map(read).collect()
--- a/src/cli/client.rs
+++ b/src/cli/client.rs
@@ -1,4 +1,4 @@
-//! Asks a process at its operators' address.
+//! HTTP client for the operators' address of a process.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,11 +13,10 @@
 
 use super::Error;
 
-/// Longest that an operator waits for an answer: a submission during an election takes
-/// a few seconds.
-const PATIENCE: Duration = Duration::from_secs(15);
+/// Timeout for the whole exchange. A submission during an election takes a few seconds.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Status and body of an answer.
+/// Status code and body of an answer.
 pub(super) struct Answer {
     pub(super) body: String,
     pub(super) status: u16,
@@ -36,15 +35,17 @@
         request.body = body.into();
     }
     let asked = async {
-        let timeouts = Timeouts { connect: PATIENCE, first_byte: PATIENCE, idle: PATIENCE };
-        let connection =
-            Connection::connect(address, PATIENCE).await.map_err(|failure| failure.to_string())?;
+        let timeouts =
+            Timeouts { connect: ANSWER_TIMEOUT, first_byte: ANSWER_TIMEOUT, idle: ANSWER_TIMEOUT };
+        let connection = Connection::connect(address, ANSWER_TIMEOUT)
+            .await
+            .map_err(|failure| failure.to_string())?;
         let answer =
             connection.send(request, timeouts).await.map_err(|failure| failure.to_string())?;
         let mut response = answer.response;
         let body = response.body_text().await.map_err(|error| error.to_string())?;
         Ok(Answer { body, status: response.status })
     };
-    let answered = async_std::task::block_on(timeout(PATIENCE, asked));
+    let answered = async_std::task::block_on(timeout(ANSWER_TIMEOUT, asked));
     answered.unwrap_or_else(|_| Err("no answer in time".to_owned())).map_err(failed)
 }
--- a/src/cli/command.rs
+++ b/src/cli/command.rs
@@ -17,7 +17,7 @@
 use super::timeline;
 use super::upstream;
 
-/// Options before the command.
+/// Options before the subcommand.
 #[derive(Debug, gumdrop::Options)]
 pub struct Options {
     /// print this help
@@ -30,45 +30,45 @@
     pub command: Option<Command>,
 }
 
-/// One subcommand with its options.
+/// A subcommand with its options.
 #[derive(Debug, gumdrop::Options)]
 pub enum Command {
-    /// measure a slice and write a small report
+    /// measure a slice and print a report
     Bench(bench::Options),
-    /// find mistakes in settings and rules; explain which rule decides
+    /// report mistakes in settings and rules, or explain which rule decides a request
     Check(check::Options),
     /// run the whole system in one process, with a gray failure in the middle
     Demo(demo::Options),
-    /// make an entry leave without cutting a request
+    /// drain an entry without aborting a request
     Drain(drain::Options),
-    /// make the fleet's authority and the VMs' certificates
+    /// create the fleet's certificate authority and the VMs' certificates
     Keys(keys::Options),
-    /// send an open-loop load and tell what callers received
+    /// send an open-loop load and report what callers received
     Load(load::Options),
     /// add, replace or remove a control
     Member(member::Options),
-    /// run recorded traces against stated outcomes
+    /// replay recorded traces and compare them with expected outcomes
     Replay(replay::Options),
     /// run one process of the fleet
     Run(run::Options),
-    /// show what a process knows
+    /// show the status of a process
     Status(status::Options),
     /// submit a numbered configuration
     Submit(submit::Options),
-    /// merge files of events into one time line
+    /// merge event files into one time line
     Timeline(timeline::Options),
-    /// run a stand-in for an upstream, gray on demand
+    /// run a test upstream, with gray failures on demand
     Upstream(upstream::Options),
 }
 
 impl Command {
-    /// Usage of the command.
+    /// Usage text of the subcommand.
     pub fn help(&self) -> String {
         let name = self.command_name().unwrap_or_default();
         format!("Usage: hemlockfield {name} [OPTIONS]\n\n{}", self.self_usage())
     }
 
-    /// Runs it to its end.
+    /// Runs the subcommand to completion.
     pub(super) fn run(self) -> Result<ExitCode, Error> {
         match self {
             Self::Bench(options) => bench::run(&options),
--- a/src/cli/demo.rs
+++ b/src/cli/demo.rs
@@ -1,11 +1,11 @@
-//! `hemlockfield demo`: the whole system in one process, with a gray failure.
+//! `hemlockfield demo`: runs the whole system in one process, with a gray failure.
 
 use std::process::ExitCode;
 
 use crate::demo;
 
+use super::EXIT_FINDING;
 use super::Error;
-use super::FINDING;
 use super::load::progress;
 
 /// Options of `demo`.
@@ -15,7 +15,7 @@
     pub help: bool,
 }
 
-/// Runs the demo; a broken promise to callers is a finding.
+/// Runs the demo. A violated guarantee to callers is a finding.
 pub(super) fn run(_: &Options) -> Result<ExitCode, Error> {
     let folder = std::env::temp_dir().join(format!("hemlockfield-demo-{}", std::process::id()));
     println!("three controls, three entries, eight upstreams; one falls silent, one cuts answers");
@@ -25,5 +25,5 @@
     println!("\ntime line:\n{}", outcome.timeline);
     println!("\nwhat callers received, upstreams taken in turn:\n{}", outcome.baseline);
     println!("\nwhat callers received, through hemlockfield:\n{}", outcome.hemlockfield);
-    Ok(ExitCode::from(if outcome.hemlockfield.is_clean() { 0 } else { FINDING }))
+    Ok(ExitCode::from(if outcome.hemlockfield.is_clean() { 0 } else { EXIT_FINDING }))
 }
--- a/src/cli/drain.rs
+++ b/src/cli/drain.rs
@@ -1,12 +1,12 @@
-//! `hemlockfield drain`: makes an entry leave without cutting a request.
+//! `hemlockfield drain`: drains an entry without aborting a request.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
 
 use http::Method;
 
+use super::EXIT_FINDING;
 use super::Error;
-use super::FINDING;
 use super::client;
 
 /// Options of `drain`.
@@ -19,10 +19,10 @@
     pub node: Option<SocketAddr>,
 }
 
-/// Asks the entry to leave; it ends by itself when nothing is in flight any more.
+/// Asks the entry to drain. Its process exits when no request is in flight any more.
 pub(super) fn run(options: &Options) -> Result<ExitCode, Error> {
     let node = options.node.ok_or(Error::Missing("--node"))?;
     let answer = client::ask(node, Method::POST, "/v1/drain", String::new())?;
     println!("{}", answer.body.trim_end());
-    Ok(ExitCode::from(if answer.status == 200 { 0 } else { FINDING }))
+    Ok(ExitCode::from(if answer.status == 200 { 0 } else { EXIT_FINDING }))
 }
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -3,60 +3,60 @@
 
 use thiserror::Error as ThisError;
 
-/// Why a command could not be carried out.
+/// Reasons for which a command can't be carried out.
 #[derive(Debug, ThisError)]
 pub enum Error {
-    /// Process that can't be asked.
+    /// A process can't be reached.
     #[error("can't reach `{address}`: {reason}")]
     Ask {
-        /// Its operators' address.
+        /// Operators' address of the process.
         address: SocketAddr,
-        /// What went wrong.
+        /// Cause of the failure.
         reason: String,
     },
-    /// Demo that failed.
+    /// The demo failed.
     #[error(transparent)]
     Demo(#[from] crate::demo::Error),
-    /// Keys that can't be made.
+    /// Keys can't be created.
     #[error(transparent)]
     Keys(#[from] crate::keys::Error),
-    /// Load that can't be run.
+    /// The load can't be run.
     #[error(transparent)]
     Load(#[from] crate::load::Error),
-    /// Option that is needed.
+    /// A required option is missing.
     #[error("option `{0}` is needed; see `--help`")]
     Missing(&'static str),
-    /// Process that can't run.
+    /// The process can't run.
     #[error(transparent)]
     Node(#[from] crate::node::Error),
-    /// File that can't be read or written.
+    /// A file can't be read or written.
     #[error("file `{path}`: {source}")]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// Trace that can't be read.
+    /// A trace can't be read.
     #[error(transparent)]
     Replay(#[from] crate::replay::Error),
-    /// Settings with mistakes.
+    /// The settings can't be loaded.
     #[error("{0}")]
     Settings(#[from] crate::settings::Error),
-    /// Time line that can't be made.
+    /// The time line can't be created.
     #[error(transparent)]
     Timeline(#[from] crate::timeline::Error),
-    /// Stand-in that can't run.
+    /// The test upstream can't run.
     #[error(transparent)]
     Upstream(#[from] crate::upstream::Error),
-    /// Value that an option does not take.
+    /// A value is not allowed for an option.
     #[error("`{value}` is not allowed for `{option}`; {allowed}")]
     Value {
-        /// What is allowed.
+        /// Allowed values.
         allowed: String,
         /// Name of the option.
         option: &'static str,
-        /// What was given.
+        /// Value that was given.
         value: String,
     },
 }
--- a/src/cli/keys.rs
+++ b/src/cli/keys.rs
@@ -1,4 +1,4 @@
-//! `hemlockfield keys`: makes the fleet's authority and the VMs' certificates.
+//! `hemlockfield keys`: creates the fleet's certificate authority and the VMs' certificates.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -17,21 +17,21 @@
 pub struct Options {
     /// print this help
     pub help: bool,
-    /// folder of the authority; it holds the key that signs, so keep it off the VMs
+    /// folder of the authority; it holds the signing key, so keep it off the VMs
     #[options(no_short)]
     pub folder: Option<PathBuf>,
-    /// make the authority
+    /// create the authority
     #[options(no_short)]
     pub authority: bool,
-    /// make or renew the certificate of this process, in a folder of its name; may be repeated
+    /// create or renew the certificate of this process, in a folder of its name; may be repeated
     #[options(no_short, meta = "ID")]
     pub node: Vec<String>,
-    /// days that a certificate holds
+    /// days for which a certificate is valid
     #[options(no_short, default = "90")]
     pub days: u32,
 }
 
-/// Makes the authority, certificates, or both.
+/// Creates the authority, certificates, or both.
 pub(super) fn run(options: &Options) -> Result<ExitCode, Error> {
     let folder = options.folder.clone().ok_or(Error::Missing("--folder"))?;
     if !options.authority && options.node.is_empty() {
--- a/src/cli/load.rs
+++ b/src/cli/load.rs
@@ -1,4 +1,4 @@
-//! `hemlockfield load`: an open-loop load, and what callers received.
+//! `hemlockfield load`: sends an open-loop load and reports what callers received.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,8 +14,8 @@
 use crate::load::Kind;
 use crate::load::Plan;
 
+use super::EXIT_FINDING;
 use super::Error;
-use super::FINDING;
 use super::client;
 
 /// Options of `load`.
@@ -26,10 +26,10 @@
     /// callers' address of an entry; may be repeated
     #[options(no_short)]
     pub entry: Vec<SocketAddr>,
-    /// requests a second
+    /// requests per second
     #[options(no_short, default = "100")]
     pub rate: f64,
-    /// seconds
+    /// duration in seconds
     #[options(no_short, default = "10")]
     pub seconds: u64,
     /// number of callers
@@ -38,24 +38,24 @@
     /// kind of request, as NAME:WEIGHT:METHOD:HOST/PATH[:UP[:DOWN]] with sizes in bytes; may be repeated
     #[options(no_short)]
     pub kind: Vec<Kind>,
-    /// milliseconds that each request has
+    /// time budget of each request, in milliseconds
     #[options(no_short, default = "5000")]
     pub budget: u64,
-    /// use the given entries in turn, and ask none for its list
+    /// use the given entries in turn, without asking any for its list of entries
     #[options(no_short)]
     pub direct: bool,
-    /// send again what was told not-run or got no answer
+    /// resend requests that were answered as not-run or got no answer
     #[options(no_short)]
     pub resend: bool,
-    /// seed of arrivals
+    /// random seed of the arrivals
     #[options(no_short, default = "1")]
     pub seed: u64,
-    /// address of an upstream stand-in whose runs are to be reconciled; may be repeated
+    /// address of a test upstream whose runs are reconciled with the load; may be repeated
     #[options(no_short)]
     pub upstream: Vec<SocketAddr>,
 }
 
-/// Runs the load; a broken promise to callers is a finding.
+/// Runs the load. A violated guarantee to callers is a finding.
 pub(super) fn run(options: Options) -> Result<ExitCode, Error> {
     let plan = Plan {
         budget: Duration::from_millis(options.budget),
@@ -80,10 +80,10 @@
         report.reconcile(&runs);
     }
     println!("{report}");
-    Ok(ExitCode::from(if report.is_clean() { 0 } else { FINDING }))
+    Ok(ExitCode::from(if report.is_clean() { 0 } else { EXIT_FINDING }))
 }
 
-/// A bar on standard error, hidden where that is no terminal.
+/// Progress bar on standard error, hidden if that is no terminal.
 pub(super) fn progress() -> ProgressBar {
     let bar = ProgressBar::new(0);
     let template = "{elapsed_precise} [{bar:40}] {pos}/{len} requests";
--- a/src/cli/replay.rs
+++ b/src/cli/replay.rs
@@ -1,27 +1,27 @@
-//! `hemlockfield replay`: runs recorded traces and holds them against stated outcomes.
+//! `hemlockfield replay`: replays recorded traces and compares them with expected outcomes.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 use crate::replay::Trace;
 
+use super::EXIT_FINDING;
 use super::Error;
-use super::FINDING;
 
 /// Options of `replay`.
 #[derive(Debug, gumdrop::Options)]
 pub struct Options {
     /// print this help
     pub help: bool,
-    /// traces of JSON lines
+    /// trace files, in JSON lines
     #[options(free)]
     pub traces: Vec<PathBuf>,
-    /// print each decision too
+    /// also print each decision
     #[options(no_short)]
     pub decisions: bool,
 }
 
-/// Prints each expectation as held or broken, with its line.
+/// Prints for each expectation, with its line, whether it was met.
 pub(super) fn run(options: &Options) -> Result<ExitCode, Error> {
     if options.traces.is_empty() {
         return Err(Error::Missing("TRACE..."));
@@ -46,7 +46,7 @@
         let held = report.findings.len() - broken;
         println!("{name}: {held} held, {broken} broken, {} decisions", report.outputs.len());
         if broken > 0 {
-            code = ExitCode::from(FINDING);
+            code = ExitCode::from(EXIT_FINDING);
         }
     }
     Ok(code)
--- a/src/cli/status.rs
+++ b/src/cli/status.rs
@@ -1,12 +1,12 @@
-//! `hemlockfield status`: what a process knows.
+//! `hemlockfield status`: shows the status of a process.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
 
 use http::Method;
 
+use super::EXIT_FINDING;
 use super::Error;
-use super::FINDING;
 use super::client;
 
 /// Options of `status`.
@@ -24,5 +24,5 @@
     let node = options.node.ok_or(Error::Missing("--node"))?;
     let answer = client::ask(node, Method::GET, "/v1/status", String::new())?;
     println!("{}", answer.body);
-    Ok(ExitCode::from(if answer.status == 200 { 0 } else { FINDING }))
+    Ok(ExitCode::from(if answer.status == 200 { 0 } else { EXIT_FINDING }))
 }
--- a/src/cli/submit.rs
+++ b/src/cli/submit.rs
@@ -9,8 +9,8 @@
 
 use crate::rule::Rules;
 
+use super::EXIT_FINDING;
 use super::Error;
-use super::FINDING;
 use super::client;
 
 /// Options of `submit`.
@@ -18,7 +18,7 @@
 pub struct Options {
     /// print this help
     pub help: bool,
-    /// file of rules
+    /// rules file
     #[options(free)]
     pub file: Option<PathBuf>,
     /// operators' address of a process
@@ -27,12 +27,12 @@
     /// number of the configuration, above the one in force
     #[options(no_short)]
     pub number: Option<u64>,
-    /// id of this submission; the same id may be sent again until an answer comes
+    /// id of this submission; resend with the same id until an answer comes
     #[options(no_short)]
     pub id: Option<String>,
 }
 
-/// Checks the rules, submits them, and says what became of them.
+/// Validates the rules, submits them and prints the answer.
 pub(super) fn run(options: &Options) -> Result<ExitCode, Error> {
     let file = options.file.clone().ok_or(Error::Missing("FILE"))?;
     let node = options.node.ok_or(Error::Missing("--node"))?;
@@ -42,10 +42,10 @@
     let text = fs::read_to_string(&file).map_err(named)?;
     if let Err(error) = Rules::parse_file(&file.display().to_string(), &text) {
         eprintln!("{error}");
-        return Ok(ExitCode::from(FINDING));
+        return Ok(ExitCode::from(EXIT_FINDING));
     }
     let path = format!("/v1/configuration/{number}?submission={id}");
     let answer = client::ask(node, Method::PUT, &path, text)?;
     println!("{}", answer.body.trim_end());
-    Ok(ExitCode::from(if answer.status == 200 { 0 } else { FINDING }))
+    Ok(ExitCode::from(if answer.status == 200 { 0 } else { EXIT_FINDING }))
 }
--- a/src/cli/timeline.rs
+++ b/src/cli/timeline.rs
@@ -1,4 +1,4 @@
-//! `hemlockfield timeline`: merges files of events into one time line.
+//! `hemlockfield timeline`: merges event files into one time line.
 
 use std::fs;
 use std::path::PathBuf;
@@ -13,10 +13,10 @@
 pub struct Options {
     /// print this help
     pub help: bool,
-    /// files of events
+    /// event files
     #[options(free)]
     pub files: Vec<PathBuf>,
-    /// write a page with a lane for each process to this file
+    /// write an HTML page with a lane for each process to this file
     #[options(no_short)]
     pub html: Option<PathBuf>,
     /// only events of this request
@@ -33,7 +33,7 @@
     pub configuration: Option<u64>,
 }
 
-/// Prints the events in causal order, or writes the page.
+/// Prints the events in causal order, or writes them as an HTML page.
 pub(super) fn run(options: &Options) -> Result<ExitCode, Error> {
     if options.files.is_empty() {
         return Err(Error::Missing("FILE..."));
--- a/src/cli/upstream.rs
+++ b/src/cli/upstream.rs
@@ -1,4 +1,4 @@
-//! `hemlockfield upstream`: a stand-in for an upstream.
+//! `hemlockfield upstream`: runs a test upstream.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -23,39 +23,39 @@
     /// name of this upstream
     #[options(no_short)]
     pub name: Option<String>,
-    /// service it belongs to
+    /// service that it belongs to
     #[options(no_short)]
     pub service: Option<String>,
-    /// failure domain it is in
+    /// failure domain that it is in
     #[options(no_short, default = "halle-nord")]
     pub domain: String,
     /// operators' address of an entry to announce itself to; may be repeated
     #[options(no_short)]
     pub entry: Vec<SocketAddr>,
-    /// requests worked on at once
+    /// requests handled concurrently
     #[options(no_short, default = "4")]
     pub slots: usize,
-    /// milliseconds that a request takes
+    /// milliseconds that handling a request takes
     #[options(no_short, default = "25")]
     pub work: u64,
-    /// requests that may wait before it sheds
+    /// requests that may wait before further ones are shed
     #[options(no_short, default = "8")]
     pub queue: usize,
     /// gray mode: none, slow:8, error:0.5, cut:0.5, silent:0.5, flap:2:error:1
     #[options(no_short, default = "none")]
     pub gray: Gray,
-    /// seconds of cold start
+    /// duration of the cold start in seconds
     #[options(no_short, default = "0")]
     pub warm_up: u64,
-    /// factor on the work at the start, falling to 1 over the cold start
+    /// factor on the handling time at the start, falling to 1 over the cold start
     #[options(no_short, default = "1.0")]
     pub cold: f64,
-    /// seconds that an announcement counts
+    /// seconds for which an announcement is valid
     #[options(no_short, default = "6")]
     pub lease: u64,
 }
 
-/// Runs until a signal comes: the first drains it, the second ends it.
+/// Runs until a signal. The first one drains the upstream, the second one stops it.
 pub(super) fn run(options: Options) -> Result<ExitCode, Error> {
     let name = options.name.ok_or(Error::Missing("--name"))?;
     let service = options.service.ok_or(Error::Missing("--service"))?;
@@ -75,12 +75,12 @@
     setup.lease = Duration::from_secs(options.lease.max(1));
     async_std::task::block_on(async {
         let mut signals = listen_for_signals();
-        let stand = Stand::start(setup).await?;
-        println!("listening on {}", stand.address());
+        let upstream = Stand::start(setup).await?;
+        println!("listening on {}", upstream.address());
         next_signal(&mut signals).await;
-        stand.drain();
+        upstream.drain();
         next_signal(&mut signals).await;
-        stand.stop().await;
+        upstream.stop().await;
         Ok(ExitCode::SUCCESS)
     })
 }
