--- a/src/keys.rs
+++ b/src/keys.rs
@@ -1,10 +1,9 @@
 //! Certificate authority and certificates of the VMs.
 //!
-//! Links between our processes are mutual TLS. One authority signs a certificate
-//! for each VM; a process's name is what its certificate says, in the subject
-//! alternative name. Files are PEM: `authority.pem` and `authority-key.pem` where
-//! certificates are made, `authority.pem` and `identity.pem` on each VM.
-//! See `docs/design/link.md`.
+//! Links between processes of the fleet use mutual TLS. One authority signs a certificate for
+//! each VM, whose subject alternative name is the name of the process. Files are PEM:
+//! `authority.pem` and `authority-key.pem` where certificates are created, `authority.pem` and
+//! `identity.pem` on each VM. See `docs/design/link.md`.
 
 mod authority;
 mod error;
--- a/src/keys/authority.rs
+++ b/src/keys/authority.rs
@@ -1,4 +1,4 @@
-//! The authority that signs the VMs' certificates.
+//! Certificate authority of the fleet.
 
 use std::path::Path;
 use std::time::Duration;
@@ -21,31 +21,31 @@
 use super::Paths;
 use super::file;
 
-/// File of the authority's certificate.
-const CERTIFICATE: &str = "authority.pem";
-/// File of the authority's key.
-const KEY: &str = "authority-key.pem";
-/// How long an authority lasts: longer than the fleet's hardware.
-const AUTHORITY_AGE: Duration = Duration::from_secs(20 * 365 * 24 * 3600);
-/// Certificates hold from a little before they are made, for VMs whose clocks are
+/// File name of the authority's certificate.
+const CERTIFICATE_FILE: &str = "authority.pem";
+/// File name of the authority's private key.
+const KEY_FILE: &str = "authority-key.pem";
+/// Validity of an authority's certificate, longer than the life of the fleet's hardware.
+const AUTHORITY_VALIDITY: Duration = Duration::from_secs(20 * 365 * 24 * 3600);
+/// Time before their creation from which certificates are valid, for VMs whose clocks are
 /// behind.
 const BACKDATE: Duration = Duration::from_secs(3600);
 
-/// The authority that signs the VMs' certificates.
+/// Certificate authority that signs the VMs' certificates.
 pub struct Authority {
     certificate: String,
     key: String,
 }
 
 impl Authority {
-    /// Makes an authority in a folder.
+    /// Creates an authority in `folder`.
     ///
     /// # Errors
     ///
-    /// [`Error::Exists`] when there is one already, [`Error::File`] when the folder
-    /// can't be written, [`Error::Unusable`] when no key can be made.
+    /// [`Error::Exists`] when the folder holds an authority already, [`Error::File`] when it
+    /// can't be written, [`Error::Unusable`] when the key or certificate can't be created.
     pub fn create(folder: &Path, now: Epoch) -> Result<Self, Error> {
-        let (certificate_path, key_path) = (folder.join(CERTIFICATE), folder.join(KEY));
+        let (certificate_path, key_path) = (folder.join(CERTIFICATE_FILE), folder.join(KEY_FILE));
         if let Some(path) = [&certificate_path, &key_path].into_iter().find(|path| path.exists()) {
             return Err(Error::Exists { path: path.clone() });
         }
@@ -55,7 +55,7 @@
         params.distinguished_name.push(DnType::CommonName, authority_name(&key));
         params.is_ca = IsCa::Ca(BasicConstraints::Constrained(0));
         params.key_usages = vec![KeyUsagePurpose::KeyCertSign];
-        set_validity(&mut params, now, AUTHORITY_AGE);
+        set_validity(&mut params, now, AUTHORITY_VALIDITY);
         let certificate = params.self_signed(&key).map_err(unusable)?;
         let authority = Self { certificate: certificate.pem(), key: key.serialize_pem() };
         file::make_folder(folder)?;
@@ -64,34 +64,34 @@
         Ok(authority)
     }
 
-    /// Reads the authority of a folder.
+    /// Loads the authority in `folder`.
     ///
     /// # Errors
     ///
-    /// [`Error::File`] when a file can't be read, [`Error::Unusable`] when it holds
-    /// something else.
+    /// [`Error::File`] when a file can't be read, [`Error::Unusable`] when the content is
+    /// invalid.
     pub fn load(folder: &Path) -> Result<Self, Error> {
-        let key_path = folder.join(KEY);
+        let key_path = folder.join(KEY_FILE);
         let authority = Self {
-            certificate: file::read(&folder.join(CERTIFICATE))?,
+            certificate: file::read(&folder.join(CERTIFICATE_FILE))?,
             key: file::read(&key_path)?,
         };
         authority.issuer().map_err(|error| unusable(&key_path, "key", &error))?;
         Ok(authority)
     }
 
-    /// Certificate of the authority, as PEM.
+    /// Certificate of the authority in PEM.
     pub fn certificate(&self) -> &str {
         &self.certificate
     }
 
-    /// Makes a key and a certificate for a VM, or renews them, in `folder`; a
-    /// running process takes them up by itself.
+    /// Creates or renews a VM's key and certificate in `folder`. A running process loads the
+    /// renewed files by itself.
     ///
     /// # Errors
     ///
-    /// [`Error::Id`] for an id that can't stand in a certificate, [`Error::File`]
-    /// when the folder can't be written, [`Error::Unusable`] when signing fails.
+    /// [`Error::Id`] when the id is not valid in a certificate, [`Error::File`] when the folder
+    /// can't be written, [`Error::Unusable`] when signing fails.
     pub fn issue(
         &self,
         folder: &Path,
@@ -111,7 +111,7 @@
         if !Identity::is_valid_id(id) {
             return Err(Error::Id { id: id.into() });
         }
-        let unusable = |error: rcgen::Error| unusable(Path::new(KEY), "key", &error);
+        let unusable = |error: rcgen::Error| unusable(Path::new(KEY_FILE), "key", &error);
         let key = KeyPair::generate().map_err(unusable)?;
         let mut params = CertificateParams::new([id.to_string()]).map_err(unusable)?;
         params.distinguished_name.push(DnType::CommonName, id);
@@ -129,8 +129,8 @@
     }
 }
 
-/// Name with a mark of the key: under equal names, a peer of another fleet would be
-/// refused for a bad signature, which sounds like damage.
+/// Name of the authority, which includes a hash of its key. If all authorities had the same name,
+/// a peer of another fleet would be refused for a bad signature, which suggests damage.
 fn authority_name(key: &KeyPair) -> String {
     format!("hemlockfield authority {:016x}", xxh3_64(key.public_key_raw()))
 }
--- a/src/keys/error.rs
+++ b/src/keys/error.rs
@@ -5,64 +5,64 @@
 
 use thiserror::Error;
 
-/// Why a key or a certificate can't be made or used.
+/// Reasons for which a key or a certificate can't be created or used.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// There is an authority already; a second one would make all certificates
-    /// foreign.
+    /// The folder holds an authority already. Replacing it would invalidate all certificates
+    /// that it signed.
     #[error("`{path}` exists already")]
     Exists {
-        /// File in the way.
+        /// Existing file.
         path: PathBuf,
     },
-    /// The certificate's time is over.
+    /// The certificate has expired.
     #[error("certificate of `{id}` has expired")]
     Expired {
-        /// Whose certificate.
+        /// Name in the certificate.
         id: String,
     },
     /// A file can't be read or written.
     #[error("`{path}`: {source}")]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system reported.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The certificate was signed by another authority.
     #[error("certificate of `{id}` was not signed by this authority")]
     Foreign {
-        /// Whose certificate.
+        /// Name in the certificate.
         id: String,
     },
-    /// The id can't stand in a certificate.
+    /// The id is not valid in a certificate.
     #[error("`{id}` is no host name of letters, digits, hyphens and dots")]
     Id {
-        /// The id.
+        /// The invalid id.
         id: String,
     },
-    /// The certificate was made for another process.
+    /// The certificate belongs to another process.
     #[error("certificate says `{found}`, not `{wanted}`")]
     Name {
         /// Name in the certificate.
         found: String,
-        /// Name expected.
+        /// Expected name.
         wanted: String,
     },
-    /// The certificate's time has not come; most often a clock is wrong.
+    /// The certificate is not valid yet; usually a clock is wrong.
     #[error("certificate of `{id}` is not valid yet; check the clock")]
     NotYet {
-        /// Whose certificate.
+        /// Name in the certificate.
         id: String,
     },
-    /// Something in a file is not what it should be.
+    /// The content of a file is invalid, or the library can't process it.
     #[error("`{path}` holds no usable {what}: {reason}")]
     Unusable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the library reported.
+        /// Error of the library.
         reason: String,
-        /// What was looked for.
+        /// Kind of the expected content.
         what: &'static str,
     },
 }
--- a/src/keys/file.rs
+++ b/src/keys/file.rs
@@ -1,4 +1,4 @@
-//! Reading and replacing files.
+//! Reading and atomic replacement of files.
 
 use std::fs;
 use std::fs::File;
@@ -10,16 +10,16 @@
 
 use super::Error;
 
-/// Mode of files with a private key.
-const SECRET: u32 = 0o600;
+/// Permissions of files with a private key.
+const PRIVATE_MODE: u32 = 0o600;
 
 /// Reads a text file.
 pub(super) fn read(path: &Path) -> Result<String, Error> {
     fs::read_to_string(path).map_err(|source| error(path, source))
 }
 
-/// Replaces a file whole, readable by its owner only: a process that reloads, or
-/// a crash, finds the old one or the new one, never half of one.
+/// Replaces a file atomically with one that only its owner can read. After a crash, and for a
+/// process that reloads it, the file has either its old or its new content.
 pub(super) fn replace(path: &Path, text: &str) -> Result<(), Error> {
     let draft = path.with_extension("pem.new");
     write(&draft, text).map_err(|source| error(&draft, source))?;
@@ -29,14 +29,14 @@
     File::open(folder).and_then(|folder| folder.sync_all()).map_err(|source| error(folder, source))
 }
 
-/// Makes a folder with all above it.
+/// Creates a folder and its parents.
 pub(super) fn make_folder(path: &Path) -> Result<(), Error> {
     fs::create_dir_all(path).map_err(|source| error(path, source))
 }
 
 fn write(path: &Path, text: &str) -> io::Result<()> {
     let mut options = OpenOptions::new();
-    let mut file = options.write(true).create(true).truncate(true).mode(SECRET).open(path)?;
+    let mut file = options.write(true).create(true).truncate(true).mode(PRIVATE_MODE).open(path)?;
     file.write_all(text.as_bytes())?;
     file.sync_all()
 }
--- a/src/keys/identity.rs
+++ b/src/keys/identity.rs
@@ -1,4 +1,4 @@
-//! A VM's certificate and key, checked.
+//! Validated certificate and key of a VM.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -25,7 +25,7 @@
 use super::Paths;
 use super::file;
 
-/// A VM's certificate and key, and the authority that it trusts.
+/// A VM's certificate and key, and the authority that the VM trusts.
 #[derive(Debug)]
 pub struct Identity {
     certificate: CertificateDer<'static>,
@@ -36,28 +36,28 @@
 }
 
 impl Identity {
-    /// Reads and checks a VM's files, by the rules that its peers go by.
+    /// Reads a VM's files and validates them by the same rules as its peers do.
     ///
     /// # Errors
     ///
-    /// [`Error::File`] and [`Error::Unusable`] for files that are missing or
-    /// broken; [`Error::Expired`], [`Error::NotYet`] and [`Error::Foreign`] for a
-    /// certificate that peers would refuse.
+    /// [`Error::File`] and [`Error::Unusable`] for missing or invalid files,
+    /// [`Error::Expired`], [`Error::NotYet`] and [`Error::Foreign`] for a certificate that
+    /// peers would refuse.
     pub fn load(paths: &Paths, now: Epoch) -> Result<Self, Error> {
         let authority = pem::<CertificateDer<'static>>(&paths.authority, "certificate")?;
         let mut roots = RootCertStore::empty();
         roots.add(authority).map_err(|error| unusable(&paths.authority, "certificate", error))?;
         let certificate = pem::<CertificateDer<'static>>(&paths.identity, "certificate")?;
         let key = pem::<PrivateKeyDer<'static>>(&paths.identity, "key")?;
-        let nameless = || unusable(&paths.identity, "certificate", "no name in it");
-        let id = certified_id(&certificate).ok_or_else(nameless)?;
-        let until = expiry(&certificate).ok_or_else(nameless)?;
+        let invalid = || unusable(&paths.identity, "certificate", "no name in it");
+        let id = certified_id(&certificate).ok_or_else(invalid)?;
+        let until = expiry(&certificate).ok_or_else(invalid)?;
         let identity = Self { certificate, id, key, roots: Arc::new(roots), until };
         identity.check(paths, now)?;
         Ok(identity)
     }
 
-    /// Whether an id can stand in a certificate.
+    /// Whether an id is valid in a certificate.
     pub fn is_valid_id(id: &str) -> bool {
         matches!(ServerName::try_from(id), Ok(ServerName::DnsName(_)))
     }
@@ -67,31 +67,31 @@
         &self.id
     }
 
-    /// When the certificate's time is over.
+    /// Time at which the certificate expires.
     pub fn expires_at(&self) -> Epoch {
         self.until
     }
 
-    /// The certificate.
+    /// Certificate of the VM.
     pub fn certificate(&self) -> CertificateDer<'static> {
         self.certificate.clone()
     }
 
-    /// The key.
+    /// Private key of the VM.
     pub fn key(&self) -> PrivateKeyDer<'static> {
         self.key.clone_key()
     }
 
-    /// Authorities that peers' certificates must be signed by.
+    /// Authorities, one of which must have signed a peer's certificate.
     pub fn roots(&self) -> Arc<RootCertStore> {
         Arc::clone(&self.roots)
     }
 
-    /// Check that peers' certificates go through.
+    /// Verifier for peers' certificates.
     ///
     /// # Errors
     ///
-    /// [`Error::Unusable`] when the authority's certificate is no authority's.
+    /// [`Error::Unusable`] when the authority's certificate can't be used as a trust anchor.
     pub fn verifier(&self) -> Result<Arc<dyn ClientCertVerifier>, Error> {
         let builder = WebPkiClientVerifier::builder_with_provider(self.roots(), provider());
         builder.build().map_err(|error| unusable(Path::new("authority"), "certificate", error))
@@ -119,8 +119,8 @@
         }
     }
 
-    /// A key that does not belong to the certificate would fail at each link, with
-    /// a message that says nothing of the file.
+    /// Checks that the key belongs to the certificate. Otherwise every link would fail with an
+    /// error that does not name the file.
     fn check_key(&self, paths: &Paths) -> Result<(), Error> {
         let key = provider().key_provider.load_private_key(self.key());
         let key = key.map_err(|error| unusable(&paths.identity, "key", error))?;
@@ -130,7 +130,7 @@
     }
 }
 
-/// Name that a certificate gives its holder.
+/// Name of the process that a certificate belongs to.
 pub fn certified_id(certificate: &CertificateDer<'_>) -> Option<NodeId> {
     let (_, certificate) = parse_x509_certificate(certificate).ok()?;
     let names = certificate.subject_alternative_name().ok()??;
@@ -140,14 +140,14 @@
     })
 }
 
-/// When a certificate's time is over.
+/// Time at which a certificate expires.
 pub fn expiry(certificate: &CertificateDer<'_>) -> Option<Epoch> {
     let (_, certificate) = parse_x509_certificate(certificate).ok()?;
     let seconds = u64::try_from(certificate.validity().not_after.timestamp()).ok()?;
     Some(Duration::from_secs(seconds))
 }
 
-/// The cryptography that all links use.
+/// Cryptography provider of all links.
 pub(crate) fn provider() -> Arc<CryptoProvider> {
     Arc::new(ring::default_provider())
 }
--- a/src/keys/paths.rs
+++ b/src/keys/paths.rs
@@ -1,20 +1,20 @@
-//! Where a VM's files are.
+//! Paths of a VM's key files.
 
 use std::path::Path;
 use std::path::PathBuf;
 
-/// Where a VM's certificate files are.
+/// Paths of a VM's certificate files.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Paths {
     /// Certificate of the authority.
     pub authority: PathBuf,
-    /// The VM's own certificate and key, in one file so that a renewal replaces
-    /// both at once.
+    /// Certificate and private key of the VM, in one file so that a renewal replaces both
+    /// atomically.
     pub identity: PathBuf,
 }
 
 impl Paths {
-    /// Files under the usual names in one folder.
+    /// Files with the default names in one folder.
     pub fn in_folder(folder: &Path) -> Self {
         Self { authority: folder.join("authority.pem"), identity: folder.join("identity.pem") }
     }
--- a/tests/suite/keys.rs
+++ b/tests/suite/keys.rs
@@ -17,7 +17,7 @@
 const DAY: Duration = Duration::from_secs(24 * 3600);
 const NOW: Epoch = Duration::from_secs(1_800_000_000);
 
-fn issued() -> (TempDir, Authority, Paths) {
+fn issue_vm() -> (TempDir, Authority, Paths) {
     let folder = tempdir().unwrap();
     let authority = Authority::create(folder.path(), NOW).unwrap();
     let paths = authority.issue(&folder.path().join("vm"), "halle-nord-1", NOW, DAY * 90).unwrap();
@@ -25,8 +25,8 @@
 }
 
 #[test]
-fn issue_and_load() {
-    let (folder, _, paths) = issued();
+fn issue_load() {
+    let (folder, _, paths) = issue_vm();
     let identity = Identity::load(&paths, NOW).unwrap();
     assert_eq!(identity.id(), "halle-nord-1");
     assert_eq!(identity.expires_at(), NOW + DAY * 90);
@@ -39,8 +39,8 @@
 }
 
 #[test]
-fn issue_renewal_by_loaded_authority() {
-    let (folder, _, paths) = issued();
+fn issue_renewal() {
+    let (folder, _, paths) = issue_vm();
     let authority = Authority::load(folder.path()).unwrap();
     authority.issue(&folder.path().join("vm"), "halle-nord-1", NOW + DAY * 80, DAY * 90).unwrap();
     assert_eq!(Identity::load(&paths, NOW + DAY * 100).unwrap().expires_at(), NOW + DAY * 170);
@@ -52,15 +52,15 @@
     Duration::ZERO,
     "certificate of `halle-nord-1` is not valid yet; check the clock"
 )]
-fn load_out_of_time(#[case] later: Duration, #[case] message: &str) {
-    let (_folder, _, paths) = issued();
+fn load_outside_validity(#[case] later: Duration, #[case] message: &str) {
+    let (_folder, _, paths) = issue_vm();
     let now = if later.is_zero() { NOW - DAY } else { NOW + later };
     assert_eq!(Identity::load(&paths, now).unwrap_err().to_string(), message);
 }
 
 #[test]
-fn load_foreign() {
-    let (folder, _, paths) = issued();
+fn load_other_authority() {
+    let (folder, _, paths) = issue_vm();
     let other = Authority::create(&folder.path().join("other"), NOW).unwrap();
     fs::write(&paths.authority, other.certificate()).unwrap();
     assert!(
@@ -69,8 +69,8 @@
 }
 
 #[test]
-fn load_key_of_another() {
-    let (folder, authority, paths) = issued();
+fn load_other_key() {
+    let (folder, authority, paths) = issue_vm();
     let other = authority.issue(&folder.path().join("vm-2"), "halle-nord-2", NOW, DAY).unwrap();
     let (own, other) =
         (fs::read_to_string(&paths.identity).unwrap(), fs::read_to_string(other.identity).unwrap());
@@ -82,9 +82,9 @@
 
 #[rstest]
 #[case::empty("")]
-#[case::cut("-----BEGIN CERTIFICATE-----\nMIIB")]
+#[case::truncated("-----BEGIN CERTIFICATE-----\nMIIB")]
 fn load_damaged(#[case] text: &str) {
-    let (_folder, _, paths) = issued();
+    let (_folder, _, paths) = issue_vm();
     fs::write(&paths.identity, text).unwrap();
     let error = Identity::load(&paths, NOW).unwrap_err();
     assert!(error.to_string().contains("identity.pem` holds no usable certificate"), "{error}");
@@ -96,13 +96,13 @@
 #[case::address("127.0.0.1")]
 #[case::slash("../vm")]
 fn issue_invalid_id(#[case] id: &str) {
-    let (folder, authority, _) = issued();
+    let (folder, authority, _) = issue_vm();
     let result = authority.issue(&folder.path().join("vm-2"), id, NOW, DAY);
     assert!(matches!(result, Err(Error::Id { .. })));
 }
 
 #[test]
 fn create_twice() {
-    let (folder, _, _) = issued();
+    let (folder, _, _) = issue_vm();
     assert!(matches!(Authority::create(folder.path(), NOW), Err(Error::Exists { .. })));
 }
