--- a/src/quorum/change.rs
+++ b/src/quorum/change.rs
@@ -32,7 +32,8 @@
     /// know, and the two majorities might not overlap.
     fn changed_membership(&self, change: &Change) -> Result<Membership, Reason> {
         let State::Leader(leader) = &self.state else { return Err(Reason::NotLeader) };
-        if self.commit < leader.first_index || self.log.membership_index() > self.commit {
+        if self.commit_index < leader.first_index || self.log.membership_index() > self.commit_index
+        {
             return Err(Reason::Busy);
         }
         let mut membership = self.log.membership().clone();
@@ -88,15 +89,16 @@
     /// slowest of three members is always one message behind. That loses nothing,
     /// since a majority of the others holds the entries that it lacks.
     fn is_up_to_date(&self, leader: &Leader, node: &NodeId) -> bool {
-        let required = leader.heartbeat_commits.1.max(self.log.membership_index().min(self.commit));
+        let required =
+            leader.heartbeat_commits.1.max(self.log.membership_index().min(self.commit_index));
         if leader.heartbeat_commits.1 < leader.first_index {
             return false;
         }
         if *node == self.setup.id {
-            return self.durable >= required;
+            return self.synced_index >= required;
         }
         let progress = leader.members.get(node);
-        progress.is_some_and(|it| it.matched >= required && self.is_heard(it.heard))
+        progress.is_some_and(|it| it.match_index >= required && self.is_heard(it.heard))
     }
 
     /// Whether, after the loss of any one more VM and its disk, a majority remains
@@ -104,7 +106,7 @@
     /// since they can't take part in an election.
     pub fn tolerates_one_more_loss(&self) -> bool {
         let State::Leader(leader) = &self.state else { return false };
-        if self.log.membership_index() > self.commit {
+        if self.log.membership_index() > self.commit_index {
             return false;
         }
         let membership = self.log.membership();
@@ -116,10 +118,10 @@
     pub fn status(&self, now: Moment) -> Status {
         let members = self.log.membership().members();
         Status {
-            commit: self.commit,
+            commit: self.commit_index,
             disk: self.is_identity_synced.then_some(self.disk),
             entries: self.log.bytes_from(0),
-            last: self.log.last(),
+            last: self.log.last_index(),
             leader: self.leader.clone(),
             members: members.map(|(node, disk)| self.member(now, node, disk)).collect(),
             role: self.role(),
@@ -135,11 +137,12 @@
         let progress = leader.and_then(|leader| leader.members.get(node));
         let heard = progress.and_then(|it| it.heard).map(|at| now.saturating_sub(at));
         let heard = if is_self { Some(Moment::ZERO) } else { heard };
-        let matched = if is_self { self.durable } else { progress.map_or(0, |it| it.matched) };
+        let matched =
+            if is_self { self.synced_index } else { progress.map_or(0, |it| it.match_index) };
         Member {
             disk,
             heard,
-            lag: self.log.last().saturating_sub(matched),
+            lag: self.log.last_index().saturating_sub(matched),
             matched,
             node: node.clone(),
             silent: heard.is_none_or(|heard| heard >= self.setup.timing.election),
--- a/src/quorum/commit.rs
+++ b/src/quorum/commit.rs
@@ -21,9 +21,9 @@
 
     /// Commits every entry up to `index` and emits an output for each.
     pub(super) fn commit_to(&mut self, index: Index) {
-        while self.commit < index {
-            let Some(entry) = self.log.get(self.commit + 1).cloned() else { return };
-            self.commit = entry.index;
+        while self.commit_index < index {
+            let Some(entry) = self.log.get(self.commit_index + 1).cloned() else { return };
+            self.commit_index = entry.index;
             let size = entry.size();
             let (index, term) = (entry.index, entry.term);
             match entry.payload {
@@ -53,10 +53,10 @@
     /// elected without it.
     fn advance_commit(&mut self) {
         let State::Leader(leader) = &self.state else { return };
-        let majority = self.majority(leader, self.durable, |progress| progress.matched);
+        let majority = self.majority(leader, self.synced_index, |progress| progress.match_index);
         let own_term = self.log.term(majority) == Some(self.term);
         let can_commit = own_term || self.setup.fault == Some(Fault::OldTermCommit);
-        if majority <= self.commit || !can_commit {
+        if majority <= self.commit_index || !can_commit {
             return;
         }
         self.commit_to(majority);
@@ -66,7 +66,7 @@
     /// Steps down once this leader's own removal is committed, after a last heartbeat
     /// that tells the others the commit index.
     fn leave_if_removed(&mut self) {
-        if self.is_voter() || self.log.membership_index() > self.commit {
+        if self.is_voter() || self.log.membership_index() > self.commit_index {
             return;
         }
         self.send_heartbeats();
@@ -87,7 +87,7 @@
         if self.setup.fault == Some(Fault::UncheckedRead) {
             confirmed = u64::MAX;
         }
-        let commit = self.commit;
+        let commit = self.commit_index;
         let State::Leader(leader) = &mut self.state else { return };
         let ready = |read: &Read| read.round <= confirmed && read.index <= commit;
         let reads = std::mem::take(&mut leader.reads);
--- a/src/quorum/election.rs
+++ b/src/quorum/election.rs
@@ -70,7 +70,8 @@
     fn start_pre_vote(&mut self) {
         let granted = BTreeSet::from([self.setup.id.clone()]);
         self.state = State::PreCandidate { granted };
-        let body = Body::PreVote { last_index: self.log.last(), last_term: self.log.last_term() };
+        let body =
+            Body::PreVote { last_index: self.log.last_index(), last_term: self.log.last_term() };
         for (node, disk) in self.other_voters() {
             let mut message = self.message(disk, body.clone());
             message.term = message.term.saturating_add(1);
@@ -86,7 +87,7 @@
         self.state =
             State::Candidate { granted: BTreeSet::new(), vote_persist: self.next_persist() };
         self.reset_deadline();
-        let last_index = self.log.last();
+        let last_index = self.log.last_index();
         let last_term = self.log.last_term();
         for (node, disk) in self.other_voters() {
             self.send(&node, disk, Body::Vote { last_index, last_term });
@@ -162,7 +163,7 @@
     }
 
     fn is_candidate_up_to_date(&self, last: (Term, Index)) -> bool {
-        last >= (self.log.last_term(), self.log.last())
+        last >= (self.log.last_term(), self.log.last_index())
     }
 
     fn other_voters(&self) -> Vec<(NodeId, u64)> {
--- a/src/quorum/follower.rs
+++ b/src/quorum/follower.rs
@@ -46,27 +46,27 @@
     }
 
     fn check_previous(&self, (index, term): (Index, Term)) -> Result<(), Index> {
-        if index < self.log.base() {
+        if index < self.log.base_index() {
             return Ok(());
         }
         let Some(own) = self.log.term(index) else {
-            return Err(self.log.last());
+            return Err(self.log.last_index());
         };
         if own == term || self.setup.fault == Some(Fault::BlindAppend) {
             return Ok(());
         }
-        Err((self.log.term_start(index) - 1).max(self.commit))
+        Err((self.log.term_start(index) - 1).max(self.commit_index))
     }
 
     /// Appends one entry. Returns `false` if it conflicts with an entry that is
     /// committed here, which a correct leader never sends; the committed entry stays.
     fn append_entry(&mut self, entry: Entry) -> bool {
-        if entry.index <= self.log.base() {
+        if entry.index <= self.log.base_index() {
             return true;
         }
         match self.log.term(entry.index) {
             Some(term) if term == entry.term => return true,
-            Some(_) if entry.index <= self.commit => return false,
+            Some(_) if entry.index <= self.commit_index => return false,
             Some(_) => {
                 self.log.truncate(entry.index);
                 self.mark_unsynced_from(entry.index);
--- a/src/quorum/leader.rs
+++ b/src/quorum/leader.rs
@@ -19,7 +19,7 @@
 
 impl Replica {
     pub(super) fn become_leader(&mut self) {
-        let next = self.log.last() + 1;
+        let next = self.log.last_index() + 1;
         let members = BTreeMap::new();
         self.leader = Some(self.setup.id.clone());
         self.has_heard_leader = true;
@@ -42,7 +42,7 @@
 
     /// Appends an entry of the current term and returns its index.
     pub(super) fn append(&mut self, payload: Payload) -> Index {
-        let index = self.log.last() + 1;
+        let index = self.log.last_index() + 1;
         let entry = Entry { index, term: self.term, payload };
         if let State::Leader(leader) = &mut self.state {
             leader.pending_bytes += entry.size();
@@ -74,7 +74,7 @@
     /// Without that round, a leader that doesn't know yet that it was deposed would
     /// answer from an old state.
     pub(super) fn read(&mut self, ticket: u64) {
-        let commit = self.commit;
+        let commit = self.commit_index;
         let State::Leader(leader) = &mut self.state else {
             return self.refuse(ticket, Reason::NotLeader);
         };
@@ -86,7 +86,7 @@
         if !self.has_heard_quorum() {
             return self.step_down();
         }
-        let commit = self.commit;
+        let commit = self.commit_index;
         let State::Leader(leader) = &mut self.state else { return };
         if self.now >= leader.heartbeat_at {
             leader.heartbeat_commits = (commit, leader.heartbeat_commits.0);
@@ -118,7 +118,7 @@
 
     /// Brings the tracked members in line with the newest membership.
     pub(super) fn update_members(&mut self) {
-        let next = self.log.last() + 1;
+        let next = self.log.last_index() + 1;
         self.with_leader(|replica, leader| {
             let membership = replica.log.membership();
             leader.members.retain(|node, progress| membership.disk(node) == Some(progress.disk));
@@ -155,15 +155,19 @@
     }
 
     pub(super) fn handle_appended(&mut self, from: &NodeId, disk: u64, round: u64, matched: Index) {
-        if matched > self.log.last() {
+        if matched > self.log.last_index() {
             return;
         }
         self.record_answer(from, disk, round, |progress| {
-            progress.matched = progress.matched.max(matched);
-            progress.probing = false;
-            progress.window_start = progress.window_start.max(progress.matched);
-            progress.next = progress.next.max(progress.matched + 1);
-            if progress.transfer.as_ref().is_some_and(|it| it.snapshot.index <= progress.matched) {
+            progress.match_index = progress.match_index.max(matched);
+            progress.is_probing = false;
+            progress.window_start = progress.window_start.max(progress.match_index);
+            progress.next_index = progress.next_index.max(progress.match_index + 1);
+            if progress
+                .transfer
+                .as_ref()
+                .is_some_and(|it| it.snapshot.index <= progress.match_index)
+            {
                 progress.transfer = None;
             }
         });
@@ -183,13 +187,13 @@
     ) {
         let mut must_resend = false;
         self.record_answer(from, disk, round, |progress| {
-            let next = hint.max(progress.matched).saturating_add(1);
-            let is_current = progress.matched < prev_index && prev_index < progress.next;
-            must_resend = is_current && next < progress.next;
+            let next = hint.max(progress.match_index).saturating_add(1);
+            let is_current = progress.match_index < prev_index && prev_index < progress.next_index;
+            must_resend = is_current && next < progress.next_index;
             if must_resend {
-                progress.next = next;
-                progress.probing = true;
-                progress.window_start = progress.next - 1;
+                progress.next_index = next;
+                progress.is_probing = true;
+                progress.window_start = progress.next_index - 1;
             }
         });
         if must_resend {
@@ -243,9 +247,9 @@
         if progress.transfer.is_some() {
             return self.send_chunk(leader, node);
         }
-        let sent = leader.members.get(node).map(|it| it.next);
+        let sent = leader.members.get(node).map(|it| it.next_index);
         self.send_entries(leader, node);
-        if leader.members.get(node).map(|it| it.next) == sent {
+        if leader.members.get(node).map(|it| it.next_index) == sent {
             self.send_append(leader, node, Vec::new());
         }
     }
@@ -259,31 +263,32 @@
             if progress.transfer.is_some() {
                 return;
             }
-            if progress.next <= self.log.base() {
+            if progress.next_index <= self.log.base_index() {
                 return self.send_chunk(leader, node);
             }
-            let in_flight = (progress.next - 1).saturating_sub(progress.window_start);
-            let is_batch_full = self.log.bytes_from(progress.next) > self.setup.limits.batch_bytes;
-            let must_wait = in_flight > 0 && (progress.probing || !is_batch_full);
-            if progress.next > self.log.last()
+            let in_flight = (progress.next_index - 1).saturating_sub(progress.window_start);
+            let is_batch_full =
+                self.log.bytes_from(progress.next_index) > self.setup.limits.batch_bytes;
+            let must_wait = in_flight > 0 && (progress.is_probing || !is_batch_full);
+            if progress.next_index > self.log.last_index()
                 || must_wait
                 || in_flight > self.setup.limits.window_entries
             {
                 return;
             }
-            let entries = self.log.batch(progress.next, self.setup.limits.batch_bytes);
+            let entries = self.log.batch(progress.next_index, self.setup.limits.batch_bytes);
             self.send_append(leader, node, entries);
         }
     }
 
     fn send_append(&mut self, leader: &mut Leader, node: &NodeId, entries: Vec<Entry>) {
         let Some(progress) = leader.members.get_mut(node) else { return };
-        let prev_index = (progress.next - 1).max(self.log.base());
+        let prev_index = (progress.next_index - 1).max(self.log.base_index());
         let prev_term = self.log.term(prev_index).unwrap_or(0);
-        progress.next += entries.len() as Index;
+        progress.next_index += entries.len() as Index;
         let disk = progress.disk;
         let body = Body::Append {
-            commit: self.commit,
+            commit: self.commit_index,
             entries,
             prev_index,
             prev_term,
--- a/src/quorum/log.rs
+++ b/src/quorum/log.rs
@@ -15,7 +15,7 @@
 /// Log in memory: the newest snapshot, the entries and the memberships in them.
 #[derive(Debug)]
 pub(super) struct Log {
-    base: Index,
+    base_index: Index,
     base_term: Term,
     memberships: BTreeMap<Index, Membership>,
     entries: VecDeque<Entry>,
@@ -28,7 +28,7 @@
 impl Log {
     pub(super) fn new(founders: Membership, recovered: Recovered) -> Self {
         let mut log = Self {
-            base: 0,
+            base_index: 0,
             base_term: 0,
             memberships: BTreeMap::from([(0, founders)]),
             entries: VecDeque::new(),
@@ -44,28 +44,28 @@
         log
     }
 
-    pub(super) fn last(&self) -> Index {
-        self.base + self.entries.len() as Index
+    pub(super) fn last_index(&self) -> Index {
+        self.base_index + self.entries.len() as Index
     }
 
     pub(super) fn last_term(&self) -> Term {
         self.entries.back().map_or(self.base_term, |entry| entry.term)
     }
 
-    pub(super) fn base(&self) -> Index {
-        self.base
+    pub(super) fn base_index(&self) -> Index {
+        self.base_index
     }
 
     /// Term at `index`; `None` before the base and after the end.
     pub(super) fn term(&self, index: Index) -> Option<Term> {
-        if index == self.base {
+        if index == self.base_index {
             return Some(self.base_term);
         }
         self.get(index).map(|entry| entry.term)
     }
 
     pub(super) fn get(&self, index: Index) -> Option<&Entry> {
-        let position = index.checked_sub(self.base + 1)?;
+        let position = index.checked_sub(self.base_index + 1)?;
         self.entries.get(usize::try_from(position).ok()?)
     }
 
@@ -88,8 +88,8 @@
     /// Bytes of all entries from `from` on.
     pub(super) fn bytes_from(&self, from: Index) -> usize {
         let Some(end) = self.offsets.back() else { return 0 };
-        let from = from.max(self.base + 1);
-        let position = from - self.base - 1;
+        let from = from.max(self.base_index + 1);
+        let position = from - self.base_index - 1;
         let Some(first) = usize::try_from(position).ok().and_then(|it| self.offsets.get(it)) else {
             return 0;
         };
@@ -109,7 +109,7 @@
 
     /// Drops the entry at `index` and all after it, with their memberships.
     pub(super) fn truncate(&mut self, index: Index) {
-        let kept = index.saturating_sub(self.base + 1);
+        let kept = index.saturating_sub(self.base_index + 1);
         let kept = usize::try_from(kept).unwrap_or(usize::MAX);
         self.entries.truncate(kept);
         self.offsets.truncate(kept);
@@ -120,7 +120,7 @@
     pub(super) fn term_start(&self, index: Index) -> Index {
         let term = self.term(index);
         let mut start = index;
-        while start > self.base + 1 && self.term(start - 1) == term {
+        while start > self.base_index + 1 && self.term(start - 1) == term {
             start -= 1;
         }
         start
@@ -147,15 +147,15 @@
     /// Sets the application's own snapshot and keeps the entries after `keep`.
     pub(super) fn compact(&mut self, snapshot: Arc<Snapshot>, keep: Index) {
         let keep = keep.min(snapshot.index);
-        while self.base < keep {
+        while self.base_index < keep {
             let Some(entry) = self.entries.pop_front() else { break };
             self.offsets.pop_front();
-            self.base = entry.index;
+            self.base_index = entry.index;
             self.base_term = entry.term;
         }
-        let membership = self.membership_at(self.base);
-        self.memberships = self.memberships.split_off(&(self.base + 1));
-        self.memberships.insert(self.base, membership);
+        let membership = self.membership_at(self.base_index);
+        self.memberships = self.memberships.split_off(&(self.base_index + 1));
+        self.memberships.insert(self.base_index, membership);
         self.snapshot = Some(snapshot);
     }
 
@@ -171,7 +171,7 @@
     }
 
     fn reset_to(&mut self, snapshot: Arc<Snapshot>) {
-        self.base = snapshot.index;
+        self.base_index = snapshot.index;
         self.base_term = snapshot.term;
         self.memberships = BTreeMap::from([(snapshot.index, snapshot.membership.clone())]);
         self.entries.clear();
--- a/src/quorum/progress.rs
+++ b/src/quorum/progress.rs
@@ -22,11 +22,11 @@
 pub(super) struct Progress {
     pub(super) disk: DiskId,
     pub(super) heard: Option<Moment>,
-    pub(super) matched: Index,
-    pub(super) next: Index,
+    pub(super) match_index: Index,
+    pub(super) next_index: Index,
     /// No append was acknowledged since the start or the last mismatch. Only one
     /// message is sent at a time, since later ones would be refused as well.
-    pub(super) probing: bool,
+    pub(super) is_probing: bool,
     pub(super) round: u64,
     pub(super) transfer: Option<Transfer>,
     /// Last index that was answered; entries after it are in flight.
@@ -34,16 +34,16 @@
 }
 
 impl Progress {
-    pub(super) fn new(disk: DiskId, next: Index) -> Self {
+    pub(super) fn new(disk: DiskId, next_index: Index) -> Self {
         Self {
             disk,
             heard: None,
-            matched: 0,
-            next,
-            probing: true,
+            match_index: 0,
+            next_index,
+            is_probing: true,
             round: 0,
             transfer: None,
-            window_start: next - 1,
+            window_start: next_index - 1,
         }
     }
 }
--- a/src/quorum/replica.rs
+++ b/src/quorum/replica.rs
@@ -58,11 +58,11 @@
 /// stay in memory.
 #[derive(Debug)]
 pub struct Replica {
-    pub(super) commit: Index,
+    pub(super) commit_index: Index,
     pub(super) deadline: Option<Moment>,
     pub(super) disk: DiskId,
     /// Last index of this replica's log that is synced.
-    pub(super) durable: Index,
+    pub(super) synced_index: Index,
     pub(super) leader_heard_at: Option<Moment>,
     /// Messages that wait until the persist with this number is synced.
     waiting_messages: VecDeque<(u64, NodeId, Message)>,
@@ -104,14 +104,14 @@
         });
         let term = recovered.term;
         let vote = recovered.vote.clone();
-        let commit = recovered.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
+        let commit_index = recovered.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
         let outputs = recovered.snapshot.iter().cloned().map(install).collect();
         let log = Log::new(identity.founders, recovered);
         Self {
-            commit,
+            commit_index,
             deadline: None,
             disk: identity.disk,
-            durable: log.last(),
+            synced_index: log.last_index(),
             leader_heard_at: None,
             waiting_messages: VecDeque::new(),
             incoming: None,
@@ -232,7 +232,7 @@
     /// what was persisted.
     pub(super) fn mark_unsynced_from(&mut self, index: Index) {
         let last = index.saturating_sub(1);
-        self.durable = self.durable.min(last);
+        self.synced_index = self.synced_index.min(last);
         for (_, covered) in &mut self.unsynced_persists {
             *covered = (*covered).min(last);
         }
@@ -274,7 +274,7 @@
             if number > self.synced_persist {
                 break;
             }
-            self.durable = self.durable.max(index);
+            self.synced_index = self.synced_index.max(index);
             self.unsynced_persists.pop_front();
         }
     }
@@ -283,7 +283,7 @@
         let mut outputs = Vec::new();
         if !self.records.is_empty() {
             self.last_persist += 1;
-            self.unsynced_persists.push_back((self.last_persist, self.log.last()));
+            self.unsynced_persists.push_back((self.last_persist, self.log.last_index()));
             let records = std::mem::take(&mut self.records);
             outputs.push(Output::Persist { number: self.last_persist, records });
         }
--- a/src/quorum/transfer.rs
+++ b/src/quorum/transfer.rs
@@ -28,7 +28,7 @@
     /// will need them after a transfer in progress.
     pub(super) fn compact(&mut self, index: Index, bytes: Vec<u8>) {
         let newest = self.log.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
-        if index > self.commit || index <= newest {
+        if index > self.commit_index || index <= newest {
             return;
         }
         let Some(term) = self.log.term(index) else { return };
@@ -44,7 +44,8 @@
     /// it.
     fn first_kept(&self, index: Index) -> Index {
         let after = self.log.bytes_from(index + 1);
-        let mut keep = index.saturating_sub(self.setup.limits.kept_entries).max(self.log.base());
+        let mut keep =
+            index.saturating_sub(self.setup.limits.kept_entries).max(self.log.base_index());
         while keep < index && self.log.bytes_from(keep + 1) - after > self.setup.limits.kept_bytes {
             keep += 1;
         }
@@ -90,7 +91,7 @@
         bytes: &[u8],
     ) {
         let (index, term, membership, total) = header;
-        if index <= self.commit {
+        if index <= self.commit_index {
             return self.send(from, disk, Body::Appended { matched: index, round });
         }
         let mut incoming = self.incoming.take().unwrap_or(Incoming { bytes: vec![], index, term });
@@ -114,7 +115,7 @@
         if self.log.term(snapshot.index) != Some(snapshot.term) {
             self.mark_unsynced_from(snapshot.index);
         }
-        self.commit = snapshot.index;
+        self.commit_index = snapshot.index;
         self.log.install(Arc::clone(&snapshot));
         self.record(Record::Snapshot(Arc::clone(&snapshot)));
         self.outputs.push(Output::Install { snapshot });
