--- a/src/node/builder.rs
+++ b/src/node/builder.rs
@@ -99,14 +99,14 @@
     is_founding: bool,
     recorder: Recorder,
 ) -> Result<Components, Error> {
-    let (config_store, kept) = open_config_store(settings)?;
+    let (config_store, stored) = open_config_store(settings)?;
     let founders = is_founding.then(|| Membership::founding(controls(settings)));
     let opened = open_controller(settings, founders, is_founding)?;
     let (controller, log) =
         opened.map_or((None, None), |(controller, log)| (Some(controller), Some(log)));
     let setup = Setup {
         controls: controls(settings),
-        kept,
+        stored,
         me: own_record(settings, callers),
         controller,
         recorder,
@@ -173,8 +173,8 @@
     settings: &Settings,
 ) -> Result<(Option<ConfigStore>, Option<config::Version>), Error> {
     let Some(data) = &settings.data else { return Ok((None, None)) };
-    let (config_store, kept) = ConfigStore::open(&data.join("held"))?;
-    Ok((Some(config_store), kept))
+    let (config_store, stored) = ConfigStore::open(&data.join("held"))?;
+    Ok((Some(config_store), stored))
 }
 
 /// Opens a control's log; `None` on other processes. With `is_founding`, a folder that holds a log
--- a/src/node/core.rs
+++ b/src/node/core.rs
@@ -61,7 +61,7 @@
     /// Controls named in the settings.
     pub controls: Vec<NodeId>,
     /// Configuration recovered from disk.
-    pub kept: Option<Version>,
+    pub stored: Option<Version>,
     /// Record of this process that it announces to the fleet.
     pub me: fleet::Record,
     /// State of the replicated log, on a control.
@@ -74,7 +74,7 @@
     pub seed: u64,
 }
 
-/// Input of a [`Core`].
+/// Input of the control state.
 #[derive(Debug)]
 pub enum Input {
     /// An upstream announced itself to this entry.
@@ -116,7 +116,7 @@
     Tick,
     /// Result of a trial request to an upstream.
     TrialOutcome {
-        /// Whether the request may be sent to another upstream as well.
+        /// Whether the request may be retried on another upstream.
         is_repeatable: bool,
         /// Result of the request.
         kind: health::Kind,
@@ -129,7 +129,7 @@
     },
 }
 
-/// Output of a [`Core`]. Outputs are carried out in the order returned.
+/// Output of the control state. Outputs are carried out in the order returned.
 #[derive(Debug)]
 pub enum Output {
     /// Answer to an announcement.
@@ -201,7 +201,7 @@
         let mut draw = || ChaCha8Rng::seed_from_u64(random.next_u64());
         let me = setup.me;
         let holder =
-            Holder::new(now, me.id.clone(), config::Settings::default(), setup.kept, draw());
+            Holder::new(now, me.id.clone(), config::Settings::default(), setup.stored, draw());
         let member = Member::new(now, me.clone(), setup.seeds, draw());
         let registry = Registry::new(now, me.id.clone(), draw());
         let monitors = Monitors::new(now, me.id.clone(), setup.recorder, draw());
--- a/src/node/core/state_machine.rs
+++ b/src/node/core/state_machine.rs
@@ -29,11 +29,11 @@
     fn report(&self, now: Moment) -> Report {
         Report {
             configuration: self.version().map(status::Configuration::of),
-            control: self.control(now),
+            control: self.control_status(now),
             id: self.member().me().id.clone(),
             members: self.member().members().map(status::Member::of).collect(),
             open_claims: self.open_claims(),
-            services: self.upstreams(now),
+            services: self.upstream_statuses(now),
             standing: self.standing(),
         }
     }
--- a/src/node/core/upstreams.rs
+++ b/src/node/core/upstreams.rs
@@ -90,8 +90,8 @@
             .filter(|found| found.home.as_ref() == Some(&self.me.id))
             .map(|found| found.announcement.upstream.clone())
             .collect();
-        let wanted: BTreeSet<&UpstreamId> = own.iter().collect();
-        self.probed_at.retain(|upstream, _| wanted.contains(upstream));
+        let current: BTreeSet<&UpstreamId> = own.iter().collect();
+        self.probed_at.retain(|upstream, _| current.contains(upstream));
         for upstream in own {
             let Some((service, path)) = self.probe_target(&upstream) else { continue };
             let Some(found) = self.registry.get(&upstream) else { continue };
@@ -117,8 +117,8 @@
     }
 
     fn probe_interval(&self, service: &ServiceId) -> std::time::Duration {
-        let found = self.rules.as_ref().and_then(|rules| rules.service(service));
-        found.map_or(rule::Probe::default().interval, |service| service.probe.interval)
+        let service = self.rules.as_ref().and_then(|rules| rules.service(service));
+        service.map_or(rule::Probe::default().interval, |service| service.probe.interval)
     }
 
     /// Adds an upstream that is ready to its service's health monitor, or removes it.
--- a/src/node/core/view.rs
+++ b/src/node/core/view.rs
@@ -31,7 +31,7 @@
     }
 
     /// Status of the upstreams, for operators.
-    pub fn upstreams(&self, now: Moment) -> BTreeMap<ServiceId, Vec<status::Upstream>> {
+    pub fn upstream_statuses(&self, now: Moment) -> BTreeMap<ServiceId, Vec<status::Upstream>> {
         let mut services: BTreeMap<ServiceId, Vec<status::Upstream>> = BTreeMap::new();
         for found in self.registry.view() {
             let announcement = &found.announcement;
@@ -48,7 +48,7 @@
     }
 
     /// Status of the replicated log, for operators; `None` on a process without one.
-    pub fn control(&self, now: Moment) -> Option<status::Control> {
+    pub fn control_status(&self, now: Moment) -> Option<status::Control> {
         if self.controller.is_none() && self.stop_reason.is_none() {
             return None;
         }
--- a/tests/suite/core_fleet/cluster.rs
+++ b/tests/suite/core_fleet/cluster.rs
@@ -161,10 +161,10 @@
         } else {
             (None, None)
         };
-        let kept = folder.held.clone();
+        let stored = folder.held.clone();
         let setup = Setup {
             controls: self.controls.clone(),
-            kept,
+            stored,
             me: self.record(id),
             controller,
             recorder: Recorder::open(None).unwrap(),
