--- a/tests/suite/core_fleet/upstream.rs
+++ b/tests/suite/core_fleet/upstream.rs
@@ -15,7 +15,7 @@
 // tells it, and when it is cut off from the upstreams too, where it must stop by itself.
 #[rstest]
 #[case::connected(false, false)]
-#[case::isolate(true, false)]
+#[case::isolated(true, false)]
 #[case::isolated_from_upstreams(true, true)]
 fn drain_upstream_no_new_requests(
     #[case] is_isolated: bool,
