--- a/src/node/core.rs
+++ b/src/node/core.rs
@@ -24,7 +24,7 @@
 use crate::clock::Epoch;
 use crate::clock::Moment;
 use crate::config;
-use crate::config::Holder;
+use crate::config::Replicator;
 use crate::config::Standing;
 use crate::config::Version;
 use crate::directory;
@@ -175,7 +175,7 @@
     forwarder: Forwarder,
     controls: Vec<NodeId>,
     is_view_stale: bool,
-    holder: Holder,
+    replicator: Replicator,
     has_published_members: bool,
     monitors: Monitors,
     is_leaving: bool,
@@ -200,8 +200,8 @@
         let mut random = ChaCha8Rng::seed_from_u64(setup.seed);
         let mut draw = || ChaCha8Rng::seed_from_u64(random.next_u64());
         let me = setup.me;
-        let holder =
-            Holder::new(now, me.id.clone(), config::Settings::default(), setup.stored, draw());
+        let replicator =
+            Replicator::new(now, me.id.clone(), config::Settings::default(), setup.stored, draw());
         let member = Member::new(now, me.clone(), setup.seeds, draw());
         let registry = Registry::new(now, me.id.clone(), draw());
         let monitors = Monitors::new(now, me.id.clone(), setup.recorder, draw());
@@ -211,7 +211,7 @@
             forwarder: Forwarder::default(),
             controls: setup.controls,
             is_view_stale: true,
-            holder,
+            replicator,
             has_published_members: false,
             monitors,
             is_leaving: false,
@@ -226,7 +226,7 @@
             view_version: 0,
             wall_clock: Epoch::ZERO,
         };
-        if let Some(version) = core.holder.current().cloned() {
+        if let Some(version) = core.replicator.current().cloned() {
             core.restore(now, &version);
         }
         core
@@ -286,7 +286,7 @@
 
     /// Latest time for the next [`Input::Tick`].
     pub fn next_at(&self) -> Moment {
-        let mut wake = self.holder.next_at();
+        let mut wake = self.replicator.next_at();
         if let Some(at) = self.agent.next_at() {
             wake = wake.min(at);
         }
@@ -298,12 +298,12 @@
 
     /// Configuration in force.
     pub fn version(&self) -> Option<&Version> {
-        self.holder.current()
+        self.replicator.current()
     }
 
     /// Whether this process may serve callers.
     pub fn standing(&self) -> Standing {
-        self.holder.standing()
+        self.replicator.standing()
     }
 
     /// Claims that control has not confirmed yet, without the one that stands for this start.
@@ -385,7 +385,7 @@
                 );
             }
             Frame::Verdict { ticket, verdict } => {
-                let done = self.forwarder.verdict(now, ticket, verdict);
+                let done = self.forwarder.handle_verdict(now, ticket, verdict);
                 self.handle_forwarder_outputs(now, done, outputs);
             }
         }
--- a/src/node/core/configuration.rs
+++ b/src/node/core/configuration.rs
@@ -75,13 +75,13 @@
         input: config::Input,
         outputs: &mut Vec<Output>,
     ) {
-        for output in self.holder.handle(now, input) {
+        for output in self.replicator.handle(now, input) {
             match output {
                 config::Output::Apply(version) => self.apply(now, version, outputs),
                 config::Output::Send { message, to } => {
                     self.send(now, to, Frame::Config(message), outputs);
                 }
-                config::Output::Stand(standing) => {
+                config::Output::StandingChanged(standing) => {
                     self.is_view_stale = true;
                     self.announce_own_state(now, outputs);
                     let event = self.new_event(Kind::Other("standing".into()));
--- a/src/node/core/membership.rs
+++ b/src/node/core/membership.rs
@@ -84,7 +84,7 @@
 
     /// Announces to the fleet whether this process serves callers.
     pub(super) fn announce_own_state(&mut self, now: Moment, outputs: &mut Vec<Output>) {
-        let state = match self.holder.standing() {
+        let state = match self.replicator.standing() {
             _ if self.is_leaving => fleet::State::Leaving,
             standing if standing.serves() && self.rules.is_some() => fleet::State::Serving,
             _ => fleet::State::Starting,
--- a/src/node/core/view.rs
+++ b/src/node/core/view.rs
@@ -23,10 +23,10 @@
         Some(View {
             entries: Arc::new(self.directory_entries()),
             is_leaving: self.is_leaving,
-            number: self.holder.current().map(|version| version.number),
+            number: self.replicator.current().map(|version| version.number),
             rules: self.rules.clone(),
             services: last.next_services(services, &mut self.view_version),
-            standing: self.holder.standing(),
+            standing: self.replicator.standing(),
         })
     }
 
--- a/src/node/snapshot.rs
+++ b/src/node/snapshot.rs
@@ -29,7 +29,7 @@
 /// Application state that results from the quorum log.
 #[derive(Debug)]
 pub(super) struct Snapshot {
-    pub(super) book: config::Book,
+    pub(super) book: config::Submissions,
     pub(super) catalog: catalog::Catalog,
     pub(super) ledger: claim::Ledger,
     pub(super) quotas: quota::Ledger,
@@ -46,12 +46,12 @@
 
 impl Snapshot {
     pub(super) fn encode(
-        book: &config::Book,
+        submissions: &config::Submissions,
         ledger: &claim::Ledger,
         catalog: &catalog::Catalog,
         quotas: &quota::Ledger,
     ) -> Option<Vec<u8>> {
-        let (book, ledger) = (book.encode().ok()?, ledger.encode().ok()?);
+        let (book, ledger) = (submissions.encode().ok()?, ledger.encode().ok()?);
         let header = Header { book, ledger, catalog: catalog.clone() };
         let mut bytes = postcard::to_stdvec(&header).ok()?;
         bytes.extend(postcard::to_stdvec(quotas).ok()?);
@@ -65,7 +65,7 @@
             rest => postcard::from_bytes(rest).ok()?,
         };
         Some(Self {
-            book: config::Book::decode(&header.book).ok()?,
+            book: config::Submissions::decode(&header.book).ok()?,
             catalog: header.catalog,
             ledger: claim::Ledger::decode(&header.ledger).ok()?,
             quotas,
