--- a/src/node/core.rs
+++ b/src/node/core.rs
@@ -344,7 +344,7 @@
         }
         self.step_member(now, fleet::Input::Tick, outputs);
         self.step_controller(now, controller::Input::Tick, outputs);
-        self.step_holder(now, config::Input::Tick, outputs);
+        self.step_replicator(now, config::Input::Tick, outputs);
         self.step_agent(now, claim::Input::Tick, outputs);
         self.tick_registry(now, outputs);
         self.probe_homed_upstreams(now, outputs);
@@ -357,7 +357,7 @@
         match frame {
             Frame::Claim(message) => self.receive_claim(now, from, message, outputs),
             Frame::Config(message) => {
-                self.step_holder(now, config::Input::Receive { from, message }, outputs);
+                self.step_replicator(now, config::Input::Receive { from, message }, outputs);
             }
             Frame::Order { ticket, order: Order::Quota(ask) } => {
                 self.step_controller(now, controller::Input::Quota(from, ticket, ask), outputs);
--- a/src/node/core/configuration.rs
+++ b/src/node/core/configuration.rs
@@ -31,7 +31,7 @@
                     let number = version.number;
                     let event = self.new_event(Kind::ConfigurationAccepted).configuration(number);
                     outputs.push(Output::Event(event));
-                    self.step_holder(now, config::Input::Committed(version), outputs);
+                    self.step_replicator(now, config::Input::Committed(version), outputs);
                 }
                 controller::Output::SnapshotInstalled | controller::Output::UpstreamChanged(_) => {
                     tracing::warn!(
@@ -40,7 +40,7 @@
                     );
                 }
                 controller::Output::Leadership(leads) => {
-                    self.step_holder(now, config::Input::Leads(leads), outputs);
+                    self.step_replicator(now, config::Input::Leads(leads), outputs);
                 }
                 controller::Output::Persist(number, records) => {
                     outputs.push(Output::Persist(number, records));
@@ -69,7 +69,7 @@
         self.step_controller(now, controller::Input::Change(ticket, change), outputs);
     }
 
-    pub(super) fn step_holder(
+    pub(super) fn step_replicator(
         &mut self,
         now: Moment,
         input: config::Input,
--- a/src/node/core/membership.rs
+++ b/src/node/core/membership.rs
@@ -46,7 +46,7 @@
         self.forwarder.set_controls(controls.clone());
         self.step_agent(now, claim::Input::Controls(controls.clone()), outputs);
         let peers = self.config_peers(&controls);
-        self.step_holder(now, config::Input::Peers(peers), outputs);
+        self.step_replicator(now, config::Input::Peers(peers), outputs);
         self.publish_entries(now, outputs);
     }
 
