--- a/src/boundary.rs
+++ b/src/boundary.rs
@@ -1,19 +1,19 @@
 //! How the world outside speaks to a process: which headers, paths and documents mean what.
 //!
 //! The product decides on typed calls, announcements and orders. What they look like on the
-//! wire is the business of one [`Boundary`]: [`Own`] is the product's own interface.
+//! wire is the business of one [`Boundary`]: [`Native`] is the product's own interface.
 
 mod answered;
 mod call;
+mod native;
 mod order;
-mod own;
 mod sending;
 
 pub use answered::Answered;
 pub use call::Call;
+pub use native::Native;
 pub use order::Done;
 pub use order::Order;
-pub use own::Own;
 pub use sending::Sending;
 
 use std::fmt::Debug;
--- a/src/boundary/own.rs
+++ b/src/boundary/native.rs
@@ -29,9 +29,9 @@
 
 /// The product's own interface: `x-` headers, rules in YAML, operators under `/v1`.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Own;
+pub struct Native;
 
-impl Boundary for Own {
+impl Boundary for Native {
     fn call(&self, request: &Request, peer: IpAddr) -> Call {
         let named = request.header(exchange::CALLER_HEADER);
         Call {
--- a/src/node/builder.rs
+++ b/src/node/builder.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use crate::boundary::Boundary;
-use crate::boundary::Own;
+use crate::boundary::Native;
 use crate::clock::Moment;
 use crate::config;
 use crate::feed::Room;
@@ -49,7 +49,7 @@
 /// Selects the external interface of the process.
 pub(super) fn select_boundary(settings: &Settings) -> Arc<dyn Boundary> {
     match settings.interface {
-        Interface::Own => Arc::new(Own),
+        Interface::Own => Arc::new(Native),
         Interface::Platform => Arc::new(Platform),
     }
 }
