--- a/src/boundary.rs
+++ b/src/boundary.rs
@@ -3,14 +3,14 @@
 //! The product decides on typed calls, announcements and orders. What they look like on the
 //! wire is the business of one [`Boundary`]: [`Native`] is the product's own interface.
 
-mod answered;
 mod call;
+mod classification;
 mod native;
 mod order;
 mod sending;
 
-pub use answered::Answered;
 pub use call::Call;
+pub use classification::Classification;
 pub use native::Native;
 pub use order::Done;
 pub use order::Order;
@@ -34,7 +34,7 @@
     fn address(&self, request: &mut Request, sending: &Sending<'_>);
 
     /// What an upstream's answer is worth, by its head.
-    fn judge(&self, service: Option<&rule::Service>, response: &Response) -> Answered;
+    fn classify(&self, service: Option<&rule::Service>, response: &Response) -> Classification;
 
     /// An answer of our own.
     fn refuse(&self, refusal: &Refusal) -> Response;
--- a/src/boundary/answered.rs
+++ b/src/boundary/classification.rs
@@ -2,7 +2,7 @@
 
 /// What an upstream's answer is worth, by its head.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Answered {
+pub enum Classification {
     /// A failure that is the upstream's own answer.
     Failed,
     /// Another process answers at the upstream's address, and has not run the request.
@@ -12,5 +12,5 @@
     /// The answer to pass on.
     Served,
     /// Not the upstream's own whole answer, and no proof that the request did not run.
-    Spoiled,
+    Untrusted,
 }
--- a/src/boundary/native.rs
+++ b/src/boundary/native.rs
@@ -5,9 +5,9 @@
 use compact_str::ToCompactString;
 use http::HeaderName;
 
-use super::Answered;
 use super::Boundary;
 use super::Call;
+use super::Classification;
 use super::Done;
 use super::Order;
 use super::Sending;
@@ -52,14 +52,14 @@
         }
     }
 
-    fn judge(&self, service: Option<&rule::Service>, response: &Response) -> Answered {
+    fn classify(&self, service: Option<&rule::Service>, response: &Response) -> Classification {
         let not_run = service.map(|service| &service.not_run).is_some_and(|refusal| {
             refusal.proves(response.status, response.header(refusal.header.as_str()))
         });
         match response.status {
-            _ if not_run => Answered::NotRun,
-            500.. => Answered::Failed,
-            _ => Answered::Served,
+            _ if not_run => Classification::NotRun,
+            500.. => Classification::Failed,
+            _ => Classification::Served,
         }
     }
 
--- a/src/node/traffic/attempt.rs
+++ b/src/node/traffic/attempt.rs
@@ -1,8 +1,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::boundary::Answered;
 use crate::boundary::Boundary;
+use crate::boundary::Classification;
 use crate::exchange::Answer;
 use crate::exchange::Failure;
 use crate::exchange::Request;
@@ -22,7 +22,7 @@
 /// A finished attempt and its reservation at the upstream.
 pub(super) struct Attempt<'a> {
     round_trip: RoundTrip,
-    /// Whether a different process answered at the upstream's address.
+    /// Whether a different process classification at the upstream's address.
     is_misdirected: bool,
     reservation: Reservation<'a>,
 }
@@ -55,7 +55,9 @@
     /// Whether the upstream sent an answer to pass on to the caller.
     pub(super) fn is_success(&self, boundary: &dyn Boundary) -> bool {
         let answer = self.round_trip.result.as_ref().ok();
-        answer.is_some_and(|answer| boundary.judge(None, &answer.response) == Answered::Served)
+        answer.is_some_and(|answer| {
+            boundary.classify(None, &answer.response) == Classification::Served
+        })
     }
 
     /// Whether any byte of the request may have reached the upstream.
@@ -69,7 +71,7 @@
 
     pub(super) fn reason(&self) -> String {
         match &self.round_trip.result {
-            Ok(answer) => format!("upstream answered `{}`", answer.response.status),
+            Ok(answer) => format!("upstream classification `{}`", answer.response.status),
             Err(failure) => failure.to_string(),
         }
     }
@@ -84,13 +86,17 @@
             Ok(answer) => answer,
             Err(failure) => return Some(outcome_of(failure)),
         };
-        let answered = boundary.judge(service, &answer.response);
-        self.is_misdirected = answered == Answered::Misdirected;
-        match answered {
-            Answered::Failed => Some(retry::Outcome::Failed { status: answer.response.status }),
-            Answered::Misdirected | Answered::NotRun => Some(retry::Outcome::RefusedNotRun),
-            Answered::Served => None,
-            Answered::Spoiled => Some(retry::Outcome::Cut),
+        let classification = boundary.classify(service, &answer.response);
+        self.is_misdirected = classification == Classification::Misdirected;
+        match classification {
+            Classification::Failed => {
+                Some(retry::Outcome::Failed { status: answer.response.status })
+            }
+            Classification::Misdirected | Classification::NotRun => {
+                Some(retry::Outcome::RefusedNotRun)
+            }
+            Classification::Served => None,
+            Classification::Untrusted => Some(retry::Outcome::Cut),
         }
     }
 
--- a/tests/suite/platform/answers.rs
+++ b/tests/suite/platform/answers.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use hemlockfield::boundary::Answered;
 use hemlockfield::boundary::Boundary;
+use hemlockfield::boundary::Classification;
 use hemlockfield::boundary::Done;
 use hemlockfield::exchange::Outcome;
 use hemlockfield::exchange::Refusal;
@@ -19,22 +19,22 @@
 // address answers without the digest, and a status that promises that nothing ran is believed
 // only where the upstream's header says so: the request would be sent, and run, twice.
 #[rstest]
-#[case::served(200, &[DIGEST], Answered::Served)]
-#[case::not_found_is_an_answer(404, &[DIGEST], Answered::Served)]
-#[case::failed(500, &[DIGEST], Answered::Failed)]
-#[case::no_digest(200, &[], Answered::Spoiled)]
-#[case::gateway_page(502, &[], Answered::Spoiled)]
-#[case::busy_unproven(503, &[DIGEST], Answered::Spoiled)]
-#[case::busy_proven(503, &[NOT_RUN], Answered::NotRun)]
-#[case::limit_unproven(429, &[DIGEST], Answered::Spoiled)]
-#[case::another_process(421, &[], Answered::Misdirected)]
-#[case::compressed_unasked(200, &[DIGEST, "content-encoding"], Answered::Spoiled)]
-fn judge(#[case] status: u16, #[case] headers: &[&'static str], #[case] meant: Answered) {
+#[case::served(200, &[DIGEST], Classification::Served)]
+#[case::not_found_is_an_answer(404, &[DIGEST], Classification::Served)]
+#[case::failed(500, &[DIGEST], Classification::Failed)]
+#[case::no_digest(200, &[], Classification::Untrusted)]
+#[case::gateway_page(502, &[], Classification::Untrusted)]
+#[case::busy_unproven(503, &[DIGEST], Classification::Untrusted)]
+#[case::busy_proven(503, &[NOT_RUN], Classification::NotRun)]
+#[case::limit_unproven(429, &[DIGEST], Classification::Untrusted)]
+#[case::another_process(421, &[], Classification::Misdirected)]
+#[case::compressed_unasked(200, &[DIGEST, "content-encoding"], Classification::Untrusted)]
+fn classify(#[case] status: u16, #[case] headers: &[&'static str], #[case] meant: Classification) {
     let mut response = Response::new(status);
     for name in headers {
         response.set_header(HeaderName::from_static(name), "1");
     }
-    assert_eq!(Platform.judge(None, &response), meant);
+    assert_eq!(Platform.classify(None, &response), meant);
 }
 
 // The operator of a caller reads the reason, and the caller when to come back, in fractions
