--- a/src/boundary.rs
+++ b/src/boundary.rs
@@ -6,14 +6,14 @@
 mod call;
 mod classification;
 mod native;
-mod order;
+mod operation;
 mod sending;
 
 pub use call::Call;
 pub use classification::Classification;
 pub use native::Native;
-pub use order::Done;
-pub use order::Order;
+pub use operation::Operation;
+pub use operation::Reply;
 pub use sending::Sending;
 
 use std::fmt::Debug;
@@ -51,8 +51,8 @@
     /// # Errors
     ///
     /// The refusal to answer with.
-    fn order(&self, request: &Request, body: &[u8]) -> Result<Order, Refusal>;
+    fn parse_operation(&self, request: &Request, body: &[u8]) -> Result<Operation, Refusal>;
 
     /// The answer to an order.
-    fn done(&self, done: Done) -> Response;
+    fn respond(&self, reply: Reply) -> Response;
 }
--- a/src/boundary/native.rs
+++ b/src/boundary/native.rs
@@ -8,8 +8,8 @@
 use super::Boundary;
 use super::Call;
 use super::Classification;
-use super::Done;
-use super::Order;
+use super::Operation;
+use super::Reply;
 use super::Sending;
 use crate::exchange;
 use crate::exchange::Outcome;
@@ -72,12 +72,12 @@
         Rules::parse(document).map_err(|error| error.to_string())
     }
 
-    fn order(&self, request: &Request, _: &[u8]) -> Result<Order, Refusal> {
+    fn parse_operation(&self, request: &Request, _: &[u8]) -> Result<Operation, Refusal> {
         let text = format!("`{}` is not served here", request.path());
         Err(Refusal::new(404, Outcome::NotRun, text))
     }
 
-    fn done(&self, _: Done) -> Response {
+    fn respond(&self, _: Reply) -> Response {
         Response::new(204)
     }
 }
--- a/src/boundary/order.rs
+++ b/src/boundary/operation.rs
@@ -12,28 +12,28 @@
 
 /// What somebody outside asks of a process, beside traffic.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
+pub enum Operation {
     /// An upstream says how it is.
     Announce(Box<catalog::Change>),
     /// A caller in a failure domain asks which entries to use.
-    List(DomainId),
+    ListEntries(DomainId),
     /// An upstream says that it is gone.
     Leave(UpstreamId),
     /// An operator asks for the newest configuration.
-    Read,
+    ReadConfiguration,
     /// Somebody asks whether this process takes traffic.
-    Ready,
+    CheckReadiness,
     /// An operator submits a configuration.
-    Submit(Version),
+    SubmitConfiguration(Version),
 }
 
 /// What came of an order.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Done {
+pub enum Reply {
     /// The announcement counts; later ones may go to the address, if there is one.
     Announced(Option<SocketAddr>),
     /// It could not be confirmed in time; ask again, perhaps elsewhere.
-    Busy(CompactString),
+    Unavailable(CompactString),
     /// The newest configuration; `None` where there is none yet.
     Configuration(Option<Version>),
     /// Entries to use, and for how long.
--- a/src/node/orders.rs
+++ b/src/node/orders.rs
@@ -16,8 +16,8 @@
 use super::Input;
 use super::InputSender;
 use super::traffic::Proxy;
-use crate::boundary::Done;
-use crate::boundary::Order;
+use crate::boundary::Operation;
+use crate::boundary::Reply;
 use crate::catalog::Action;
 use crate::directory;
 use crate::exchange::Outcome;
@@ -86,8 +86,8 @@
         Ok(_) => bytes::Bytes::new(),
         Err(failure) => return refuse(400, &failure.to_string(), writer, proxy).await,
     };
-    let response = match proxy.boundary.order(&request, &body) {
-        Ok(order) => proxy.boundary.done(carry_out(order, inbox, proxy).await),
+    let response = match proxy.boundary.parse_operation(&request, &body) {
+        Ok(order) => proxy.boundary.respond(carry_out(order, inbox, proxy).await),
         Err(refusal) => proxy.boundary.refuse(&refusal),
     };
     if let Err(error) = writer.send(response).await {
@@ -103,47 +103,49 @@
     }
 }
 
-async fn carry_out(order: Order, inbox: &InputSender, proxy: &Proxy) -> Done {
+async fn carry_out(order: Operation, inbox: &InputSender, proxy: &Proxy) -> Reply {
     match order {
-        Order::Announce(change) => announce(Action::Announce(*change), inbox).await,
-        Order::Leave(upstream) => announce(Action::Leave(upstream), inbox).await,
-        Order::List(domain) => list(&domain, proxy),
-        Order::Read => read(inbox).await,
-        Order::Ready => {
+        Operation::Announce(change) => announce(Action::Announce(*change), inbox).await,
+        Operation::Leave(upstream) => announce(Action::Leave(upstream), inbox).await,
+        Operation::ListEntries(domain) => list(&domain, proxy),
+        Operation::ReadConfiguration => read(inbox).await,
+        Operation::CheckReadiness => {
             let view = proxy.view.load();
-            Done::Readiness(view.serves() && !view.is_leaving)
+            Reply::Readiness(view.serves() && !view.is_leaving)
         }
-        Order::Submit(version) => submit(version, inbox).await,
+        Operation::SubmitConfiguration(version) => submit(version, inbox).await,
     }
 }
 
-async fn announce(action: Action, inbox: &InputSender) -> Done {
+async fn announce(action: Action, inbox: &InputSender) -> Reply {
     let (sender, receiver) = bounded(1);
     match ask(inbox, Input::Catalog(action, sender), &receiver).await {
-        Some(Ok(())) => Done::Announced(None),
-        Some(Err(reason)) => Done::Busy(reason.into()),
-        None => Done::Busy("control does not answer".into()),
+        Some(Ok(())) => Reply::Announced(None),
+        Some(Err(reason)) => Reply::Unavailable(reason.into()),
+        None => Reply::Unavailable("control does not answer".into()),
     }
 }
 
-fn list(domain: &str, proxy: &Proxy) -> Done {
+fn list(domain: &str, proxy: &Proxy) -> Reply {
     let view = proxy.view.load();
     let entries = directory::nearby(domain, &view.entries);
     if proxy.now() < feed::WARM_UP || entries.is_empty() {
-        return Done::Busy("no entries are known yet".into());
+        return Reply::Unavailable("no entries are known yet".into());
     }
-    Done::Entries(entries, proxy.settings.directory.lifetime)
+    Reply::Entries(entries, proxy.settings.directory.lifetime)
 }
 
-async fn read(inbox: &InputSender) -> Done {
+async fn read(inbox: &InputSender) -> Reply {
     let (sender, receiver) = bounded(1);
     match ask(inbox, Input::ReadConfiguration(sender), &receiver).await {
-        Some(Some(version)) => Done::Configuration(version),
-        Some(None) | None => Done::Busy("which configuration is the newest is not sure".into()),
+        Some(Some(version)) => Reply::Configuration(version),
+        Some(None) | None => {
+            Reply::Unavailable("which configuration is the newest is not sure".into())
+        }
     }
 }
 
-async fn submit(version: crate::config::Version, inbox: &InputSender) -> Done {
+async fn submit(version: crate::config::Version, inbox: &InputSender) -> Reply {
     let (sender, receiver) = bounded(1);
     match ask(inbox, Input::Submit(version, sender), &receiver).await {
         // A version that is not higher than the one in force is superseded, which is no error.
@@ -152,8 +154,8 @@
             | Verdict::AlreadyAccepted(_)
             | Verdict::Refused { .. }
             | Verdict::Reused(_),
-        ) => Done::Submitted,
-        Some(_) | None => Done::Busy("the log could not take it in time".into()),
+        ) => Reply::Submitted,
+        Some(_) | None => Reply::Unavailable("the log could not take it in time".into()),
     }
 }
 
--- a/tests/suite/platform.rs
+++ b/tests/suite/platform.rs
@@ -1,6 +1,6 @@
 //! The platform's interface, both ways.
 
-mod answers;
-mod calls;
 mod configuration;
-mod orders;
+mod operations;
+mod requests;
+mod responses;
--- a/tests/suite/platform/configuration.rs
+++ b/tests/suite/platform/configuration.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use hemlockfield::boundary::Boundary;
-use hemlockfield::boundary::Order;
+use hemlockfield::boundary::Operation;
 use hemlockfield::exchange::Request;
 use hemlockfield::platform::Platform;
 use hemlockfield::rule::Action;
@@ -30,9 +30,9 @@
     DOCUMENT.replace("\"later\": true,", &format!("\"tenants\": [{teams}],"))
 }
 
-fn submit(document: &str) -> Result<Order, u16> {
+fn submit(document: &str) -> Result<Operation, u16> {
     let request = Request::new(Method::PUT, "/hemlockfield/config");
-    Platform.order(&request, document.as_bytes()).map_err(|refusal| refusal.status)
+    Platform.parse_operation(&request, document.as_bytes()).map_err(|refusal| refusal.status)
 }
 
 fn rules(document: &str) -> Rules {
@@ -72,7 +72,9 @@
 
 #[test]
 fn order_version() {
-    let Ok(Order::Submit(version)) = submit(DOCUMENT) else { panic!("not accepted") };
+    let Ok(Operation::SubmitConfiguration(version)) = submit(DOCUMENT) else {
+        panic!("not accepted")
+    };
     assert_eq!(version.number, 0x1f);
     assert_eq!(&*version.document, DOCUMENT);
 }
@@ -82,7 +84,8 @@
 #[test]
 fn order_same_number() {
     let other = DOCUMENT.replace("\"timeoutS\": 3", "\"timeoutS\": 4");
-    let (Ok(Order::Submit(one)), Ok(Order::Submit(two))) = (submit(DOCUMENT), submit(&other))
+    let (Ok(Operation::SubmitConfiguration(one)), Ok(Operation::SubmitConfiguration(two))) =
+        (submit(DOCUMENT), submit(&other))
     else {
         panic!("not accepted");
     };
--- a/tests/suite/platform/orders.rs
+++ b/tests/suite/platform/operations.rs
@@ -1,7 +1,7 @@
 //! What upstreams, operators and callers ask of a process.
 
 use hemlockfield::boundary::Boundary;
-use hemlockfield::boundary::Order;
+use hemlockfield::boundary::Operation;
 use hemlockfield::exchange::Request;
 use hemlockfield::platform::Platform;
 use hemlockfield::registry::State;
@@ -11,16 +11,17 @@
 const ANNOUNCED: &str = r#"{"address": "10.1.0.9:8080", "born": 1760000000123, "coldRemainingS": 1.5, "sequence": 7,
     "service": "hull-register", "slots": 4, "state": "ready", "zone": "north", "later": [1]}"#;
 
-fn order(method: Method, target: &str, body: &str) -> Result<Order, u16> {
+fn parse(method: Method, target: &str, body: &str) -> Result<Operation, u16> {
     let request = Request::new(method, target);
-    Platform.order(&request, body.as_bytes()).map_err(|refusal| refusal.status)
+    Platform.parse_operation(&request, body.as_bytes()).map_err(|refusal| refusal.status)
 }
 
 // An upstream announces itself, with a field that is new to us: it is taken, and the field
 // left alone.
 #[test]
 fn order_announcement() {
-    let Ok(Order::Announce(change)) = order(Method::PUT, "/hemlockfield/instances/i-7", ANNOUNCED)
+    let Ok(Operation::Announce(change)) =
+        parse(Method::PUT, "/hemlockfield/instances/i-7", ANNOUNCED)
     else {
         panic!("no announcement");
     };
@@ -47,7 +48,7 @@
 #[case::born_is_text(&ANNOUNCED.replace("1760000000123", "\"soon\""))]
 #[case::deep(&"[".repeat(100_000))]
 fn order_announcement_wrong(#[case] body: &str) {
-    assert_eq!(order(Method::PUT, "/hemlockfield/instances/i-7", body), Err(400));
+    assert_eq!(parse(Method::PUT, "/hemlockfield/instances/i-7", body), Err(400));
 }
 
 // A wrong time must not keep an upstream idle for good, or stop the process.
@@ -56,19 +57,19 @@
 #[case::huge("1e300")]
 fn order_cold_time_wrong(#[case] time: &str) {
     let body = ANNOUNCED.replace("1.5", time);
-    let order = order(Method::PUT, "/hemlockfield/instances/i-7", &body);
-    let Ok(Order::Announce(change)) = order else { panic!("{order:?}") };
+    let order = parse(Method::PUT, "/hemlockfield/instances/i-7", &body);
+    let Ok(Operation::Announce(change)) = order else { panic!("{order:?}") };
     assert!(change.announcement.warm_up.as_secs() <= 600);
 }
 
 #[rstest]
-#[case::leave(Method::DELETE, "/hemlockfield/instances/i-7", Order::Leave("i-7".into()))]
-#[case::read(Method::GET, "/hemlockfield/config", Order::Read)]
-#[case::ready(Method::GET, "/hemlockfield/readiness", Order::Ready)]
-#[case::list(Method::GET, "/hemlockfield/resolve?zone=north", Order::List("north".into()))]
-#[case::list_without_zone(Method::GET, "/hemlockfield/resolve", Order::List("".into()))]
-fn order_read(#[case] method: Method, #[case] target: &str, #[case] meant: Order) {
-    assert_eq!(order(method, target, ""), Ok(meant));
+#[case::leave(Method::DELETE, "/hemlockfield/instances/i-7", Operation::Leave("i-7".into()))]
+#[case::read(Method::GET, "/hemlockfield/config", Operation::ReadConfiguration)]
+#[case::ready(Method::GET, "/hemlockfield/readiness", Operation::CheckReadiness)]
+#[case::list(Method::GET, "/hemlockfield/resolve?zone=north", Operation::ListEntries("north".into()))]
+#[case::list_without_zone(Method::GET, "/hemlockfield/resolve", Operation::ListEntries("".into()))]
+fn order_read(#[case] method: Method, #[case] target: &str, #[case] meant: Operation) {
+    assert_eq!(parse(method, target, ""), Ok(meant));
 }
 
 #[rstest]
@@ -76,5 +77,5 @@
 #[case::method(Method::POST, "/hemlockfield/config")]
 #[case::no_id(Method::PUT, "/hemlockfield/instances/")]
 fn order_unknown(#[case] method: Method, #[case] target: &str) {
-    assert_eq!(order(method, target, ANNOUNCED), Err(404));
+    assert_eq!(parse(method, target, ANNOUNCED), Err(404));
 }
--- a/tests/suite/platform/answers.rs
+++ b/tests/suite/platform/responses.rs
@@ -4,7 +4,7 @@
 
 use hemlockfield::boundary::Boundary;
 use hemlockfield::boundary::Classification;
-use hemlockfield::boundary::Done;
+use hemlockfield::boundary::Reply;
 use hemlockfield::exchange::Outcome;
 use hemlockfield::exchange::Refusal;
 use hemlockfield::exchange::Response;
@@ -59,7 +59,7 @@
 #[test]
 fn done_entries() {
     let entries = vec!["10.0.0.1:80".parse().unwrap(), "10.0.0.2:80".parse().unwrap()];
-    let mut response = Platform.done(Done::Entries(entries, Duration::from_millis(2500)));
+    let mut response = Platform.respond(Reply::Entries(entries, Duration::from_millis(2500)));
     let text = async_std::task::block_on(response.body_text()).unwrap();
     let list: serde_json::Value = serde_json::from_str(&text).unwrap();
     assert_eq!(list["addresses"], serde_json::json!(["10.0.0.1:80", "10.0.0.2:80"]));
@@ -69,7 +69,7 @@
 // A process without a configuration says so with a time to ask again, not with an empty one.
 #[test]
 fn done_no_configuration() {
-    let response = Platform.done(Done::Configuration(None));
+    let response = Platform.respond(Reply::Configuration(None));
     assert_eq!(response.status, 503);
     assert!(response.header("retry-after").is_some());
 }
