--- a/src/boundary.rs
+++ b/src/boundary.rs
@@ -3,14 +3,14 @@
 //! The product decides on typed calls, announcements and orders. What they look like on the
 //! wire is the business of one [`Boundary`]: [`Native`] is the product's own interface.
 
-mod call;
 mod classification;
+mod metadata;
 mod native;
 mod operation;
 mod sending;
 
-pub use call::Call;
 pub use classification::Classification;
+pub use metadata::Metadata;
 pub use native::Native;
 pub use operation::Operation;
 pub use operation::Reply;
@@ -28,7 +28,7 @@
 /// One way to speak to callers, upstreams and operators.
 pub trait Boundary: Debug + Send + Sync {
     /// What a caller's request says about itself, beside host, method and path.
-    fn call(&self, request: &Request, peer: IpAddr) -> Call;
+    fn read_metadata(&self, request: &Request, peer: IpAddr) -> Metadata;
 
     /// Puts on a request what an upstream needs to know.
     fn address(&self, request: &mut Request, sending: &Sending<'_>);
--- a/src/boundary/call.rs
+++ b/src/boundary/metadata.rs
@@ -8,7 +8,7 @@
 
 /// What a caller's request says about itself, beside host, method and path.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Call {
+pub struct Metadata {
     /// How long the caller is prepared to wait, where it says so.
     pub budget: Option<Duration>,
     /// Who asks.
--- a/src/boundary/native.rs
+++ b/src/boundary/native.rs
@@ -6,8 +6,8 @@
 use http::HeaderName;
 
 use super::Boundary;
-use super::Call;
 use super::Classification;
+use super::Metadata;
 use super::Operation;
 use super::Reply;
 use super::Sending;
@@ -32,9 +32,9 @@
 pub struct Native;
 
 impl Boundary for Native {
-    fn call(&self, request: &Request, peer: IpAddr) -> Call {
+    fn read_metadata(&self, request: &Request, peer: IpAddr) -> Metadata {
         let named = request.header(exchange::CALLER_HEADER);
-        Call {
+        Metadata {
             budget: exchange::request_timeout(request),
             caller: named.map_or_else(|| peer.to_compact_string(), Into::into),
             id: None,
--- a/src/node/traffic/serve.rs
+++ b/src/node/traffic/serve.rs
@@ -10,7 +10,7 @@
 use rand::Rng;
 
 use crate::admission::Startup;
-use crate::boundary::Call;
+use crate::boundary::Metadata;
 use crate::clock::Moment;
 use crate::exchange;
 use crate::exchange::Outcome;
@@ -95,7 +95,7 @@
     if proxy.view.load().serves() {
         return true;
     }
-    let budget = proxy.boundary.call(request, peer.ip()).budget.unwrap_or(DEFAULT_BUDGET);
+    let budget = proxy.boundary.read_metadata(request, peer.ip()).budget.unwrap_or(DEFAULT_BUDGET);
     let longest = Startup::max_wait(proxy.now(), budget);
     let ready = proxy.wait_until_ready(longest).fuse();
     let gone = caller_gone(!request.body.is_empty(), writer).fuse();
@@ -131,7 +131,7 @@
 
 /// Result of routing a request by the rules.
 struct Routing {
-    call: Call,
+    metadata: Metadata,
     verified_team: Option<TeamId>,
     rule: RuleId,
     service: ServiceId,
@@ -143,7 +143,7 @@
     /// The caller's time budget, capped by the rule's deadline.
     fn budget(&self) -> Duration {
         let max = self.terms.deadline;
-        self.call.budget.map_or(max, |budget| budget.min(max))
+        self.metadata.budget.map_or(max, |budget| budget.min(max))
     }
 }
 
@@ -156,7 +156,7 @@
 ) -> Result<Job, Refusal> {
     let routing = route(proxy, view, &request, peer);
     if let Err(refusal) = &routing {
-        let id = proxy.boundary.call(&request, peer.ip()).id;
+        let id = proxy.boundary.read_metadata(&request, peer.ip()).id;
         let path = request.path();
         let number = view.number;
         let Refusal { reason, status, .. } = refusal;
@@ -165,7 +165,7 @@
     let routing = routing?;
     let charge = charge_team(proxy, view, &routing).await;
     if let Err(Refusal { reason, status, .. }) = &charge {
-        let (id, number) = (routing.call.id.as_deref(), view.number);
+        let (id, number) = (routing.metadata.id.as_deref(), view.number);
         let rule = &routing.rule;
         tracing::info!(target: "hemlockfield::request", id, number, %rule, status, "{reason}");
     }
@@ -201,10 +201,10 @@
         let text = "this entry has no configuration yet; use another";
         return Err(Refusal::not_run(503, text, STARTUP_RETRY_AFTER));
     };
-    let call = proxy.boundary.call(request, peer.ip());
-    let requester = rules.teams().identify(call.key.as_ref());
+    let metadata = proxy.boundary.read_metadata(request, peer.ip());
+    let requester = rules.teams().identify(metadata.key.as_ref());
     let rule_request = rule::Request {
-        caller: &call.caller,
+        caller: &metadata.caller,
         headers: &Headers(request),
         host: &request.host(),
         method: request.method.as_str(),
@@ -228,13 +228,13 @@
         return Err(refusal);
     }
     let service = split.choose(rand::rng().random_range(0.0..1.0)).clone();
-    let team = requester.team().or_else(|| rules.teams().of_caller(&call.caller));
+    let team = requester.team().or_else(|| rules.teams().of_caller(&metadata.caller));
     if let Some(class) = team.and_then(|team| team.class.clone()) {
         terms.class = class;
     }
     let verified_team = requester.team().map(|team| team.name.clone());
     let team = team.cloned();
-    Ok(Routing { call, verified_team, rule: decided.name.clone(), service, team, terms })
+    Ok(Routing { metadata, verified_team, rule: decided.name.clone(), service, team, terms })
 }
 
 /// Why a request violates its rule's terms, if it does.
@@ -259,7 +259,7 @@
     received_at: Moment,
 ) -> Result<Job, Refusal> {
     let deadline = received_at + routing.budget();
-    let Routing { call, verified_team, rule, service, team, terms } = routing;
+    let Routing { metadata, verified_team, rule, service, team, terms } = routing;
     let key = terms.key.as_ref().and_then(|header| request.header(header.as_str()));
     let key = key.map(Into::into);
     let limits = &proxy.settings.limits;
@@ -269,10 +269,10 @@
     clean_request(&mut request);
     let (ticket, generated_id) = proxy.next_request();
     Ok(Job {
-        caller: call.caller,
+        caller: metadata.caller,
         deadline,
         headers: request.headers,
-        id: call.id.unwrap_or(generated_id),
+        id: metadata.id.unwrap_or(generated_id),
         key,
         method: request.method,
         charge: None,
--- a/tests/suite/platform/requests.rs
+++ b/tests/suite/platform/requests.rs
@@ -33,7 +33,7 @@
 #[case::one(&[(KEY, "k1")], Some("k1"))]
 #[case::two(&[(KEY, "k1"), (KEY, "k2")], Some("k1,k2"))]
 fn call_key(#[case] headers: &[(HeaderName, &'static str)], #[case] key: Option<&str>) {
-    assert_eq!(Platform.call(&request(headers), PEER).key, key.map(Secret::new));
+    assert_eq!(Platform.read_metadata(&request(headers), PEER).key, key.map(Secret::new));
 }
 
 // The upstream is told the team that the key proved, and never the key; what the caller says of
