--- a/src/boundary.rs
+++ b/src/boundary.rs
@@ -3,18 +3,18 @@
 //! The product decides on typed calls, announcements and orders. What they look like on the
 //! wire is the business of one [`Boundary`]: [`Native`] is the product's own interface.
 
+mod attempt_context;
 mod classification;
 mod metadata;
 mod native;
 mod operation;
-mod sending;
 
+pub use attempt_context::AttemptContext;
 pub use classification::Classification;
 pub use metadata::Metadata;
 pub use native::Native;
 pub use operation::Operation;
 pub use operation::Reply;
-pub use sending::Sending;
 
 use std::fmt::Debug;
 use std::net::IpAddr;
@@ -31,7 +31,7 @@
     fn read_metadata(&self, request: &Request, peer: IpAddr) -> Metadata;
 
     /// Puts on a request what an upstream needs to know.
-    fn address(&self, request: &mut Request, sending: &Sending<'_>);
+    fn prepare(&self, request: &mut Request, context: &AttemptContext<'_>);
 
     /// What an upstream's answer is worth, by its head.
     fn classify(&self, service: Option<&rule::Service>, response: &Response) -> Classification;
--- a/src/boundary/native.rs
+++ b/src/boundary/native.rs
@@ -5,12 +5,12 @@
 use compact_str::ToCompactString;
 use http::HeaderName;
 
+use super::AttemptContext;
 use super::Boundary;
 use super::Classification;
 use super::Metadata;
 use super::Operation;
 use super::Reply;
-use super::Sending;
 use crate::exchange;
 use crate::exchange::Outcome;
 use crate::exchange::Refusal;
@@ -42,12 +42,12 @@
         }
     }
 
-    fn address(&self, request: &mut Request, sending: &Sending<'_>) {
-        request.set_header(REQUEST_HEADER, sending.id);
-        request.set_header(TIMEOUT_HEADER, sending.left.as_millis().to_string());
+    fn prepare(&self, request: &mut Request, context: &AttemptContext<'_>) {
+        request.set_header(REQUEST_HEADER, context.id);
+        request.set_header(TIMEOUT_HEADER, context.remaining.as_millis().to_string());
         request.headers.remove(KEY_HEADER);
         request.headers.remove(TEAM_HEADER);
-        if let Some(team) = sending.team {
+        if let Some(team) = context.team {
             request.set_header(TEAM_HEADER, team);
         }
     }
--- a/src/node/traffic/job.rs
+++ b/src/node/traffic/job.rs
@@ -6,8 +6,8 @@
 use http::Method;
 use xxhash_rust::xxh3::Xxh3;
 
+use crate::boundary::AttemptContext;
 use crate::boundary::Boundary;
-use crate::boundary::Sending;
 use crate::clock::Moment;
 use crate::exchange::Payload;
 use crate::exchange::Request;
@@ -70,7 +70,10 @@
         request.headers = self.headers.clone();
         let left = self.left(now);
         let team = self.verified_team.as_deref();
-        boundary.address(&mut request, &Sending { id: &self.id, left, team, upstream });
+        boundary.prepare(
+            &mut request,
+            &AttemptContext { id: &self.id, remaining: left, team, upstream },
+        );
         self.payload.put(&mut request);
         request
     }
--- a/tests/suite/platform/requests.rs
+++ b/tests/suite/platform/requests.rs
@@ -4,8 +4,8 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
+use hemlockfield::boundary::AttemptContext;
 use hemlockfield::boundary::Boundary;
-use hemlockfield::boundary::Sending;
 use hemlockfield::exchange::Request;
 use hemlockfield::platform::Platform;
 use hemlockfield::team::Secret;
@@ -43,8 +43,8 @@
 #[case::not_proved(None)]
 fn address_team(#[case] team: Option<&str>) {
     let mut request = request(&[(KEY, "k1"), (KEY, "k2"), (TEAM, "yard"), (TEAM, "dock")]);
-    let left = Duration::from_secs(1);
-    Platform.address(&mut request, &Sending { id: "r1", left, team, upstream: "i-1" });
+    let remaining = Duration::from_secs(1);
+    Platform.prepare(&mut request, &AttemptContext { id: "r1", remaining, team, upstream: "i-1" });
     assert!(!request.headers.contains_key(KEY));
     let told: Vec<&str> =
         request.headers.get_all(TEAM).iter().map(|value| value.to_str().unwrap()).collect();
