--- a/src/node/traffic/attempt.rs
+++ b/src/node/traffic/attempt.rs
@@ -22,7 +22,7 @@
 /// A finished attempt and its reservation at the upstream.
 pub(super) struct Attempt<'a> {
     round_trip: RoundTrip,
-    /// Whether a different process classification at the upstream's address.
+    /// Whether a different process answered at the upstream's address.
     is_misdirected: bool,
     reservation: Reservation<'a>,
 }
@@ -71,7 +71,7 @@
 
     pub(super) fn reason(&self) -> String {
         match &self.round_trip.result {
-            Ok(answer) => format!("upstream classification `{}`", answer.response.status),
+            Ok(answer) => format!("upstream answered `{}`", answer.response.status),
             Err(failure) => failure.to_string(),
         }
     }
