--- a/src/boundary.rs
+++ b/src/boundary.rs
@@ -44,7 +44,7 @@
     /// # Errors
     ///
     /// Says what is wrong with it.
-    fn rules(&self, document: &str) -> Result<Rules, String>;
+    fn compile_rules(&self, document: &str) -> Result<Rules, String>;
 
     /// What a request to a control or to an entry's side doors asks for.
     ///
--- a/src/boundary/native.rs
+++ b/src/boundary/native.rs
@@ -68,7 +68,7 @@
         exchange::refuse(*status, *outcome, reason, *retry_after)
     }
 
-    fn rules(&self, document: &str) -> Result<Rules, String> {
+    fn compile_rules(&self, document: &str) -> Result<Rules, String> {
         Rules::parse(document).map_err(|error| error.to_string())
     }
 
--- a/src/node/feed_core/entry_role.rs
+++ b/src/node/feed_core/entry_role.rs
@@ -274,7 +274,7 @@
         if self.version.as_ref().is_some_and(|current| current.number >= version.number) {
             return;
         }
-        let rules = match self.boundary.rules(&version.document) {
+        let rules = match self.boundary.compile_rules(&version.document) {
             Ok(rules) => Arc::new(rules),
             Err(error) => {
                 let number = version.number;
--- a/tests/suite/platform/configuration.rs
+++ b/tests/suite/platform/configuration.rs
@@ -36,7 +36,7 @@
 }
 
 fn rules(document: &str) -> Rules {
-    Platform.rules(document).expect("a sound configuration")
+    Platform.compile_rules(document).expect("a sound configuration")
 }
 
 // The longest prefix decides on the platform and the first rule here: the order must follow
