--- a/src/node/orders.rs
+++ b/src/node/orders.rs
@@ -1,5 +1,6 @@
-//! Side doors: announcements, operators, lists of entries and readiness, as the boundary
-//! reads them.
+//! Listeners for orders: announcements, configurations, lists of entries and readiness checks.
+//!
+//! The boundary defines what they look like on the wire.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,8 +16,8 @@
 use super::Input;
 use super::InputSender;
 use super::traffic::Proxy;
-use crate::boundary::Done;
-use crate::boundary::Order;
+use crate::boundary::Operation;
+use crate::boundary::Reply;
 use crate::catalog::Action;
 use crate::directory;
 use crate::exchange::Outcome;
@@ -29,34 +30,39 @@
 use crate::runtime;
 use crate::wire::Verdict;
 
-/// Longest order, in bytes: a configuration many times that of the size planned for.
-const ORDER_MAX: u64 = 16 << 20;
-/// Longest pause in an order, and longest that a connection lies idle.
-const IDLE: Duration = Duration::from_secs(20);
-/// Longest that control is waited for: those who ask give up sooner.
-const PATIENCE: Duration = Duration::from_millis(2500);
-/// Pause after a failed accept.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Largest body of an order, in bytes: many times the planned size of a configuration.
+const BODY_BYTES_MAX: u64 = 16 << 20;
+/// Longest pause within a request, and longest time for which a connection stays idle.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Longest wait for an answer of the control thread; clients give up sooner.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Backoff after a failed accept.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Serves one door.
+/// Serves the orders that arrive at `listener`.
 pub(super) async fn serve(listener: TcpListener, inbox: InputSender, proxy: Arc<Proxy>) {
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
-                runtime::spawn(connection(stream, peer, inbox.clone(), Arc::clone(&proxy)));
+                runtime::spawn(serve_connection(stream, peer, inbox.clone(), Arc::clone(&proxy)));
             }
             Err(error) => {
                 tracing::warn!(target: "hemlockfield::node", "can't accept: {error}");
-                task::sleep(PAUSE).await;
+                task::sleep(ACCEPT_BACKOFF).await;
             }
         }
     }
 }
 
-async fn connection(stream: TcpStream, peer: SocketAddr, inbox: InputSender, proxy: Arc<Proxy>) {
+async fn serve_connection(
+    stream: TcpStream,
+    peer: SocketAddr,
+    inbox: InputSender,
+    proxy: Arc<Proxy>,
+) {
     let mut reader = RequestReader::new(stream, peer);
-    while let Some((request, mut writer)) = reader.next(IDLE).await {
-        order(request, &mut writer, &inbox, &proxy).await;
+    while let Some((request, mut writer)) = reader.next(IDLE_TIMEOUT).await {
+        serve_order(request, &mut writer, &inbox, &proxy).await;
         if writer.is_closing() {
             reader.linger().await;
             return;
@@ -64,13 +70,14 @@
     }
 }
 
-async fn order(
+async fn serve_order(
     mut request: Request,
     writer: &mut ResponseWriter,
     inbox: &InputSender,
     proxy: &Proxy,
 ) {
-    let body = match Payload::take(&mut request, ORDER_MAX, ORDER_MAX, IDLE).await {
+    let body = match Payload::take(&mut request, BODY_BYTES_MAX, BODY_BYTES_MAX, IDLE_TIMEOUT).await
+    {
         Ok(Payload::Buffered(body)) => body,
         Ok(Payload::Stream(Some(mut body_reader), _)) => match body_reader.read_all().await {
             Ok(body) => body,
@@ -79,12 +86,12 @@
         Ok(_) => bytes::Bytes::new(),
         Err(failure) => return refuse(400, &failure.to_string(), writer, proxy).await,
     };
-    let response = match proxy.boundary.order(&request, &body) {
-        Ok(order) => proxy.boundary.done(carry_out(order, inbox, proxy).await),
+    let response = match proxy.boundary.parse_operation(&request, &body) {
+        Ok(order) => proxy.boundary.respond(carry_out(order, inbox, proxy).await),
         Err(refusal) => proxy.boundary.refuse(&refusal),
     };
     if let Err(error) = writer.send(response).await {
-        tracing::debug!(target: "hemlockfield::node", "who asked is gone: {error}");
+        tracing::debug!(target: "hemlockfield::node", "client is gone: {error}");
     }
 }
 
@@ -92,67 +99,69 @@
     writer.close_after();
     let refusal = Refusal::new(status, Outcome::NotRun, reason);
     if let Err(error) = writer.send(proxy.boundary.refuse(&refusal)).await {
-        tracing::debug!(target: "hemlockfield::node", "who asked is gone: {error}");
+        tracing::debug!(target: "hemlockfield::node", "client is gone: {error}");
     }
 }
 
-async fn carry_out(order: Order, inbox: &InputSender, proxy: &Proxy) -> Done {
+async fn carry_out(order: Operation, inbox: &InputSender, proxy: &Proxy) -> Reply {
     match order {
-        Order::Announce(change) => announce(Action::Announce(*change), inbox).await,
-        Order::Leave(upstream) => announce(Action::Leave(upstream), inbox).await,
-        Order::List(domain) => list(&domain, proxy),
-        Order::Read => read(inbox).await,
-        Order::Ready => {
+        Operation::Announce(change) => announce(Action::Announce(*change), inbox).await,
+        Operation::Leave(upstream) => announce(Action::Leave(upstream), inbox).await,
+        Operation::ListEntries(domain) => list(&domain, proxy),
+        Operation::ReadConfiguration => read(inbox).await,
+        Operation::CheckReadiness => {
             let view = proxy.view.load();
-            Done::Readiness(view.serves() && !view.is_leaving)
+            Reply::Readiness(view.serves() && !view.is_leaving)
         }
-        Order::Submit(version) => submit(version, inbox).await,
+        Operation::SubmitConfiguration(version) => submit(version, inbox).await,
     }
 }
 
-async fn announce(action: Action, inbox: &InputSender) -> Done {
+async fn announce(action: Action, inbox: &InputSender) -> Reply {
     let (sender, receiver) = bounded(1);
     match ask(inbox, Input::Catalog(action, sender), &receiver).await {
-        Some(Ok(())) => Done::Announced(None),
-        Some(Err(reason)) => Done::Busy(reason.into()),
-        None => Done::Busy("control does not answer".into()),
+        Some(Ok(())) => Reply::Announced(None),
+        Some(Err(reason)) => Reply::Unavailable(reason.into()),
+        None => Reply::Unavailable("control does not answer".into()),
     }
 }
 
-fn list(domain: &str, proxy: &Proxy) -> Done {
+fn list(domain: &str, proxy: &Proxy) -> Reply {
     let view = proxy.view.load();
     let entries = directory::nearby(domain, &view.entries);
     if proxy.now() < feed::WARM_UP || entries.is_empty() {
-        return Done::Busy("no entries are known yet".into());
+        return Reply::Unavailable("no entries are known yet".into());
     }
-    Done::Entries(entries, proxy.settings.directory.lifetime)
+    Reply::Entries(entries, proxy.settings.directory.lifetime)
 }
 
-async fn read(inbox: &InputSender) -> Done {
+async fn read(inbox: &InputSender) -> Reply {
     let (sender, receiver) = bounded(1);
     match ask(inbox, Input::ReadConfiguration(sender), &receiver).await {
-        Some(Some(version)) => Done::Configuration(version),
-        Some(None) | None => Done::Busy("which configuration is the newest is not sure".into()),
+        Some(Some(version)) => Reply::Configuration(version),
+        Some(None) | None => {
+            Reply::Unavailable("which configuration is the newest is not sure".into())
+        }
     }
 }
 
-async fn submit(version: crate::config::Version, inbox: &InputSender) -> Done {
+async fn submit(version: crate::config::Version, inbox: &InputSender) -> Reply {
     let (sender, receiver) = bounded(1);
     match ask(inbox, Input::Submit(version, sender), &receiver).await {
-        // One that is not higher than what is in force is overtaken, which is no error.
+        // A version that is not higher than the one in force is superseded, which is no error.
         Some(
             Verdict::Accepted(_)
             | Verdict::AlreadyAccepted(_)
             | Verdict::Refused { .. }
             | Verdict::Reused(_),
-        ) => Done::Submitted,
-        Some(_) | None => Done::Busy("the log could not take it in time".into()),
+        ) => Reply::Submitted,
+        Some(_) | None => Reply::Unavailable("the log could not take it in time".into()),
     }
 }
 
-async fn ask<T>(inbox: &InputSender, input: Input, answer: &Receiver<T>) -> Option<T> {
+async fn ask<T>(inbox: &InputSender, input: Input, receiver: &Receiver<T>) -> Option<T> {
     if !inbox.send(input).await {
         return None;
     }
-    timeout(PATIENCE, answer.recv()).await.ok()?.ok()
+    timeout(ANSWER_TIMEOUT, receiver.recv()).await.ok()?.ok()
 }
