--- a/src/node/builder.rs
+++ b/src/node/builder.rs
@@ -49,7 +49,7 @@
 /// Selects the external interface of the process.
 pub(super) fn select_boundary(settings: &Settings) -> Arc<dyn Boundary> {
     match settings.interface {
-        Interface::Own => Arc::new(Native),
+        Interface::Native => Arc::new(Native),
         Interface::Platform => Arc::new(Platform),
     }
 }
--- a/src/settings/interface.rs
+++ b/src/settings/interface.rs
@@ -5,7 +5,7 @@
 pub enum Interface {
     /// The interface that hemlockfield defines itself.
     #[default]
-    Own,
+    Native,
     /// The interface that the platform on which the fleet runs defines.
     Platform,
 }
@@ -16,7 +16,7 @@
 
     fn read(text: &str) -> Option<Self> {
         match text {
-            "own" => Some(Self::Own),
+            "own" => Some(Self::Native),
             "platform" => Some(Self::Platform),
             _ => None,
         }
@@ -24,7 +24,7 @@
 
     fn show(&self) -> String {
         match self {
-            Self::Own => "own".into(),
+            Self::Native => "own".into(),
             Self::Platform => "platform".into(),
         }
     }
