--- a/src/feed.rs
+++ b/src/feed.rs
@@ -1,10 +1,9 @@
-//! What controls tell entries: configuration, upstreams, evidence on them.
+//! Distribution of the configuration, upstreams and their health from controls to entries.
 //!
-//! An entry asks one control twice a second for what changed since the index of the log
-//! that it knows; a control also tells at once what was committed. The entry's own count
-//! decides what is new, so that nothing that a control forgets or a network loses is missed
-//! for longer than one round. A control that has lost the leader says so, and the entry asks
-//! another.
+//! An entry polls one control twice a second for changes since the log index that it knows.
+//! Controls also push committed changes at once. The index in the entry's own poll decides what
+//! is new, so a change that a control forgets or the network loses is late by at most one poll.
+//! A control that has lost the leader says so, and the entry polls another one.
 
 mod control;
 mod entry;
--- a/src/feed/control.rs
+++ b/src/feed/control.rs
@@ -1,4 +1,4 @@
-//! A control that entries may ask.
+//! A control that entries can poll.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,11 +6,11 @@
 use crate::id::DomainId;
 use crate::id::NodeId;
 
-/// A control that entries may ask.
+/// A control that entries can poll.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Control {
-    /// Its failure domain; empty where it is not known yet.
+    /// Failure domain; empty until it is known.
     pub domain: DomainId,
-    /// Its id, which names its VM's address.
+    /// Id, from which the address of its VM follows.
     pub id: NodeId,
 }
--- a/src/feed/entry.rs
+++ b/src/feed/entry.rs
@@ -1,4 +1,4 @@
-//! What an entry says of itself.
+//! Description of an entry.
 
 use std::hash::Hash;
 use std::hash::Hasher;
@@ -13,22 +13,22 @@
 use crate::id::DomainId;
 use crate::id::NodeId;
 
-/// What an entry says of itself.
+/// Description that an entry sends with each poll.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Entry {
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub callers: SocketAddr,
     /// Failure domain.
     pub domain: DomainId,
-    /// Its id.
+    /// Id of the entry.
     pub id: NodeId,
-    /// How much it is meant to carry.
+    /// Load that the entry is sized for.
     pub room: Room,
-    /// Whether it takes callers.
+    /// Whether the entry accepts callers.
     pub state: State,
 }
 
-/// Digest of a list of entries, by which two processes see whether they have the same one.
+/// Hashes a list of entries, so that two processes can check whether theirs are equal.
 pub(super) fn digest(entries: &[Entry]) -> u64 {
     let mut hasher = Xxh3::new();
     for entry in entries {
--- a/src/feed/input.rs
+++ b/src/feed/input.rs
@@ -1,4 +1,4 @@
-//! Inputs and outputs of an entry's side.
+//! Inputs and outputs of a subscriber.
 
 use super::Entry;
 use super::Message;
@@ -6,24 +6,24 @@
 use super::Tallies;
 use crate::id::NodeId;
 
-/// What an entry's side is told.
+/// Event that a subscriber handles.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A control's answer.
+    /// Update from a control, polled or pushed.
     News(NodeId, Box<News>),
     /// Time has passed.
     Tick,
 }
 
-/// What an entry's side wants done.
+/// Action that a subscriber requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Tell callers of these entries.
+    /// Advertise these entries to callers.
     Name(Vec<Entry>),
-    /// Callers of other entries received this.
+    /// Record the results that callers of other entries received.
     Note(Tallies),
-    /// Send this.
+    /// Send a message to a control.
     Send(NodeId, Message),
-    /// Take these news: they are newer than all before.
+    /// Apply an update, which is at least as new as all before it.
     Take(Box<News>),
 }
--- a/src/feed/message.rs
+++ b/src/feed/message.rs
@@ -1,4 +1,4 @@
-//! What goes between controls and entries.
+//! Messages between controls and entries.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -12,43 +12,43 @@
 use crate::quorum::DiskId;
 use crate::quota;
 
-/// What goes between controls and entries.
+/// Messages between controls and entries.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
-    /// A control says that it is there, with the identity of its disk.
+    /// A control announces itself and the identity of its disk to other controls.
     Hello {
         /// The control.
         control: Control,
-        /// Its disk, once it has one.
+        /// Identity of its disk, once it has one.
         disk: Option<DiskId>,
-        /// The entries that ask it.
+        /// The entries that poll it.
         ready: Ready,
     },
-    /// A control tells another one which controls there are, and which leads.
+    /// A control sends another one the known controls and the leader.
     Controls {
         /// The controls.
         controls: Vec<Control>,
         /// The leader, if it is known.
         leader: Option<NodeId>,
     },
-    /// A control's answer.
+    /// An update from a control, polled or pushed.
     News(Box<News>),
-    /// An entry's question.
+    /// An entry's poll.
     Poll(Poll),
-    /// What callers of a control's entries received, to another control.
+    /// Results that callers of the sender's entries received, forwarded to another control.
     Tallies(Tallies),
-    /// An entry wants other parts of allowances.
+    /// An entry requests different shares of quota allowances.
     Ask {
-        /// Names the ask at its sender.
+        /// Identifies the request at its sender.
         ticket: u64,
-        /// The parts.
+        /// The requested shares.
         ask: quota::Demand,
     },
-    /// What an entry holds of allowances from now on.
+    /// The shares of quota allowances that an entry holds from now on.
     Grant {
-        /// The ask's name.
+        /// Identifier of the request that this grant answers.
         ticket: u64,
-        /// The parts.
+        /// The granted shares.
         grant: quota::Grant,
     },
 }
--- a/src/feed/news.rs
+++ b/src/feed/news.rs
@@ -1,4 +1,4 @@
-//! A control's answer.
+//! Update from a control.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -10,30 +10,30 @@
 use crate::config::Version;
 use crate::id::Index;
 
-/// What changed since the index that an entry knew.
+/// Changes since the log index that an entry knows.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct News {
-    /// Index that the entry is taken to have known: news for one that knew less have a gap.
+    /// Log index that the changes start from. For an entry that knows less, changes are missing.
     pub base: Index,
-    /// The configuration in force, where it changed.
+    /// The configuration in force, if it changed.
     pub configuration: Option<Version>,
     /// All controls.
     pub controls: Vec<Control>,
-    /// Entries that take callers now.
+    /// Number of entries that are advertised to callers.
     pub entries: usize,
-    /// Whether the control has heard from a leader just now: what it does not tell then has
-    /// not been acknowledged to anybody either.
+    /// Whether the control has heard from a leader recently. If so, no change that this update
+    /// lacks has been acknowledged to anybody.
     pub fresh: bool,
-    /// Index of the log that the entry knows everything up to with this.
+    /// Log index up to which the entry knows everything once it has applied this update.
     pub known: Index,
-    /// Entries that callers are told of, where they are others than the asker knows.
+    /// Entries to advertise to callers, if the list differs from the one that the entry knows.
     pub named: Option<Vec<Entry>>,
-    /// Entries that may get requests: those that callers are told of, and all others that serve.
+    /// Number of all serving entries. Those that are not advertised may get requests as well.
     pub serving: usize,
-    /// Number of the question; 0 where it was told unasked.
+    /// Sequence number of the poll; 0 in a push.
     pub sequence: u64,
-    /// What callers of other entries received of upstreams since the last news.
+    /// Results that callers of other entries received since the last update to this entry.
     pub tallies: Tallies,
-    /// Upstreams that changed.
+    /// Changes to upstreams.
     pub upstreams: Delta,
 }
--- a/src/feed/poll.rs
+++ b/src/feed/poll.rs
@@ -1,4 +1,4 @@
-//! An entry's question.
+//! Poll of an entry.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,17 +7,17 @@
 use super::Tallies;
 use crate::id::Index;
 
-/// An entry's question: what is new?
+/// Request of an entry for all changes since a log index.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Poll {
-    /// The entry itself.
+    /// Description of the entry.
     pub entry: Entry,
-    /// Index of the log that it knows everything up to.
+    /// Log index up to which the entry knows everything.
     pub known: Index,
-    /// Digest of the entries that it tells callers of.
+    /// Digest of the entries that it advertises to callers.
     pub named: u64,
-    /// Counts the questions.
+    /// Sequence number of the poll.
     pub sequence: u64,
-    /// What callers received of upstreams since the last question.
+    /// Results that callers received since the last poll.
     pub tallies: Tallies,
 }
--- a/src/feed/publisher.rs
+++ b/src/feed/publisher.rs
@@ -1,4 +1,4 @@
-//! A control's side: who asked, what each knows, and what all are told at once.
+//! Control's side of the feed: answers polls, pushes changes and selects advertised entries.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -24,248 +24,257 @@
 use crate::id::Index;
 use crate::id::NodeId;
 
-/// An entry that has not asked for so long is left out of lists: two rounds and a lost
-/// one. Callers would try it in vain.
-const LOST: Duration = Duration::from_millis(1600);
-/// What another control has told counts for so long without being told again.
-const HEARSAY: Duration = Duration::from_secs(4);
-/// Shortest pause between two pushes: under a storm of changes entries get the last of some
-/// at once, and not each by itself.
-const PUSH_GAP: Duration = Duration::from_millis(100);
-/// Pause in which broken answers are gathered that entries should know of at once: a fault
-/// that begins under load breaks several within it.
-const GATHER: Duration = Duration::from_millis(15);
-/// Shortest pause between two tellings of broken answers. With hundreds of upstreams some break
-/// an answer at any moment, and each telling costs each entry a wake-up; where each upstream
-/// gets a request or two a second, hardly one more is lost in this time.
-const PASS_GAP: Duration = Duration::from_millis(50);
-/// An entry that got no request for so long needs to hear only what opens and closes breakers,
-/// and only when it asks: of 277 entries two thirds take no callers.
-const IDLE: Duration = Duration::from_secs(3);
-/// Pause in which all else that callers received is gathered for the other controls.
-const COLLECT: Duration = Duration::from_millis(500);
+/// How long an entry without a poll is still listed: two polls and a lost one. Callers would
+/// try a dead entry in vain.
+const POLL_EXPIRY: Duration = Duration::from_millis(1600);
+/// How long an entry reported by another control is listed without a new report.
+const REPORT_EXPIRY: Duration = Duration::from_secs(4);
+/// Shortest interval between two pushes. When changes are frequent, several of them share one
+/// push.
+const MIN_PUSH_INTERVAL: Duration = Duration::from_millis(100);
+/// Delay before urgent tallies are forwarded. A fault that begins under load breaks several
+/// answers within this time.
+const URGENT_DELAY: Duration = Duration::from_millis(15);
+/// Shortest interval between two rounds of urgent tallies. With hundreds of upstreams, some break
+/// an answer at any moment, and each round wakes every entry that gets requests. An upstream that
+/// gets one or two requests per second loses hardly one more in this time.
+const MIN_URGENT_INTERVAL: Duration = Duration::from_millis(50);
+/// Time without requests after which an entry that is not advertised gets only urgent tallies,
+/// and only when it polls. Of 277 entries, two thirds have no callers.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Delay before all other tallies are forwarded to the other controls in one batch.
+const FORWARD_DELAY: Duration = Duration::from_millis(500);
 
-/// A control that has just started has not heard from all entries yet; a list of a few would
-/// send all callers to those.
+/// Time after its start in which a control sends no list of advertised entries. It has not been
+/// polled by all entries yet, and all callers would connect to the few that it knows.
 pub const WARM_UP: Duration = Duration::from_millis(1500);
-/// Fewest entries that callers are told of, spread over the failure domains: the loss of one
-/// leaves its work to two others. With one in each of three domains, where that carries the load,
-/// an entry sees twice as much of the upstreams as with two: of the work of loaded days on two
-/// deployments 84.4% and 87.8% was served, 83.9% and 86.9% with two (5 runs each).
-const FEWEST: usize = 3;
-/// Requests a second for each slot of the upstreams, for which there are to be entries before
-/// any load was seen: 0.5 to 1.2 on the users' sites. Without it all callers of a large fleet
-/// begin at the fewest entries, which are overrun before they can tell that.
-const PER_SLOT: f64 = 1.0;
-/// Bytes of a request and its answer before any was seen: an upload of 60 KB among a dozen
-/// requests of a few hundred bytes.
-const PER_REQUEST: f64 = 6_000.0;
+/// Fewest entries that are advertised to callers, spread over the failure domains. When one of
+/// them is lost, two others take over its work. If one entry in each of three domains can
+/// carry the load, each sees twice as many answers of the upstreams as with two. On loaded days of
+/// two deployments, 84.4% and 87.8% of the work was served, and 83.9% and 86.9% with two (5 runs
+/// each).
+const MIN_ENTRIES: usize = 3;
+/// Requests per second assumed for each slot of the upstreams until the load is known. It is 0.5
+/// to 1.2 on the users' sites. Without the assumption, all callers of a large fleet would start at
+/// the fewest entries, which are overloaded before they can report it.
+const REQUESTS_PER_SLOT: f64 = 1.0;
+/// Bytes assumed for a request and its answer until the load is known: one upload of 60 KB among
+/// a dozen requests of a few hundred bytes.
+const BYTES_PER_REQUEST: f64 = 6_000.0;
 
-/// What a control knows for sure, for the feed to tell.
+/// Committed state of a control, from which updates are made.
 #[derive(Debug)]
 pub struct Ledger<'a> {
-    /// Index of the log up to which all is applied.
+    /// Log index up to which all commands are applied.
     pub applied: Index,
-    /// The table of upstreams.
+    /// Table of upstreams.
     pub catalog: &'a Catalog,
-    /// The configuration in force, and since which index.
+    /// The configuration in force and the log index at which it was set.
     pub configuration: Option<(&'a Version, Index)>,
     /// All controls.
     pub controls: Vec<Control>,
-    /// Whether a leader was heard from just now.
+    /// Whether the control has heard from a leader recently.
     pub fresh: bool,
 }
 
-/// A control's side of the feed.
+/// Control's side of the feed.
 #[derive(Clone, Debug, Default)]
 pub struct Publisher {
-    attached: BTreeMap<NodeId, Attached>,
-    bytes: Rate,
-    collected: Tallies,
+    subscriptions: BTreeMap<NodeId, Subscription>,
+    byte_rate: Rate,
+    unforwarded: Tallies,
     has_moved: bool,
-    hearsay: BTreeMap<NodeId, (Moment, Entry, NodeId)>,
-    passed_at: Moment,
-    pass_at: Option<Moment>,
+    reported: BTreeMap<NodeId, (Moment, Entry, NodeId)>,
+    forwarded_at: Moment,
+    forward_at: Option<Moment>,
     push_at: Option<Moment>,
     pushed_at: Moment,
-    rate: Rate,
+    request_rate: Rate,
     slots: u32,
-    /// Entries that callers were told of when tallies were last passed on.
-    told: BTreeSet<NodeId>,
+    /// Entries that were advertised when tallies were last forwarded.
+    last_advertised: BTreeSet<NodeId>,
 }
 
 #[derive(Clone, Debug)]
-struct Attached {
-    /// When it last told of requests.
-    carried_at: Option<Moment>,
+struct Subscription {
+    /// When the entry last reported requests.
+    last_request_at: Option<Moment>,
     entry: Entry,
-    heard: Moment,
+    last_poll_at: Moment,
     known: Index,
     tallies: Tallies,
 }
 
-impl Attached {
-    /// Whether it got requests of late.
-    fn carries(&self, now: Moment) -> bool {
-        self.carried_at.is_some_and(|at| now < at + IDLE)
+impl Subscription {
+    /// Whether the entry got requests recently.
+    fn is_active(&self, now: Moment) -> bool {
+        self.last_request_at.is_some_and(|at| now < at + IDLE_TIMEOUT)
     }
 }
 
 impl Publisher {
-    /// Answers an entry's question.
+    /// Answers a poll of an entry.
     pub fn poll(&mut self, now: Moment, poll: Poll, ledger: &Ledger<'_>) -> Vec<(NodeId, Message)> {
         let id = poll.entry.id.clone();
-        let before = self.attached.get(&id).map(|attached| attached.entry.state);
+        let before = self.subscriptions.get(&id).map(|subscription| subscription.entry.state);
         if before != Some(poll.entry.state) {
             self.has_moved = true;
         }
-        self.hearsay.remove(&id);
+        self.reported.remove(&id);
         let known = ledger.applied.max(poll.known);
-        let before = self.attached.remove(&id);
+        let before = self.subscriptions.remove(&id);
         self.gather(now, &poll.tallies, true);
-        let carried = (poll.tallies.arrivals > 0).then_some(now);
-        let carried_at = carried.or(before.as_ref().and_then(|before| before.carried_at));
+        let requested_at = (poll.tallies.arrivals > 0).then_some(now);
+        let last_request_at =
+            requested_at.or(before.as_ref().and_then(|before| before.last_request_at));
         let tallies = before.map(|before| before.tallies).unwrap_or_default();
-        let attached = Attached {
-            carried_at,
+        let subscription = Subscription {
+            last_request_at,
             entry: poll.entry,
-            heard: now,
+            last_poll_at: now,
             known,
             tallies: Tallies::default(),
         };
-        self.attached.insert(id.clone(), attached);
-        let mut news = self.news(now, poll.known, poll.sequence, tallies, ledger);
-        news.named = self.others_named(now, poll.named);
+        self.subscriptions.insert(id.clone(), subscription);
+        let mut news = self.update(now, poll.known, poll.sequence, tallies, ledger);
+        news.named = self.changed_advertised(now, poll.named);
         vec![(id, Message::News(Box::new(news)))]
     }
 
-    /// Takes what another control says of its entries.
+    /// Replaces the entries that another control reports.
     pub fn hear(&mut self, now: Moment, from: &NodeId, ready: Ready) {
-        self.hearsay.retain(|_, (_, _, by)| by != from);
+        self.reported.retain(|_, (_, _, by)| by != from);
         for entry in ready.entries {
-            let own = self.attached.get(&entry.id);
-            if own.is_none_or(|own| now >= own.heard + LOST) {
-                self.hearsay.insert(entry.id.clone(), (now, entry, from.clone()));
+            let subscription = self.subscriptions.get(&entry.id);
+            if subscription
+                .is_none_or(|subscription| now >= subscription.last_poll_at + POLL_EXPIRY)
+            {
+                self.reported.insert(entry.id.clone(), (now, entry, from.clone()));
             }
         }
     }
 
-    /// Takes what callers received; `own` where an entry of this control told it.
-    pub fn gather(&mut self, now: Moment, tallies: &Tallies, own: bool) {
+    /// Adds tallies. `is_local` says that an entry which polls this control reported them.
+    pub fn gather(&mut self, now: Moment, tallies: &Tallies, is_local: bool) {
         if tallies.is_empty() {
             return;
         }
-        self.rate.add(now, u64::from(tallies.arrivals));
-        self.bytes.add(now, tallies.bytes);
+        self.request_rate.add(now, u64::from(tallies.arrivals));
+        self.byte_rate.add(now, tallies.bytes);
         let urgent = tallies.urgent();
-        for own in self.attached.values_mut() {
-            let carries = own.carries(now) || self.told.contains(&own.entry.id);
-            own.tallies.add_all(if carries { tallies } else { &urgent });
+        for subscription in self.subscriptions.values_mut() {
+            let is_active = subscription.is_active(now)
+                || self.last_advertised.contains(&subscription.entry.id);
+            subscription.tallies.add_all(if is_active { tallies } else { &urgent });
         }
-        if own {
-            self.collected.add_all(tallies);
+        if is_local {
+            self.unforwarded.add_all(tallies);
         }
         let at = match tallies.is_urgent() {
-            true => (now + GATHER).max(self.passed_at + PASS_GAP),
-            false => now + COLLECT,
+            true => (now + URGENT_DELAY).max(self.forwarded_at + MIN_URGENT_INTERVAL),
+            false => now + FORWARD_DELAY,
         };
-        self.pass_at = Some(self.pass_at.map_or(at, |other| other.min(at)));
+        self.forward_at = Some(self.forward_at.map_or(at, |other| other.min(at)));
     }
 
-    /// Notes that the log told something that entries must know.
+    /// Schedules a push of committed changes.
     pub fn changed(&mut self, now: Moment) {
-        let at = now.max(self.pushed_at + PUSH_GAP);
+        let at = now.max(self.pushed_at + MIN_PUSH_INTERVAL);
         self.push_at = Some(self.push_at.map_or(at, |other| other.min(at)));
     }
 
-    /// Sends what is due.
+    /// Returns the pushes and forwarded tallies that are due.
     pub fn tick(&mut self, now: Moment, ledger: &Ledger<'_>) -> Vec<(NodeId, Message)> {
         let mut sends = Vec::new();
         if self.push_at.is_some_and(|at| at <= now) {
             self.push(now, ledger, &mut sends);
         }
-        if self.pass_at.is_some_and(|at| at <= now) {
-            self.pass_on(now, ledger, &mut sends);
+        if self.forward_at.is_some_and(|at| at <= now) {
+            self.forward_tallies(now, ledger, &mut sends);
         }
         sends
     }
 
-    /// When it wants to be told the time.
+    /// When the next call of [`Publisher::tick`] is due.
     pub fn wake(&self) -> Moment {
-        self.push_at.into_iter().chain(self.pass_at).min().unwrap_or(Moment::MAX)
+        self.push_at.into_iter().chain(self.forward_at).min().unwrap_or(Moment::MAX)
     }
 
-    /// Whether an entry came, or began or ceased to take callers, since it was last told.
+    /// Whether an entry joined or changed its state since the last call of [`Publisher::own`].
     pub fn has_moved(&self) -> bool {
         self.has_moved
     }
 
-    /// The entries that ask this control, to be told to the others.
+    /// Returns the entries that poll this control, as a report to the other controls.
     pub fn own(&mut self, now: Moment) -> Vec<Entry> {
         self.has_moved = false;
-        self.attached.retain(|_, own| now < own.heard + LOST);
-        self.hearsay.retain(|_, (at, ..)| now < *at + HEARSAY);
-        self.attached.values().map(|own| own.entry.clone()).collect()
+        self.subscriptions.retain(|_, subscription| now < subscription.last_poll_at + POLL_EXPIRY);
+        self.reported.retain(|_, (at, ..)| now < *at + REPORT_EXPIRY);
+        self.subscriptions.values().map(|subscription| subscription.entry.clone()).collect()
     }
 
-    /// Entries that callers are to use, a few in each failure domain. Spread over all of a
-    /// large fleet, callers would leave each entry a request every 0.3 s: too few for it to
-    /// see which upstreams are busy, to keep connections open, or to have a retry to spare.
+    /// Returns the entries to advertise to callers, a few in each failure domain. With callers
+    /// spread over all of a large fleet, each entry would get one request every 0.3 s: too few
+    /// to see which upstreams are busy, to keep connections open, or to earn retry budget.
     pub fn named(&self, now: Moment) -> Vec<&Entry> {
         let mut domains: BTreeMap<&DomainId, Vec<&Entry>> = BTreeMap::new();
         for entry in self.serving(now) {
             domains.entry(&entry.domain).or_default().push(entry);
         }
-        let part = 1.0 / domains.len().max(1) as f64;
+        let share = 1.0 / domains.len().max(1) as f64;
         let load = self.load(now);
-        let fewest = FEWEST.div_ceil(domains.len().max(1));
-        let mut named = Vec::new();
+        let min_entries = MIN_ENTRIES.div_ceil(domains.len().max(1));
+        let mut advertised = Vec::new();
         for mut entries in domains.into_values() {
             entries.sort_by_key(|entry| xxh3_64(entry.id.as_bytes()));
-            let mut carried = 0.0;
-            let is_needed = |(place, entry): &(usize, &Entry)| {
-                let wanted = *place < fewest || carried < part;
-                carried += entry.room.share(load);
-                wanted
+            let mut capacity = 0.0;
+            let is_needed = |(position, entry): &(usize, &Entry)| {
+                let is_needed = *position < min_entries || capacity < share;
+                capacity += entry.room.share(load);
+                is_needed
             };
             let needed = entries.into_iter().enumerate().take_while(is_needed);
-            named.extend(needed.map(|(_, entry)| entry));
+            advertised.extend(needed.map(|(_, entry)| entry));
         }
-        named
+        advertised
     }
 
-    /// What the entries are to be ready for.
+    /// Returns the load that the advertised entries must be able to carry.
     fn load(&self, now: Moment) -> Load {
-        let mean = Load { bytes: self.bytes.mean(now), requests: self.rate.mean(now) };
-        if self.rate.is_known(now) {
+        let mean = Load { bytes: self.byte_rate.mean(now), requests: self.request_rate.mean(now) };
+        if self.request_rate.is_known(now) {
             return mean;
         }
-        let requests = mean.requests.max(f64::from(self.slots) * PER_SLOT);
-        Load { bytes: mean.bytes.max(requests * PER_REQUEST), requests }
+        let requests = mean.requests.max(f64::from(self.slots) * REQUESTS_PER_SLOT);
+        Load { bytes: mean.bytes.max(requests * BYTES_PER_REQUEST), requests }
     }
 
-    /// Sets how many slots all upstreams have.
+    /// Sets the number of slots of all upstreams.
     pub fn set_slots(&mut self, slots: u32) {
         self.slots = slots;
     }
 
-    /// Entries that are thought to take callers.
+    /// Returns the entries that accept callers.
     fn serving(&self, now: Moment) -> impl Iterator<Item = &Entry> {
-        let own = self.attached.values().filter(move |own| now < own.heard + LOST);
-        let hearsay = self.hearsay.values().filter(move |(at, ..)| now < *at + HEARSAY);
-        let all = own.map(|own| &own.entry).chain(hearsay.map(|(_, entry, _)| entry));
+        let own = self
+            .subscriptions
+            .values()
+            .filter(move |subscription| now < subscription.last_poll_at + POLL_EXPIRY);
+        let reported = self.reported.values().filter(move |(at, ..)| now < *at + REPORT_EXPIRY);
+        let all =
+            own.map(|subscription| &subscription.entry).chain(reported.map(|(_, entry, _)| entry));
         all.filter(|entry| entry.state == State::Serving)
     }
 
-    /// The named entries, where they are others than those of the digest. Entries pass them on
-    /// to callers, who would find nobody to ask while all controls are down.
-    fn others_named(&self, now: Moment, known: u64) -> Option<Vec<Entry>> {
-        let named: Vec<Entry> = self.named(now).into_iter().cloned().collect();
-        let is_other = now >= WARM_UP && entry::digest(&named) != known;
-        is_other.then_some(named)
+    /// Returns the advertised entries if they differ from those with the digest `known`. Entries
+    /// relay the list to callers, who could not get it while all controls are down.
+    fn changed_advertised(&self, now: Moment, known: u64) -> Option<Vec<Entry>> {
+        let advertised: Vec<Entry> = self.named(now).into_iter().cloned().collect();
+        let is_different = now >= WARM_UP && entry::digest(&advertised) != known;
+        is_different.then_some(advertised)
     }
 
-    fn news(
+    fn update(
         &self,
         now: Moment,
         base: Index,
@@ -292,45 +301,57 @@
     fn push(&mut self, now: Moment, ledger: &Ledger<'_>, sends: &mut Vec<(NodeId, Message)>) {
         self.push_at = None;
         self.pushed_at = now;
-        let due = |own: &&Attached| now < own.heard + LOST && own.known < ledger.applied;
-        let behind: Vec<(NodeId, Index)> = self
-            .attached
+        let due = |subscription: &&Subscription| {
+            now < subscription.last_poll_at + POLL_EXPIRY && subscription.known < ledger.applied
+        };
+        let outdated: Vec<(NodeId, Index)> = self
+            .subscriptions
             .values()
             .filter(due)
-            .map(|own| (own.entry.id.clone(), own.known))
+            .map(|subscription| (subscription.entry.id.clone(), subscription.known))
             .collect();
-        for (id, known) in behind {
-            self.tell(now, &id, known, ledger, sends);
+        for (id, known) in outdated {
+            self.push_to(now, &id, known, ledger, sends);
         }
     }
 
-    /// Tells the other controls what callers received here, and at once the entries that
-    /// have to know of a broken answer; the others hear of it with their next question.
-    fn pass_on(&mut self, now: Moment, ledger: &Ledger<'_>, sends: &mut Vec<(NodeId, Message)>) {
-        self.pass_at = None;
-        self.passed_at = now;
-        let collected = std::mem::take(&mut self.collected);
-        if !collected.is_empty() {
+    /// Forwards tallies to the other controls, and pushes urgent ones to the entries that get
+    /// requests. The other entries get them with their next poll.
+    fn forward_tallies(
+        &mut self,
+        now: Moment,
+        ledger: &Ledger<'_>,
+        sends: &mut Vec<(NodeId, Message)>,
+    ) {
+        self.forward_at = None;
+        self.forwarded_at = now;
+        let batch = std::mem::take(&mut self.unforwarded);
+        if !batch.is_empty() {
             let others = ledger.controls.iter().map(|control| control.id.clone());
-            sends.extend(others.map(|id| (id, Message::Tallies(collected.clone()))));
+            sends.extend(others.map(|id| (id, Message::Tallies(batch.clone()))));
         }
-        self.told = self.named(now).into_iter().map(|own| own.id.clone()).collect();
-        let carries = |own: &Attached| own.carries(now) || self.told.contains(&own.entry.id);
-        let due =
-            |own: &&Attached| now < own.heard + LOST && own.tallies.is_urgent() && carries(own);
+        self.last_advertised = self.named(now).into_iter().map(|entry| entry.id.clone()).collect();
+        let is_active = |subscription: &Subscription| {
+            subscription.is_active(now) || self.last_advertised.contains(&subscription.entry.id)
+        };
+        let due = |subscription: &&Subscription| {
+            now < subscription.last_poll_at + POLL_EXPIRY
+                && subscription.tallies.is_urgent()
+                && is_active(subscription)
+        };
         let urgent: Vec<(NodeId, Index)> = self
-            .attached
+            .subscriptions
             .values()
             .filter(due)
-            .map(|own| (own.entry.id.clone(), own.known))
+            .map(|subscription| (subscription.entry.id.clone(), subscription.known))
             .collect();
         for (id, known) in urgent {
-            self.tell(now, &id, known, ledger, sends);
+            self.push_to(now, &id, known, ledger, sends);
         }
     }
 
-    /// Tells an entry unasked what it is thought not to know.
-    fn tell(
+    /// Pushes an update with all changes after `known` to an entry.
+    fn push_to(
         &mut self,
         now: Moment,
         id: &NodeId,
@@ -338,10 +359,10 @@
         ledger: &Ledger<'_>,
         sends: &mut Vec<(NodeId, Message)>,
     ) {
-        let Some(own) = self.attached.get_mut(id) else { return };
-        own.known = known.max(ledger.applied);
-        let tallies = std::mem::take(&mut own.tallies);
-        let news = self.news(now, known, 0, tallies, ledger);
+        let Some(subscription) = self.subscriptions.get_mut(id) else { return };
+        subscription.known = known.max(ledger.applied);
+        let tallies = std::mem::take(&mut subscription.tallies);
+        let news = self.update(now, known, 0, tallies, ledger);
         sends.push((id.clone(), Message::News(Box::new(news))));
     }
 }
--- a/src/feed/rate.rs
+++ b/src/feed/rate.rs
@@ -1,54 +1,54 @@
-//! What goes through the whole fleet each second, over the last seconds.
+//! Mean rate of the traffic through all entries.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::clock::Moment;
 
-/// Length of one part: long enough for what all controls collect to come in.
-const PART: Duration = Duration::from_secs(1);
-/// Time after the first request until their rate has shown: callers who hold no list yet come
-/// within a second or two, and what they send is told within another.
-const SETTLED: Duration = Duration::from_secs(5);
-/// Span over which requests are counted. What is told comes in lots of half a second, and
-/// callers that were kept waiting come all at once: the peak of a second named twice the
-/// entries that the load asked for, each of which then sees half as much of the upstreams.
-const SPAN: Duration = Duration::from_secs(8);
+/// Length of one bucket, long enough for the batches of all controls to arrive.
+const BUCKET: Duration = Duration::from_secs(1);
+/// Time from the first request until the mean is reliable. Callers without a list of entries
+/// connect within one or two seconds, and their requests are reported within another.
+const SETTLING_TIME: Duration = Duration::from_secs(5);
+/// Window of the mean. Reports arrive in batches of half a second, and callers that had to wait
+/// all connect at once. With the peak of one second, twice as many entries as the load required
+/// were advertised, and each of them saw half as many answers of the upstreams.
+const WINDOW: Duration = Duration::from_secs(8);
 
-/// What goes through the whole fleet each second, over the last seconds.
+/// Mean amount per second over a sliding window, such as requests or bytes.
 #[derive(Clone, Debug, Default)]
 pub struct Rate {
-    /// When the first came.
-    since: Option<Moment>,
-    parts: VecDeque<(Moment, u64)>,
+    /// When the first amount was added.
+    first_at: Option<Moment>,
+    buckets: VecDeque<(Moment, u64)>,
 }
 
 impl Rate {
-    /// Counts what came.
-    pub fn add(&mut self, now: Moment, came: u64) {
-        if came == 0 {
+    /// Adds an amount.
+    pub fn add(&mut self, now: Moment, amount: u64) {
+        if amount == 0 {
             return;
         }
-        self.since.get_or_insert(now);
-        match self.parts.back_mut() {
-            Some((since, count)) if now < *since + PART => *count += came,
-            _ => self.parts.push_back((now, came)),
+        self.first_at.get_or_insert(now);
+        match self.buckets.back_mut() {
+            Some((start, count)) if now < *start + BUCKET => *count += amount,
+            _ => self.buckets.push_back((now, amount)),
         }
-        while self.parts.front().is_some_and(|(since, _)| now >= *since + SPAN) {
-            self.parts.pop_front();
+        while self.buckets.front().is_some_and(|(start, _)| now >= *start + WINDOW) {
+            self.buckets.pop_front();
         }
     }
 
-    /// Whether some have come for so long that their rate has shown.
+    /// Whether amounts have been added for long enough to make the mean reliable.
     pub fn is_known(&self, now: Moment) -> bool {
-        self.since.is_some_and(|since| now >= since + SETTLED)
+        self.first_at.is_some_and(|first_at| now >= first_at + SETTLING_TIME)
     }
 
-    /// How much a second.
+    /// Mean amount per second over the window.
     pub fn mean(&self, now: Moment) -> f64 {
-        let recent = self.parts.iter().filter(|(since, _)| now < *since + SPAN);
-        let count: f64 = recent.map(|(_, count)| *count as f64).sum();
-        let seen = self.since.map_or(PART, |since| now.saturating_sub(since));
-        count / seen.clamp(PART, SPAN).as_secs_f64()
+        let recent = self.buckets.iter().filter(|(start, _)| now < *start + WINDOW);
+        let total: f64 = recent.map(|(_, count)| *count as f64).sum();
+        let elapsed = self.first_at.map_or(BUCKET, |first_at| now.saturating_sub(first_at));
+        total / elapsed.clamp(BUCKET, WINDOW).as_secs_f64()
     }
 }
--- a/src/feed/ready.rs
+++ b/src/feed/ready.rs
@@ -1,13 +1,13 @@
-//! Entries that a control has heard from.
+//! Entries that poll a control.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use super::Entry;
 
-/// Entries that a control has heard from, told to the other controls.
+/// Entries that poll a control, as it reports them to the other controls.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Ready {
-    /// The entries.
+    /// Descriptions of the entries.
     pub entries: Vec<Entry>,
 }
--- a/src/feed/room.rs
+++ b/src/feed/room.rs
@@ -1,56 +1,56 @@
-//! How much an entry is meant to carry.
+//! Load that an entry is sized for.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Requests a second for each core: half of what one serves, so that a surge finds room.
-/// The fewer entries there are, the sooner each sees which upstreams are busy, and the fewer
-/// lose a request of their own at one that turns bad.
-const PER_CORE: f64 = 300.0;
-/// Share of its link that an entry is meant to use. An upload holds the link for as long as it
-/// takes to pass, and callers spread unevenly: at 38% on average the fullest entries answered
-/// seconds late, which upstreams were then taken out for, and a third of all requests was
-/// refused although four fifths of the slots were idle. At 18% none of that was seen.
-const LINK_USE: f64 = 0.2;
-/// Bytes of one megabit.
-const MEGABIT: f64 = 125_000.0;
+/// Requests per second for each core. Half of what a core can serve, which leaves headroom for
+/// a surge. With fewer entries, each sees sooner which upstreams are busy, and fewer entries
+/// lose a request of their own at an upstream that fails.
+const REQUESTS_PER_CORE: f64 = 300.0;
+/// Share of its network link that an entry is sized to use. An upload occupies the link until it
+/// is complete, and callers spread unevenly. At a mean of 38%, the busiest entries answered
+/// seconds late, upstreams were ejected for it, and a third of all requests was refused while
+/// four fifths of the slots were idle. None of that was seen at 18%.
+const LINK_SHARE: f64 = 0.2;
+/// Bytes in one megabit.
+const BYTES_PER_MEGABIT: f64 = 125_000.0;
 
-/// How much an entry is meant to carry.
+/// Load that an entry is sized for.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Room {
-    /// Bytes a second, bodies in one direction.
+    /// Bytes per second of bodies, in one direction.
     pub bytes: u64,
-    /// Requests a second.
+    /// Requests per second.
     pub requests: u32,
 }
 
 impl Default for Room {
-    /// A tenth of a core, and a link that never binds.
+    /// Capacity of a tenth of a core and an unlimited link.
     fn default() -> Self {
         Self::new(0.1, None)
     }
 }
 
 impl Room {
-    /// Room of a process with this share of a core, and a link of so many Mbit/s if it is known.
+    /// Creates the capacity of a process from its CPU cores and its link in Mbit/s, if known.
     pub fn new(cores: f64, link: Option<f64>) -> Self {
-        let bytes = link.map_or(u64::MAX, |link| (link * MEGABIT * LINK_USE) as u64);
-        Self { bytes: bytes.max(1), requests: ((cores * PER_CORE) as u32).max(1) }
+        let bytes = link.map_or(u64::MAX, |link| (link * BYTES_PER_MEGABIT * LINK_SHARE) as u64);
+        Self { bytes: bytes.max(1), requests: ((cores * REQUESTS_PER_CORE) as u32).max(1) }
     }
 
-    /// Share of a load that an entry with this room can carry; 1 or more where it can carry
-    /// all of it.
+    /// Returns the share of a load that an entry with this capacity can carry, 1 or more if it
+    /// can carry all of it.
     pub fn share(&self, load: Load) -> f64 {
         let requests = f64::from(self.requests) / load.requests.max(f64::MIN_POSITIVE);
         requests.min(self.bytes as f64 / load.bytes.max(f64::MIN_POSITIVE))
     }
 }
 
-/// What all callers together send.
+/// Traffic of all callers together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Load {
-    /// Bytes a second of requests and answers.
+    /// Bytes per second of requests and answers.
     pub bytes: f64,
-    /// Requests a second.
+    /// Requests per second.
     pub requests: f64,
 }
--- a/src/feed/subscriber.rs
+++ b/src/feed/subscriber.rs
@@ -1,4 +1,4 @@
-//! An entry's side: which control it asks, and when it asks another.
+//! Entry's side of the feed: selects a control, polls it and fails over to another.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -24,129 +24,129 @@
 use crate::id::NodeId;
 use crate::id::UpstreamId;
 
-/// Pause between two questions. A change must be in force within 2 s of its
-/// acknowledgement also where the push was lost: that leaves three rounds.
-const PERIOD: Duration = Duration::from_millis(500);
-/// Longest wait for an answer: twenty times a round trip between failure domains with the
-/// slowest processor's share.
-const PATIENCE: Duration = Duration::from_millis(350);
-/// How long a control that failed is asked only after all others.
-const AVOID: Duration = Duration::from_secs(3);
-/// Shortest pause between two tellings of broken answers: under a fault of many upstreams
-/// some are told together.
-const TELL_GAP: Duration = Duration::from_millis(30);
-/// Pause before an entry that found no control asks again.
-const PAUSE: Duration = Duration::from_millis(100);
-
-/// An entry's side of the feed.
+/// Interval between two polls. A change must be in force within 2 s of its acknowledgement
+/// even if its push was lost, which leaves time for three polls.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// Longest wait for the answer to a poll. Twenty times the round trip between failure domains
+/// with the smallest CPU share.
+const POLL_TIMEOUT: Duration = Duration::from_millis(350);
+/// How long a failed control is polled only after all others.
+const FAILURE_COOLDOWN: Duration = Duration::from_secs(3);
+/// Shortest interval between two polls that report broken answers. When many upstreams fail,
+/// several reports share one poll.
+const MIN_URGENT_INTERVAL: Duration = Duration::from_millis(30);
+/// Delay before the next poll after no usable control was found.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+
+/// Entry's side of the feed.
 #[derive(Clone, Debug)]
 pub struct Subscriber {
-    asked: Option<(u64, Moment)>,
+    in_flight: Option<(u64, Moment)>,
     controls: BTreeSet<Control>,
     current: Option<NodeId>,
-    due: Moment,
-    failed: BTreeMap<NodeId, Moment>,
+    poll_at: Moment,
+    failed_at: BTreeMap<NodeId, Moment>,
     fresh_at: Option<Moment>,
     known: Index,
     me: Entry,
-    named: u64,
+    named_digest: u64,
     random: ChaCha8Rng,
     seeds: Vec<NodeId>,
     sequence: u64,
     tallies: Tallies,
-    told_at: Moment,
+    polled_at: Moment,
 }
 
 impl Subscriber {
-    /// An entry that knows only its seeds.
+    /// Creates a subscriber that knows only its seeds.
     pub fn new(now: Moment, me: Entry, seeds: Vec<NodeId>, random: ChaCha8Rng) -> Self {
         Self {
-            asked: None,
+            in_flight: None,
             controls: BTreeSet::new(),
             current: None,
-            due: now,
-            failed: BTreeMap::new(),
+            poll_at: now,
+            failed_at: BTreeMap::new(),
             fresh_at: None,
             known: 0,
             me,
-            named: 0,
+            named_digest: 0,
             random,
             seeds,
             sequence: 0,
             tallies: Tallies::default(),
-            told_at: now,
+            polled_at: now,
         }
     }
 
-    /// Takes an input.
+    /// Handles an input.
     pub fn handle(&mut self, now: Moment, input: Input) -> Vec<Output> {
         let mut outputs = Vec::new();
         match input {
             Input::News(from, news) => self.receive(now, &from, news, &mut outputs),
             Input::Tick => {}
         }
-        self.run(now, &mut outputs);
+        self.poll_if_due(now, &mut outputs);
         outputs
     }
 
-    /// When it wants to be told the time.
+    /// When the next [`Input::Tick`] is due.
     pub fn wake(&self) -> Moment {
-        self.asked.map_or(self.due, |(_, at)| at + PATIENCE)
+        self.in_flight.map_or(self.poll_at, |(_, at)| at + POLL_TIMEOUT)
     }
 
-    /// Sets whether this entry takes callers, and tells a control soon.
+    /// Sets whether this entry accepts callers. A change is reported with an immediate poll.
     pub fn set_state(&mut self, now: Moment, state: State) {
         if self.me.state != state {
             self.me.state = state;
-            self.due = self.due.min(now);
+            self.poll_at = self.poll_at.min(now);
         }
     }
 
-    /// Notes what callers received here; a broken answer is told at once.
+    /// Records results that callers received here. Broken answers are reported at once.
     pub fn note(&mut self, now: Moment, upstream: &UpstreamId, counts: &Counts) {
         self.tallies.add(upstream, counts);
         if counts.is_urgent() {
-            self.due = self.due.min(now.max(self.told_at + TELL_GAP));
+            self.poll_at = self.poll_at.min(now.max(self.polled_at + MIN_URGENT_INTERVAL));
         }
     }
 
-    /// Notes requests that callers sent, and bytes that went through.
+    /// Records requests that callers sent and bytes that were transferred.
     pub fn note_traffic(&mut self, arrivals: u32, bytes: u64) {
         self.tallies.arrivals += arrivals;
         self.tallies.bytes += bytes;
     }
 
-    /// Replaces the seeds.
+    /// Replaces the seeds, which are polled along with the known controls.
     pub fn set_seeds(&mut self, seeds: Vec<NodeId>) {
         self.seeds = seeds;
     }
 
-    /// The control that is asked now.
+    /// The control that is polled now.
     pub fn current(&self) -> Option<&NodeId> {
         self.current.as_ref()
     }
 
-    /// When a control that is in touch with a leader last answered.
+    /// When the last update came from a control that had heard from a leader recently.
     pub fn fresh_at(&self) -> Option<Moment> {
         self.fresh_at
     }
 
     fn receive(&mut self, now: Moment, from: &NodeId, news: Box<News>, outputs: &mut Vec<Output>) {
-        let answers = self.asked.is_some_and(|(sequence, _)| sequence == news.sequence);
-        if answers {
-            self.asked = None;
-            let pause = if self.tallies.is_urgent() { TELL_GAP } else { PERIOD };
-            self.due = now + pause;
-        }
-        let behind = news.known < self.known;
-        if news.fresh && !behind {
+        let is_answer = self.in_flight.is_some_and(|(sequence, _)| sequence == news.sequence);
+        if is_answer {
+            self.in_flight = None;
+            let delay = if self.tallies.is_urgent() { MIN_URGENT_INTERVAL } else { POLL_INTERVAL };
+            self.poll_at = now + delay;
+        }
+        let is_stale = news.known < self.known;
+        if news.fresh && !is_stale {
             self.fresh_at = Some(now);
-            self.failed.remove(from);
+            self.failed_at.remove(from);
         } else if self.current.as_ref() == Some(from) {
-            // It may be cut off from the others, which go on without it. Asked without a
-            // pause, controls without a leader would get a question a round trip from each.
-            self.fail(now);
-            self.due = now + PAUSE;
+            // The control may be partitioned from the others, which carry on without it. The
+            // delay keeps each entry from polling leaderless controls once per round trip.
+            self.mark_failed(now);
+            self.poll_at = now + RETRY_DELAY;
         }
         if !news.controls.is_empty() {
             self.controls = news.controls.iter().cloned().collect();
@@ -154,74 +154,75 @@
         if !news.tallies.is_empty() {
             outputs.push(Output::Note(news.tallies.clone()));
         }
-        self.come_near(now);
+        self.prefer_local_control(now);
         if let Some(entries) = &news.named {
-            self.named = entry::digest(entries);
+            self.named_digest = entry::digest(entries);
             outputs.push(Output::Name(entries.clone()));
         }
-        if behind || news.base > self.known {
+        if is_stale || news.base > self.known {
             return;
         }
         self.known = news.known;
         outputs.push(Output::Take(news));
     }
 
-    /// Leaves a control across a border for one that is near: entries know the failure domains
-    /// of controls only once one has told them, and each news crosses the border until then.
-    fn come_near(&mut self, now: Moment) {
+    /// Drops a control in another failure domain once one in this domain is usable. Entries learn
+    /// the domains of controls only from the first update, and until then updates may cross
+    /// failure domains.
+    fn prefer_local_control(&mut self, now: Moment) {
         let current = self.current.as_ref();
-        let is_near = |control: &&Control| control.domain == self.me.domain;
-        let near = self.controls.iter().filter(is_near);
-        let sound = |control: &&Control| !self.is_avoided(now, &control.id);
-        let far = !near.clone().any(|control| Some(&control.id) == current);
-        if self.asked.is_none() && far && near.clone().any(|control| sound(&control)) {
+        let is_local = |control: &&Control| control.domain == self.me.domain;
+        let local = self.controls.iter().filter(is_local);
+        let usable = |control: &&Control| !self.is_cooling_down(now, &control.id);
+        let is_remote = !local.clone().any(|control| Some(&control.id) == current);
+        if self.in_flight.is_none() && is_remote && local.clone().any(|control| usable(&control)) {
             self.current = None;
         }
     }
 
-    fn is_avoided(&self, now: Moment, id: &NodeId) -> bool {
-        self.failed.get(id).is_some_and(|at| now < *at + AVOID)
+    fn is_cooling_down(&self, now: Moment, id: &NodeId) -> bool {
+        self.failed_at.get(id).is_some_and(|at| now < *at + FAILURE_COOLDOWN)
     }
 
-    fn run(&mut self, now: Moment, outputs: &mut Vec<Output>) {
-        if self.asked.is_some_and(|(_, at)| now >= at + PATIENCE) {
-            self.fail(now);
+    fn poll_if_due(&mut self, now: Moment, outputs: &mut Vec<Output>) {
+        if self.in_flight.is_some_and(|(_, at)| now >= at + POLL_TIMEOUT) {
+            self.mark_failed(now);
         }
-        if self.asked.is_some() || now < self.due {
+        if self.in_flight.is_some() || now < self.poll_at {
             return;
         }
         if self.current.is_none() {
-            self.current = self.choose(now);
+            self.current = self.choose_control(now);
         }
         let Some(to) = self.current.clone() else {
-            self.due = now + PAUSE;
+            self.poll_at = now + RETRY_DELAY;
             return;
         };
         self.sequence += 1;
-        self.asked = Some((self.sequence, now));
-        self.told_at = now;
+        self.in_flight = Some((self.sequence, now));
+        self.polled_at = now;
         let poll = Poll {
             entry: self.me.clone(),
             known: self.known,
-            named: self.named,
+            named: self.named_digest,
             sequence: self.sequence,
             tallies: std::mem::take(&mut self.tallies),
         };
         outputs.push(Output::Send(to, Message::Poll(poll)));
     }
 
-    fn fail(&mut self, now: Moment) {
-        self.asked = None;
-        self.due = now;
+    fn mark_failed(&mut self, now: Moment) {
+        self.in_flight = None;
+        self.poll_at = now;
         if let Some(control) = self.current.take() {
-            self.failed.insert(control, now);
+            self.failed_at.insert(control, now);
         }
     }
 
-    /// The control to ask: one that has not failed lately, in the own failure domain where
-    /// there is one, because each answer crosses the border otherwise.
-    fn choose(&mut self, now: Moment) -> Option<NodeId> {
-        self.failed.retain(|_, at| now < *at + AVOID);
+    /// Chooses the control to poll. One that has not failed recently comes first, then one in
+    /// the same failure domain, because answers would cross failure domains otherwise.
+    fn choose_control(&mut self, now: Moment) -> Option<NodeId> {
+        self.failed_at.retain(|_, at| now < *at + FAILURE_COOLDOWN);
         let mut known: Vec<Control> = self.controls.iter().cloned().collect();
         for id in &self.seeds {
             if !known.iter().any(|control| control.id == *id) {
@@ -229,7 +230,7 @@
             }
         }
         let rank = |control: &Control| {
-            let failed = self.failed.get(&control.id).copied();
+            let failed = self.failed_at.get(&control.id).copied();
             (failed, control.domain != self.me.domain)
         };
         let best = known.iter().map(rank).min()?;
--- a/src/feed/tallies.rs
+++ b/src/feed/tallies.rs
@@ -1,4 +1,4 @@
-//! What callers received of many upstreams.
+//! Results that callers received, counted by upstream.
 
 use std::collections::BTreeMap;
 
@@ -8,45 +8,44 @@
 use crate::breaker::Counts;
 use crate::id::UpstreamId;
 
-/// What callers received of many upstreams, in some span.
+/// Results that callers received in some period, counted by upstream.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Tallies {
-    /// Requests that callers sent, whatever became of them. An entry that is overrun ends few
-    /// of them: counted by their ends, load would seem to fall when it is too much.
+    /// Requests that callers sent, whatever their outcome. An overloaded entry completes few of
+    /// them, so a count of completed requests would fall just when the load is too high.
     pub arrivals: u32,
-    /// Bytes of the requests that callers sent and of the answers that they got, as far as
-    /// their lengths were told beforehand.
+    /// Bytes of the requests and answers whose lengths were declared in advance.
     pub bytes: u64,
-    /// By upstream.
+    /// Counts by upstream.
     pub by_upstream: BTreeMap<UpstreamId, Counts>,
 }
 
 impl Tallies {
-    /// Adds one upstream's.
+    /// Adds counts of one upstream.
     pub fn add(&mut self, upstream: &UpstreamId, counts: &Counts) {
         self.by_upstream.entry(upstream.clone()).or_default().add(counts);
     }
 
-    /// Adds all of another span's.
+    /// Adds all counts of another period.
     pub fn add_all(&mut self, other: &Self) {
         self.arrivals += other.arrivals;
         self.bytes += other.bytes;
         other.by_upstream.iter().for_each(|(upstream, counts)| self.add(upstream, counts));
     }
 
-    /// Those of upstreams that others should know of at once.
+    /// Returns only the upstreams whose counts other entries need at once.
     pub fn urgent(&self) -> Self {
         let urgent = self.by_upstream.iter().filter(|(_, counts)| counts.is_urgent());
         let by_upstream = urgent.map(|(id, counts)| (id.clone(), *counts)).collect();
         Self { by_upstream, ..Self::default() }
     }
 
-    /// Whether there are none.
+    /// Whether nothing was counted.
     pub fn is_empty(&self) -> bool {
         self.arrivals == 0 && self.bytes == 0 && self.by_upstream.is_empty()
     }
 
-    /// Whether others should know at once.
+    /// Whether other entries need any of the counts at once.
     pub fn is_urgent(&self) -> bool {
         self.by_upstream.values().any(Counts::is_urgent)
     }
--- a/tests/suite/feed.rs
+++ b/tests/suite/feed.rs
@@ -1,4 +1,4 @@
-//! What entries and controls tell each other.
+//! Feed between controls and entries.
 
 mod budget;
 mod publisher;
--- a/tests/suite/feed/budget.rs
+++ b/tests/suite/feed/budget.rs
@@ -1,4 +1,4 @@
-//! What all entries together spend on further tries.
+//! Retry budget of all entries together, shared by the counts of the feed.
 
 use std::time::Duration;
 
@@ -22,23 +22,24 @@
 use rstest::rstest;
 
 const ENTRIES: u64 = 32;
-/// Those of them that lose all controls for a while.
-const CUT: usize = ENTRIES as usize / 3;
+/// Number of entries that lose all controls for a while.
+const CUT_OFF: usize = ENTRIES as usize / 3;
 const SHARE: f64 = 0.2;
-/// What is reported, and much more: parts of a few tries hide that they are too large.
+/// Burst of the reported fault. [`LARGE_BURST`] is far larger, because with shares of a few
+/// retries an excess goes unnoticed.
 const BURST: f64 = 56.0;
 const LARGE_BURST: f64 = 640.0;
 const WINDOW: Duration = Duration::from_secs(10);
 const STEP: u64 = 20;
 const POLL: u64 = 500;
-/// Nobody sends so seldom.
-const DAY: u64 = 86_400_000;
+/// Interval in milliseconds that lets an entry send only its first request.
+const ONE_DAY: u64 = 86_400_000;
 
-/// Time between two requests, in milliseconds.
-struct Every {
-    /// At an entry that callers are told of.
+/// Interval between two requests of an entry, in milliseconds.
+struct Intervals {
+    /// For an advertised entry.
     named: u64,
-    /// At any other.
+    /// For any other entry.
     other: u64,
 }
 
@@ -56,21 +57,21 @@
     }
 }
 
-/// One entry, and its budget.
-struct Spender {
+/// An entry and its retry budget.
+struct Sender {
     entry: Entry,
     policy: Policy,
     participants: Participants,
 }
 
-impl Spender {
+impl Sender {
     fn new(at: u64) -> Self {
         let policy = Policy::new(ChaCha8Rng::seed_from_u64(at));
         Self { entry: entry(at), policy, participants: Participants::new(WINDOW) }
     }
 
-    /// Asks a control that has run for `age`.
-    fn ask(&mut self, now: Duration, age: Duration, publisher: &mut Publisher) {
+    /// Polls a control that has run for `age`.
+    fn poll(&mut self, now: Duration, age: Duration, publisher: &mut Publisher) {
         let catalog = Catalog::default();
         let controls = Vec::new();
         let ledger =
@@ -87,14 +88,14 @@
         self.participants.update(now, news.serving);
     }
 
-    /// Goes by what it was told of late.
-    fn settle(&mut self, now: Duration, burst: f64) {
+    /// Sets the retry limits from the known number of entries.
+    fn update_limits(&mut self, now: Duration, burst: f64) {
         self.policy.advance(now);
         let entries = self.participants.count(now);
         self.policy.set_limits(Limits::per_entry(SHARE, burst, WINDOW, entries));
     }
 
-    /// Sends a request to an upstream that is gone; whether it goes to another one.
+    /// Sends a request to a dead upstream. Returns whether it is retried.
     fn send(&mut self, now: Duration) -> bool {
         self.policy.advance(now);
         self.policy.record_first();
@@ -113,57 +114,60 @@
     }
 }
 
-/// A control, entries, and all that they send.
+/// A control, its entries and all requests that they send.
 struct Fleet {
     burst: f64,
-    every: Every,
+    intervals: Intervals,
     publisher: Publisher,
     sent: Vec<(u64, bool)>,
-    spenders: Vec<Spender>,
+    senders: Vec<Sender>,
     started_at: u64,
 }
 
 impl Fleet {
-    fn new(burst: f64, every: Every) -> Self {
-        let spenders = (0..ENTRIES).map(Spender::new).collect();
+    fn new(burst: f64, intervals: Intervals) -> Self {
+        let senders = (0..ENTRIES).map(Sender::new).collect();
         Self {
             burst,
-            every,
+            intervals,
             publisher: Publisher::default(),
             sent: Vec::new(),
-            spenders,
+            senders,
             started_at: 0,
         }
     }
 
-    /// The control starts anew, and knows nobody.
+    /// Restarts the control, which then knows no entry.
     fn restart(&mut self, now: u64) {
         self.publisher = Publisher::default();
         self.started_at = now;
     }
 
-    /// Moves on by one step; while `is_cut`, a third of the entries reach no control.
+    /// Simulates one step. If `is_cut`, a third of the entries reach no control.
     fn step(&mut self, now: u64, is_cut: bool) {
         let age = ms(now - self.started_at);
-        for (at, spender) in self.spenders.iter_mut().enumerate() {
-            // They ask one after the other.
-            let asks = now % POLL == at as u64 * STEP % POLL;
-            if asks && !(is_cut && at < CUT) {
-                spender.ask(ms(now), age, &mut self.publisher);
+        for (at, sender) in self.senders.iter_mut().enumerate() {
+            // The entries poll one after the other.
+            let is_due = now % POLL == at as u64 * STEP % POLL;
+            if is_due && !(is_cut && at < CUT_OFF) {
+                sender.poll(ms(now), age, &mut self.publisher);
             }
-            spender.settle(ms(now), self.burst);
+            sender.update_limits(ms(now), self.burst);
         }
         let named: Vec<_> = self.publisher.named(age).iter().map(|it| it.id.clone()).collect();
-        for spender in &mut self.spenders {
-            let every =
-                if named.contains(&spender.entry.id) { self.every.named } else { self.every.other };
-            for _ in (now..now + STEP).filter(|at| at % every == 0) {
-                self.sent.push((now, spender.send(ms(now))));
+        for sender in &mut self.senders {
+            let interval = if named.contains(&sender.entry.id) {
+                self.intervals.named
+            } else {
+                self.intervals.other
+            };
+            for _ in (now..now + STEP).filter(|at| at % interval == 0) {
+                self.sent.push((now, sender.send(ms(now))));
             }
         }
     }
 
-    /// Whether in no window more was tried again than is allowed.
+    /// Checks that the retries in every window stay within the budget.
     fn check(&self) {
         let window = WINDOW.as_millis() as u64;
         let last = self.sent.last().map_or(0, |(at, _)| *at);
@@ -176,22 +180,22 @@
     }
 }
 
-// Callers are told of three entries of 32, and some ask the others all the same: operators who
-// look whether a change is in force, and those who hold an old list. Upstreams are gone that no
-// control tells of, and each entry finds out by itself. With a burst meant for each of three, 32
-// entries sent 213 further tries for 671 requests where 190 were allowed.
+// Three of 32 entries are advertised, but some callers use the others: operators who check a
+// change, and callers with an old list. Upstreams are dead that no control reports. If each entry
+// takes the burst of one in three, 32 entries send 213 retries for 671 requests, and 190 are
+// allowed.
 #[test]
-fn spend_entries_not_named() {
-    let mut fleet = Fleet::new(BURST, Every { named: 100, other: 800 });
+fn budget_entries_not_advertised() {
+    let mut fleet = Fleet::new(BURST, Intervals { named: 100, other: 800 });
     (0..40_000).step_by(STEP as usize).for_each(|now| fleet.step(now, false));
     fleet.check();
 }
 
-// The control starts anew, each five seconds, and tells the entries that ask it first that they
-// are alone. None of them may take the whole burst for itself.
+// The control restarts every five seconds and reports too few entries to the first that poll it.
+// None of them may take the whole burst.
 #[test]
-fn spend_control_starts_anew() {
-    let mut fleet = Fleet::new(LARGE_BURST, Every { named: 5, other: DAY });
+fn budget_control_restarts() {
+    let mut fleet = Fleet::new(LARGE_BURST, Intervals { named: 5, other: ONE_DAY });
     for now in (0..60_000).step_by(STEP as usize) {
         if now > 20_000 && now % 5_000 == 0 {
             fleet.restart(now);
@@ -201,15 +205,15 @@
     fleet.check();
 }
 
-// A third of the entries lose all controls for a while, again and again, and serve on alone. The
-// others are told after a while that they are fewer, and must not share among them what those
-// that are cut off, or just back, still spend.
+// A third of the entries repeatedly lose all controls and keep serving. The others learn after a
+// while that they are fewer. They must not take over the shares that the partitioned entries, or
+// those just back, still spend.
 #[rstest]
 #[case::briefly(4_000)]
-#[case::until_others_are_told(17_000)]
+#[case::until_others_learn(17_000)]
 #[case::long(30_000)]
-fn spend_some_cut_off(#[case] span: u64) {
-    let mut fleet = Fleet::new(LARGE_BURST, Every { named: 200, other: 200 });
+fn budget_entries_partitioned(#[case] span: u64) {
+    let mut fleet = Fleet::new(LARGE_BURST, Intervals { named: 200, other: 200 });
     for now in (0..120_000).step_by(STEP as usize) {
         let is_cut = now > 20_000 && (now / span).is_multiple_of(2);
         fleet.step(now, is_cut);
@@ -217,10 +221,10 @@
     fleet.check();
 }
 
-// An entry that was cut off is told again. It has no part for a whole window, as the others may
-// just have spent what they shared among fewer.
+// A partitioned entry is updated again. It gets no share for a whole window, because the others
+// may just have spent its share.
 #[test]
-fn sharing_told_again() {
+fn participants_updated_again() {
     let mut participants = Participants::new(WINDOW);
     (0..20).for_each(|second| participants.update(ms(second * 1_000), 32));
     assert_eq!(participants.count(ms(19_000)), Some(32));
--- a/tests/suite/feed/publisher.rs
+++ b/tests/suite/feed/publisher.rs
@@ -1,4 +1,4 @@
-//! Which entries callers are told of.
+//! Advertised entries and updates of a control.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 use hemlockfield::fleet::State;
 use hemlockfield::health::Kind;
 
-const NORTH: usize = 12;
+const NORTH_ENTRIES: usize = 12;
 
 fn secs(count: u64) -> Duration {
     Duration::from_secs(count)
@@ -37,10 +37,10 @@
 }
 
 fn poll(publisher: &mut Publisher, now: Duration, entry: Entry) -> usize {
-    ask(publisher, now, entry).entries
+    poll_update(publisher, now, entry).entries
 }
 
-fn ask(publisher: &mut Publisher, now: Duration, entry: Entry) -> News {
+fn poll_update(publisher: &mut Publisher, now: Duration, entry: Entry) -> News {
     let catalog = Catalog::default();
     let ledger = ledger(&catalog);
     let poll = Poll { entry, known: 0, named: 0, sequence: 1, tallies: Tallies::default() };
@@ -51,12 +51,12 @@
 
 fn fleet(now: Duration) -> Publisher {
     let mut publisher = Publisher::default();
-    fleet_again(&mut publisher, now);
+    poll_all(&mut publisher, now);
     publisher
 }
 
-fn fleet_again(publisher: &mut Publisher, now: Duration) {
-    for at in 0..NORTH {
+fn poll_all(publisher: &mut Publisher, now: Duration) {
+    for at in 0..NORTH_ENTRIES {
         poll(publisher, now, entry(at, "north"));
     }
     poll(publisher, now, entry(0, "south"));
@@ -73,8 +73,8 @@
     }
 }
 
-// Twelve entries serve in one failure domain and one in another, under little load. Callers
-// are told of four and of the one; entries are told of five that share limits among them.
+// Twelve entries serve in one failure domain and one in another. Under little load, two of the
+// twelve and the other one are advertised, and updates give their number.
 #[test]
 fn named_little_load() {
     let mut publisher = fleet(secs(0));
@@ -84,23 +84,23 @@
     assert_eq!(poll(&mut publisher, secs(1), entry(1, "north")), 3);
 }
 
-// Load rises to 200 requests a second. Within seconds callers are told of more entries, so
-// that none of the two is overrun, and of fewer again when it has been quiet for a while.
+// The load rises to 200 requests per second. Within seconds more entries are advertised, so that
+// neither of the two is overloaded. After a quiet period there are fewer north_after.
 #[test]
 fn named_load_rises() {
     let mut publisher = fleet(secs(0));
     load(&mut publisher, 0, 200);
-    let again = |publisher: &mut Publisher, now| {
-        fleet_again(publisher, now);
+    let north_after = |publisher: &mut Publisher, now| {
+        poll_all(publisher, now);
         names(publisher, now).iter().filter(|name| name.starts_with("north")).count()
     };
-    assert_eq!(again(&mut publisher, secs(3)), 4);
-    assert_eq!(again(&mut publisher, secs(30)), 2);
+    assert_eq!(north_after(&mut publisher, secs(3)), 4);
+    assert_eq!(north_after(&mut publisher, secs(30)), 2);
 }
 
-// A large fleet has just started: 1,200 slots of upstreams, and no request yet. Callers that
-// come together find twelve entries instead of two, which they would overrun within a second;
-// once it has shown how few requests there are, they are told of two.
+// A large fleet has just started, with 1,200 slots of upstreams and no request yet. Twelve
+// entries are advertised, because callers that arrive together would overload two within a
+// second. Once the load is known to be low, two are advertised.
 #[test]
 fn named_before_any_load() {
     let mut publisher = fleet(secs(0));
@@ -110,28 +110,28 @@
     };
     assert_eq!(north(&publisher, secs(1)), 12);
     load(&mut publisher, 1, 30);
-    fleet_again(&mut publisher, secs(7));
+    poll_all(&mut publisher, secs(7));
     assert_eq!(north(&publisher, secs(7)), 2);
 }
 
-// Two entries are overrun: they refuse what they can't connect, and end next to nothing. What
-// callers send counts all the same, and more entries are named.
+// Two overloaded entries refuse requests and complete almost none. All arrivals count as load,
+// so more entries are advertised.
 #[test]
-fn named_overrun() {
+fn named_overloaded() {
     let mut publisher = fleet(secs(0));
     let refused = Tallies { arrivals: 300, ..Tallies::default() };
     publisher.gather(secs(0), &refused, true);
     assert_eq!(names(&publisher, secs(1)).len(), 6);
 }
 
-// Callers upload: 300 requests a second carry 6 KB each, over entries whose links take 2.1
-// Mbit/s. Two entries have processors for them all, but no link: their answers would come
-// seconds late. As many are named as use a fifth of their links, twelve for a third of it.
+// Callers upload 300 requests of 6 KB per second, and the link of an entry takes 2.1 Mbit/s. Two
+// entries have enough CPU but not enough bandwidth, and would answer seconds late. Enough entries
+// are advertised that each uses a fifth of its link: twelve per failure domain.
 #[test]
 fn named_narrow_links() {
     let mut publisher = Publisher::default();
     let room = Room::new(0.2, Some(2.1));
-    let again = |publisher: &mut Publisher, now| {
+    let north_after = |publisher: &mut Publisher, now| {
         let domains = ["east", "north", "south"];
         for (at, domain) in domains.iter().flat_map(|domain| (0..40).map(move |at| (at, domain))) {
             poll(publisher, now, Entry { room, ..entry(at, domain) });
@@ -142,14 +142,14 @@
         publisher.gather(secs(second), &tallies, true);
     }
     let now = Duration::from_millis(7900);
-    again(&mut publisher, now);
+    north_after(&mut publisher, now);
     let named = names(&publisher, now);
     let north = named.iter().filter(|name| name.starts_with("north")).count();
     assert_eq!((north, named.len()), (12, 36));
 }
 
-// One of the named entries leaves. Another takes its place, and the other one stays: callers
-// of it keep their connections.
+// One of the advertised entries leaves and another replaces it. The others stay advertised, so
+// that their callers keep their connections.
 #[test]
 fn named_one_leaves() {
     let mut publisher = fleet(secs(0));
@@ -164,26 +164,26 @@
     assert_eq!(after.iter().filter(|name| before.contains(name)).count(), before.len() - 1);
 }
 
-// An entry falls silent. It is named no longer than two rounds of questions and a lost one.
+// An entry stops polling. It is advertised for at most two polls and a lost one.
 #[test]
 fn named_silent_entry() {
     let publisher = fleet(secs(0));
     assert!(names(&publisher, secs(2)).is_empty());
 }
 
-// A control has just started and knows of the first entries only. It tells no list yet: all
-// callers would go to those. Later it tells the list to whoever has another one.
+// A control that has just started knows only the first entries. It sends no list yet, because
+// all callers would connect to those. Later it sends the list to entries with a different one.
 #[test]
 fn poll_named_entries() {
     let mut publisher = fleet(secs(0));
-    assert_eq!(ask(&mut publisher, secs(1), entry(1, "north")).named, None);
-    fleet_again(&mut publisher, secs(2));
-    let told = ask(&mut publisher, secs(2), entry(1, "north")).named.expect("a list");
+    assert_eq!(poll_update(&mut publisher, secs(1), entry(1, "north")).named, None);
+    poll_all(&mut publisher, secs(2));
+    let told = poll_update(&mut publisher, secs(2), entry(1, "north")).named.expect("a list");
     assert_eq!(told.len(), 3);
 }
 
-/// Entries of the north that are told at once of an answer that was cut.
-fn told_at_once(publisher: &mut Publisher, now: Duration) -> Vec<String> {
+/// Returns the entries that get a push when an answer was cut.
+fn pushed_to(publisher: &mut Publisher, now: Duration) -> Vec<String> {
     let mut cut = Tallies::default();
     cut.add(&"hull-01".into(), &Counts::from_outcome(Kind::Cut, Duration::ZERO));
     publisher.gather(now, &cut, false);
@@ -193,42 +193,42 @@
     sends.into_iter().map(|(id, _)| id.to_string()).collect()
 }
 
-// Twelve entries serve near by, and callers use two of them. An upstream cuts an answer. The
-// two hear of it at once; the others, which take no callers, with their next question. Told
-// each time, ten of twelve entries would spend their processors on news that they don't need.
+// Callers use two of twelve entries in a failure domain, and an upstream cuts an answer. The two
+// get a push; the idle ones learn of it with their next poll. Otherwise ten of twelve entries
+// would spend CPU on pushes that they do not need.
 #[test]
-fn pass_on_idle_entries() {
+fn push_idle_entries() {
     let mut publisher = fleet(secs(0));
     let named = names(&publisher, secs(1));
-    let mut told = told_at_once(&mut publisher, secs(1));
+    let mut told = pushed_to(&mut publisher, secs(1));
     told.sort();
     let mut wanted = named;
     wanted.sort();
     assert_eq!(told, wanted);
 }
 
-// Callers keep an old list and still use an entry that is named no more. It hears of broken
-// answers at once like the named ones, for as long as it gets requests.
+// Callers with an old list still use an entry that is no longer advertised. It gets pushes of
+// broken answers like the advertised ones, for as long as it gets requests.
 #[test]
-fn pass_on_old_list() {
+fn push_old_list() {
     let mut publisher = fleet(secs(0));
     let named = names(&publisher, secs(0));
-    let old = (0..NORTH).map(|at| entry(at, "north"));
+    let old = (0..NORTH_ENTRIES).map(|at| entry(at, "north"));
     let old = old.into_iter().find(|entry| !named.contains(&entry.id.to_string())).expect("one");
     let catalog = Catalog::default();
     let ledger = ledger(&catalog);
     let tallies = Tallies { arrivals: 3, ..Tallies::default() };
     let poll = Poll { entry: old.clone(), known: 0, named: 0, sequence: 1, tallies };
     publisher.poll(secs(1), poll, &ledger);
-    assert!(told_at_once(&mut publisher, secs(1)).contains(&old.id.to_string()));
-    fleet_again(&mut publisher, secs(5));
-    assert!(!told_at_once(&mut publisher, secs(5)).contains(&old.id.to_string()));
+    assert!(pushed_to(&mut publisher, secs(1)).contains(&old.id.to_string()));
+    poll_all(&mut publisher, secs(5));
+    assert!(!pushed_to(&mut publisher, secs(5)).contains(&old.id.to_string()));
 }
 
-// Upstreams cut answers every ten milliseconds. Entries are told of the first at once and of
-// the others together: at most twenty times a second, though a hundred are cut.
+// Upstreams cut an answer every ten milliseconds. The first is pushed at once and the others in
+// batches, at most twenty per second for a hundred cut answers.
 #[test]
-fn pass_on_many_cuts() {
+fn push_many_cuts() {
     let mut publisher = fleet(secs(0));
     let catalog = Catalog::default();
     let ledger = ledger(&catalog);
@@ -250,9 +250,9 @@
     assert!((10..=20).contains(&rounds), "{rounds}");
 }
 
-// Three failure domains with four entries each, and hardly any load: one in each is enough, so
-// that each sees a third of all answers. A fourth of the load that one can carry more, and a
-// second one is named.
+// Three failure domains have four entries each. Under little load, one in each is advertised and
+// sees a third of all answers. Once the load exceeds what three can carry, a second one in each is
+// advertised.
 #[test]
 fn named_three_domains() {
     let mut publisher = Publisher::default();
@@ -265,16 +265,16 @@
     assert_eq!(names(&publisher, secs(1)).len(), 6);
 }
 
-// Hundreds of upstreams answer callers each second, and one cuts an answer. An entry that takes
-// no callers hears with its next question of the one that was cut, which it must not use should
-// callers come, and of no other: 600 upstreams are more than a link's 3 KB a second hold.
+// Hundreds of upstreams answer each second and one cuts an answer. With its next poll, an idle
+// entry learns only of that one, which it must avoid if callers come. Tallies of 600 upstreams
+// would exceed the 3 KB per second of a link.
 #[test]
 fn poll_idle_entry() {
     let mut publisher = fleet(secs(0));
     let named = names(&publisher, secs(0));
-    let idle = (0..NORTH).map(|at| entry(at, "north"));
+    let idle = (0..NORTH_ENTRIES).map(|at| entry(at, "north"));
     let idle = idle.into_iter().find(|entry| !named.contains(&entry.id.to_string())).expect("one");
-    told_at_once(&mut publisher, secs(0));
+    pushed_to(&mut publisher, secs(0));
     let mut tallies = Tallies { arrivals: 600, ..Tallies::default() };
     for at in 0..600 {
         let kind = if at == 7 { Kind::Cut } else { Kind::Success };
@@ -282,7 +282,7 @@
         tallies.add(&id, &Counts::from_outcome(kind, Duration::from_millis(500)));
     }
     publisher.gather(Duration::from_millis(100), &tallies, false);
-    let heard = ask(&mut publisher, Duration::from_millis(200), idle).tallies.by_upstream;
+    let heard = poll_update(&mut publisher, Duration::from_millis(200), idle).tallies.by_upstream;
     let ids: Vec<&str> = heard.keys().map(AsRef::as_ref).collect();
     assert_eq!(ids, ["hull-01", "i-007"]);
 }
--- a/tests/suite/feed/subscriber.rs
+++ b/tests/suite/feed/subscriber.rs
@@ -1,4 +1,4 @@
-//! Which control an entry asks, and when it asks another.
+//! Polls, failover and updates of an entry.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -28,10 +28,10 @@
 }
 
 fn subscriber() -> Subscriber {
-    drawn(3)
+    subscriber_with_seed(3)
 }
 
-fn drawn(seed: u64) -> Subscriber {
+fn subscriber_with_seed(seed: u64) -> Subscriber {
     let me = Entry {
         callers: SocketAddr::from(([127, 0, 0, 1], 80)),
         domain: "north".into(),
@@ -61,7 +61,7 @@
     }
 }
 
-fn asked(outputs: &[Output]) -> Option<(&str, &Poll)> {
+fn sent_poll(outputs: &[Output]) -> Option<(&str, &Poll)> {
     outputs.iter().find_map(|output| match output {
         Output::Send(to, Message::Poll(poll)) => Some((to.as_str(), poll)),
         _ => None,
@@ -72,102 +72,101 @@
     subscriber.handle(now, Input::News(from.into(), Box::new(news)))
 }
 
-fn takes(outputs: &[Output]) -> bool {
+fn is_applied(outputs: &[Output]) -> bool {
     outputs.iter().any(|output| matches!(output, Output::Take(_)))
 }
 
-// An entry knows only three addresses at its start, and asks any of them. Once it is told where
-// the controls are it asks the one in its own failure domain: all news cross a border otherwise.
+// An entry starts with three seeds and polls any of them. Once it knows the failure domains of the
+// controls it polls the one in its own, so that updates do not cross failure domains.
 #[rstest]
-fn handle_near_control_known(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
-    let mut subscriber = drawn(seed);
+fn handle_local_control_known(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
+    let mut subscriber = subscriber_with_seed(seed);
     let outputs = subscriber.handle(ms(0), Input::Tick);
-    let (first, poll) = asked(&outputs).expect("a question");
+    let (first, poll) = sent_poll(&outputs).expect("a poll");
     let (first, sequence) = (first.to_owned(), poll.sequence);
     answer(&mut subscriber, ms(5), &first, news(sequence, 4));
     let outputs = subscriber.handle(ms(505), Input::Tick);
-    assert_eq!(asked(&outputs).expect("a question").0, "c3");
+    assert_eq!(sent_poll(&outputs).expect("a poll").0, "c3");
 }
 
-// The control that an entry asks is silent. It asks the next one within half a second, and the
-// silent one only when all others have failed too.
+// The polled control does not answer. The entry polls the next one within half a second, and the
+// silent one only after all others have failed.
 #[test]
 fn handle_silent_control() {
     let mut subscriber = subscriber();
     let mut order = Vec::new();
     for step in 0..3 {
         let outputs = subscriber.handle(ms(step * 350), Input::Tick);
-        order.push(asked(&outputs).expect("a question").0.to_owned());
+        order.push(sent_poll(&outputs).expect("a poll").0.to_owned());
     }
     order.sort();
     assert_eq!(order, SEEDS);
 }
 
-// A control that was cut off from the others answers, but has heard from no leader. What it
-// says may be old, so the entry asks another one soon. While no control has a leader, entries
-// ask ten times a second and not once a round trip: controls would have no time to elect one.
+// A partitioned control answers but has heard from no leader. Its update may be stale, so the
+// entry polls another one soon. Without any leader, entries poll ten times per second instead of
+// once per round trip, which would leave the controls no time to elect one.
 #[test]
-fn handle_control_cut_off() {
+fn handle_partitioned_control() {
     let mut subscriber = subscriber();
     let outputs = subscriber.handle(ms(0), Input::Tick);
-    let (first, poll) = asked(&outputs).expect("a question");
+    let (first, poll) = sent_poll(&outputs).expect("a poll");
     let (first, sequence) = (first.to_owned(), poll.sequence);
     let stale = News { fresh: false, ..news(sequence, 4) };
-    assert_eq!(asked(&answer(&mut subscriber, ms(5), &first, stale)), None);
+    assert_eq!(sent_poll(&answer(&mut subscriber, ms(5), &first, stale)), None);
     assert_eq!(subscriber.wake(), ms(105));
     let outputs = subscriber.handle(ms(105), Input::Tick);
-    assert_ne!(asked(&outputs).expect("another question").0, first);
+    assert_ne!(sent_poll(&outputs).expect("another poll").0, first);
     assert_eq!(subscriber.fresh_at(), None);
 }
 
-// News come out of order: older ones after newer ones. The older ones change nothing, and the
-// entry never goes back to an older configuration.
+// Updates arrive out of order. An older one changes nothing, so the entry never returns to an
+// older configuration.
 #[test]
-fn handle_older_news() {
+fn handle_older_update() {
     let mut subscriber = subscriber();
     subscriber.handle(ms(0), Input::Tick);
-    assert!(takes(&answer(&mut subscriber, ms(5), "c1", news(0, 9))));
-    assert!(!takes(&answer(&mut subscriber, ms(6), "c2", news(0, 7))));
+    assert!(is_applied(&answer(&mut subscriber, ms(5), "c1", news(0, 9))));
+    assert!(!is_applied(&answer(&mut subscriber, ms(6), "c2", news(0, 7))));
 }
 
-// News that begin after what the entry knows have a gap. They are left, and the next question
-// asks from what is known.
+// An update that starts after the known index has a gap. It is dropped, and the next poll asks
+// for changes since the known index.
 #[test]
-fn handle_news_with_gap() {
+fn handle_update_with_gap() {
     let mut subscriber = subscriber();
     let outputs = subscriber.handle(ms(0), Input::Tick);
-    let (to, poll) = asked(&outputs).expect("a question");
+    let (to, poll) = sent_poll(&outputs).expect("a poll");
     let (to, sequence) = (to.to_owned(), poll.sequence);
     let gap = News { base: 5, ..news(sequence, 9) };
-    assert!(!takes(&answer(&mut subscriber, ms(5), &to, gap)));
+    assert!(!is_applied(&answer(&mut subscriber, ms(5), &to, gap)));
     let outputs = subscriber.handle(ms(505), Input::Tick);
-    assert_eq!(asked(&outputs).expect("a question").1.known, 0);
+    assert_eq!(sent_poll(&outputs).expect("a poll").1.known, 0);
 }
 
-// A caller receives a cut answer. The entry tells at once, and not with its next question: the
-// next caller of another entry would lose a request at the same upstream.
+// A caller receives a cut answer. The entry reports it at once instead of with its next regular
+// poll, or the next caller of another entry would lose a request at the same upstream.
 #[test]
 fn note_broken_answer() {
     let mut subscriber = subscriber();
     let outputs = subscriber.handle(ms(0), Input::Tick);
-    let (to, poll) = asked(&outputs).expect("a question");
+    let (to, poll) = sent_poll(&outputs).expect("a poll");
     let (to, sequence) = (to.to_owned(), poll.sequence);
     answer(&mut subscriber, ms(5), &to, news(sequence, 4));
     subscriber.note(ms(100), &"hull-1".into(), &Counts::from_outcome(Kind::Cut, ms(3)));
     assert!(subscriber.wake() <= ms(130));
     let outputs = subscriber.handle(subscriber.wake(), Input::Tick);
-    let (_, poll) = asked(&outputs).expect("a question");
+    let (_, poll) = sent_poll(&outputs).expect("a poll");
     assert_eq!(poll.tallies.by_upstream["hull-1"].broken, 1);
 }
 
-// Entries tell callers which entries to use: while all controls are down, callers would find
-// nobody to ask. An entry keeps the last list that it was told, and says which one it has, so
-// that it isn't sent again and again.
+// Entries advertise entries to callers even while all controls are down. An entry keeps the last
+// list that it got and polls with its digest, so that the list is not sent again.
 #[test]
 fn handle_named_entries() {
     let mut subscriber = subscriber();
     let outputs = subscriber.handle(ms(0), Input::Tick);
-    let (to, poll) = asked(&outputs).expect("a question");
+    let (to, poll) = sent_poll(&outputs).expect("a poll");
     assert_eq!(poll.named, 0);
     let (to, sequence) = (to.to_owned(), poll.sequence);
     let named = vec![poll.entry.clone()];
@@ -175,5 +174,5 @@
     let outputs = answer(&mut subscriber, ms(5), &to, told);
     assert!(outputs.contains(&Output::Name(named)));
     let outputs = subscriber.handle(ms(505), Input::Tick);
-    assert_ne!(asked(&outputs).expect("a question").1.named, 0);
+    assert_ne!(sent_poll(&outputs).expect("a poll").1.named, 0);
 }
