--- a/src/feed.rs
+++ b/src/feed.rs
@@ -5,6 +5,7 @@
 //! is new, so a change that a control forgets or the network loses is late by at most one poll.
 //! A control that has lost the leader says so, and the entry polls another one.
 
+mod capacity;
 mod control;
 mod entry;
 mod input;
@@ -14,10 +15,11 @@
 mod publisher;
 mod rate;
 mod ready;
-mod room;
 mod subscriber;
 mod tallies;
 
+pub use capacity::Capacity;
+pub use capacity::Load;
 pub use control::Control;
 pub use entry::Entry;
 pub use input::Input;
@@ -30,7 +32,5 @@
 pub use publisher::WARM_UP;
 pub use rate::Rate;
 pub use ready::Ready;
-pub use room::Load;
-pub use room::Room;
 pub use subscriber::Subscriber;
 pub use tallies::Tallies;
--- a/src/feed/room.rs
+++ b/src/feed/capacity.rs
@@ -17,21 +17,21 @@
 
 /// Load that an entry is sized for.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
-pub struct Room {
+pub struct Capacity {
     /// Bytes per second of bodies, in one direction.
     pub bytes: u64,
     /// Requests per second.
     pub requests: u32,
 }
 
-impl Default for Room {
+impl Default for Capacity {
     /// Capacity of a tenth of a core and an unlimited link.
     fn default() -> Self {
         Self::new(0.1, None)
     }
 }
 
-impl Room {
+impl Capacity {
     /// Creates the capacity of a process from its CPU cores and its link in Mbit/s, if known.
     pub fn new(cores: f64, link: Option<f64>) -> Self {
         let bytes = link.map_or(u64::MAX, |link| (link * BYTES_PER_MEGABIT * LINK_SHARE) as u64);
--- a/src/feed/entry.rs
+++ b/src/feed/entry.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 use xxhash_rust::xxh3::Xxh3;
 
-use super::Room;
+use super::Capacity;
 use crate::fleet::State;
 use crate::id::DomainId;
 use crate::id::NodeId;
@@ -23,7 +23,7 @@
     /// Id of the entry.
     pub id: NodeId,
     /// Load that the entry is sized for.
-    pub room: Room,
+    pub room: Capacity,
     /// Whether the entry accepts callers.
     pub state: State,
 }
--- a/src/node/feed_core/setup.rs
+++ b/src/node/feed_core/setup.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crate::boundary::Boundary;
-use crate::feed::Room;
+use crate::feed::Capacity;
 use crate::id::DomainId;
 use crate::id::NodeId;
 use crate::node::Controller;
@@ -28,7 +28,7 @@
     /// The log, at a control.
     pub(in crate::node) controller: Option<Controller>,
     /// How much it is meant to carry, at an entry.
-    pub(in crate::node) room: Room,
+    pub(in crate::node) room: Capacity,
     /// Span over which further tries count, at an entry.
     pub(in crate::node) retry_window: Duration,
     /// Seed of all that is drawn.
--- a/src/node/make.rs
+++ b/src/node/make.rs
@@ -10,7 +10,7 @@
 use crate::boundary::Own;
 use crate::clock::Moment;
 use crate::config;
-use crate::feed::Room;
+use crate::feed::Capacity;
 use crate::fleet;
 use crate::id::NodeId;
 use crate::platform::Platform;
@@ -78,7 +78,7 @@
         is_control: settings.has(Role::Control),
         is_entry: settings.has(Role::Entry),
         controller,
-        room: Room::new(settings.limits.processor, settings.limits.link),
+        room: Capacity::new(settings.limits.processor, settings.limits.link),
         retry_window: settings.retry.window,
         seed: rand::random(),
         seeds: seed_ids(settings),
--- a/tests/suite/feed/budget.rs
+++ b/tests/suite/feed/budget.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 
 use hemlockfield::catalog::Catalog;
+use hemlockfield::feed::Capacity;
 use hemlockfield::feed::Entry;
 use hemlockfield::feed::Ledger;
 use hemlockfield::feed::Message;
 use hemlockfield::feed::Poll;
 use hemlockfield::feed::Publisher;
-use hemlockfield::feed::Room;
 use hemlockfield::feed::Tallies;
 use hemlockfield::fleet::State;
 use hemlockfield::retry::Attempt;
@@ -52,7 +52,7 @@
         callers: ([127, 0, 0, 1], at as u16).into(),
         domain: compact_str::format_compact!("domain-{}", at % 3),
         id: compact_str::format_compact!("entry-{at}"),
-        room: Room::default(),
+        room: Capacity::default(),
         state: State::Serving,
     }
 }
--- a/tests/suite/feed/publisher.rs
+++ b/tests/suite/feed/publisher.rs
@@ -5,13 +5,13 @@
 
 use hemlockfield::breaker::Counts;
 use hemlockfield::catalog::Catalog;
+use hemlockfield::feed::Capacity;
 use hemlockfield::feed::Entry;
 use hemlockfield::feed::Ledger;
 use hemlockfield::feed::Message;
 use hemlockfield::feed::News;
 use hemlockfield::feed::Poll;
 use hemlockfield::feed::Publisher;
-use hemlockfield::feed::Room;
 use hemlockfield::feed::Tallies;
 use hemlockfield::fleet::State;
 use hemlockfield::health::Kind;
@@ -27,7 +27,7 @@
         callers: SocketAddr::from(([127, 0, 0, 1], at as u16)),
         domain: domain.into(),
         id: compact_str::format_compact!("{domain}-{at}"),
-        room: Room::default(),
+        room: Capacity::default(),
         state: State::Serving,
     }
 }
@@ -130,7 +130,7 @@
 #[test]
 fn named_narrow_links() {
     let mut publisher = Publisher::default();
-    let room = Room::new(0.2, Some(2.1));
+    let room = Capacity::new(0.2, Some(2.1));
     let north_after = |publisher: &mut Publisher, now| {
         let domains = ["east", "north", "south"];
         for (at, domain) in domains.iter().flat_map(|domain| (0..40).map(move |at| (at, domain))) {
--- a/tests/suite/feed/subscriber.rs
+++ b/tests/suite/feed/subscriber.rs
@@ -5,6 +5,7 @@
 
 use hemlockfield::breaker::Counts;
 use hemlockfield::catalog::Delta;
+use hemlockfield::feed::Capacity;
 use hemlockfield::feed::Control;
 use hemlockfield::feed::Entry;
 use hemlockfield::feed::Input;
@@ -12,7 +13,6 @@
 use hemlockfield::feed::News;
 use hemlockfield::feed::Output;
 use hemlockfield::feed::Poll;
-use hemlockfield::feed::Room;
 use hemlockfield::feed::Subscriber;
 use hemlockfield::feed::Tallies;
 use hemlockfield::fleet::State;
@@ -36,7 +36,7 @@
         callers: SocketAddr::from(([127, 0, 0, 1], 80)),
         domain: "north".into(),
         id: "e1".into(),
-        room: Room::default(),
+        room: Capacity::default(),
         state: State::Serving,
     };
     let seeds = SEEDS.iter().map(|seed| (*seed).into()).collect();
