--- a/src/feed/input.rs
+++ b/src/feed/input.rs
@@ -2,15 +2,15 @@
 
 use super::Entry;
 use super::Message;
-use super::News;
 use super::Tallies;
+use super::Update;
 use crate::id::NodeId;
 
 /// Event that a subscriber handles.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// Update from a control, polled or pushed.
-    News(NodeId, Box<News>),
+    News(NodeId, Box<Update>),
     /// Time has passed.
     Tick,
 }
@@ -25,5 +25,5 @@
     /// Send a message to a control.
     Send(NodeId, Message),
     /// Apply an update, which is at least as new as all before it.
-    Take(Box<News>),
+    Take(Box<Update>),
 }
--- a/src/feed/message.rs
+++ b/src/feed/message.rs
@@ -4,10 +4,10 @@
 use serde::Serialize;
 
 use super::Control;
-use super::News;
 use super::Poll;
 use super::Ready;
 use super::Tallies;
+use super::Update;
 use crate::id::NodeId;
 use crate::quorum::DiskId;
 use crate::quota;
@@ -32,7 +32,7 @@
         leader: Option<NodeId>,
     },
     /// An update from a control, polled or pushed.
-    News(Box<News>),
+    News(Box<Update>),
     /// An entry's poll.
     Poll(Poll),
     /// Results that callers of the sender's entries received, forwarded to another control.
--- a/src/feed/publisher.rs
+++ b/src/feed/publisher.rs
@@ -10,11 +10,11 @@
 use super::Entry;
 use super::Load;
 use super::Message;
-use super::News;
 use super::Poll;
 use super::Rate;
 use super::Ready;
 use super::Tallies;
+use super::Update;
 use super::entry;
 use crate::catalog::Catalog;
 use crate::clock::Moment;
@@ -136,9 +136,9 @@
             tallies: Tallies::default(),
         };
         self.subscriptions.insert(id.clone(), subscription);
-        let mut news = self.update(now, poll.known, poll.sequence, tallies, ledger);
-        news.named = self.changed_advertised(now, poll.named);
-        vec![(id, Message::News(Box::new(news)))]
+        let mut update = self.update(now, poll.known, poll.sequence, tallies, ledger);
+        update.named = self.changed_advertised(now, poll.named);
+        vec![(id, Message::News(Box::new(update)))]
     }
 
     /// Replaces the entries that another control reports.
@@ -281,9 +281,9 @@
         sequence: u64,
         tallies: Tallies,
         ledger: &Ledger<'_>,
-    ) -> News {
+    ) -> Update {
         let configuration = ledger.configuration.filter(|(_, since)| *since > base);
-        News {
+        Update {
             base,
             configuration: configuration.map(|(version, _)| version.clone()),
             controls: ledger.controls.clone(),
@@ -362,7 +362,7 @@
         let Some(subscription) = self.subscriptions.get_mut(id) else { return };
         subscription.known = known.max(ledger.applied);
         let tallies = std::mem::take(&mut subscription.tallies);
-        let news = self.update(now, known, 0, tallies, ledger);
-        sends.push((id.clone(), Message::News(Box::new(news))));
+        let update = self.update(now, known, 0, tallies, ledger);
+        sends.push((id.clone(), Message::News(Box::new(update))));
     }
 }
--- a/src/feed/subscriber.rs
+++ b/src/feed/subscriber.rs
@@ -11,10 +11,10 @@
 use super::Entry;
 use super::Input;
 use super::Message;
-use super::News;
 use super::Output;
 use super::Poll;
 use super::Tallies;
+use super::Update;
 use super::entry;
 use crate::breaker::Counts;
 use crate::clock::Moment;
@@ -82,7 +82,7 @@
     pub fn handle(&mut self, now: Moment, input: Input) -> Vec<Output> {
         let mut outputs = Vec::new();
         match input {
-            Input::News(from, news) => self.receive(now, &from, news, &mut outputs),
+            Input::News(from, update) => self.receive(now, &from, update, &mut outputs),
             Input::Tick => {}
         }
         self.poll_if_due(now, &mut outputs);
@@ -131,15 +131,21 @@
         self.fresh_at
     }
 
-    fn receive(&mut self, now: Moment, from: &NodeId, news: Box<News>, outputs: &mut Vec<Output>) {
-        let is_answer = self.in_flight.is_some_and(|(sequence, _)| sequence == news.sequence);
+    fn receive(
+        &mut self,
+        now: Moment,
+        from: &NodeId,
+        update: Box<Update>,
+        outputs: &mut Vec<Output>,
+    ) {
+        let is_answer = self.in_flight.is_some_and(|(sequence, _)| sequence == update.sequence);
         if is_answer {
             self.in_flight = None;
             let delay = if self.tallies.is_urgent() { MIN_URGENT_INTERVAL } else { POLL_INTERVAL };
             self.poll_at = now + delay;
         }
-        let is_stale = news.known < self.known;
-        if news.fresh && !is_stale {
+        let is_stale = update.known < self.known;
+        if update.fresh && !is_stale {
             self.fresh_at = Some(now);
             self.failed_at.remove(from);
         } else if self.current.as_ref() == Some(from) {
@@ -148,22 +154,22 @@
             self.mark_failed(now);
             self.poll_at = now + RETRY_DELAY;
         }
-        if !news.controls.is_empty() {
-            self.controls = news.controls.iter().cloned().collect();
+        if !update.controls.is_empty() {
+            self.controls = update.controls.iter().cloned().collect();
         }
-        if !news.tallies.is_empty() {
-            outputs.push(Output::Note(news.tallies.clone()));
+        if !update.tallies.is_empty() {
+            outputs.push(Output::Note(update.tallies.clone()));
         }
         self.prefer_local_control(now);
-        if let Some(entries) = &news.named {
+        if let Some(entries) = &update.named {
             self.named_digest = entry::digest(entries);
             outputs.push(Output::Name(entries.clone()));
         }
-        if is_stale || news.base > self.known {
+        if is_stale || update.base > self.known {
             return;
         }
-        self.known = news.known;
-        outputs.push(Output::Take(news));
+        self.known = update.known;
+        outputs.push(Output::Take(update));
     }
 
     /// Drops a control in another failure domain once one in this domain is usable. Entries learn
--- a/src/feed/news.rs
+++ b/src/feed/update.rs
@@ -12,7 +12,7 @@
 
 /// Changes since the log index that an entry knows.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct News {
+pub struct Update {
     /// Log index that the changes start from. For an entry that knows less, changes are missing.
     pub base: Index,
     /// The configuration in force, if it changed.
--- a/src/node/feed_core/spoke.rs
+++ b/src/node/feed_core/spoke.rs
@@ -18,9 +18,9 @@
 use crate::directory;
 use crate::feed;
 use crate::feed::Message;
-use crate::feed::News;
 use crate::feed::Subscriber;
 use crate::feed::Tallies;
+use crate::feed::Update;
 use crate::fleet;
 use crate::health;
 use crate::id::NodeId;
@@ -242,7 +242,7 @@
         }
     }
 
-    fn take(&mut self, now: Moment, news: News, outputs: &mut Vec<Output>) {
+    fn take(&mut self, now: Moment, news: Update, outputs: &mut Vec<Output>) {
         self.entries = news.entries.max(1);
         if news.fresh {
             self.participants.update(now, news.serving);
--- a/tests/suite/feed/budget.rs
+++ b/tests/suite/feed/budget.rs
@@ -84,8 +84,10 @@
             tallies: Tallies::default(),
         };
         let sends = publisher.poll(age, poll, &ledger);
-        let Some((_, Message::News(news))) = sends.into_iter().next() else { panic!("no answer") };
-        self.participants.update(now, news.serving);
+        let Some((_, Message::News(update))) = sends.into_iter().next() else {
+            panic!("no answer")
+        };
+        self.participants.update(now, update.serving);
     }
 
     /// Sets the retry limits from the known number of entries.
--- a/tests/suite/feed/publisher.rs
+++ b/tests/suite/feed/publisher.rs
@@ -9,10 +9,10 @@
 use hemlockfield::feed::Entry;
 use hemlockfield::feed::Ledger;
 use hemlockfield::feed::Message;
-use hemlockfield::feed::News;
 use hemlockfield::feed::Poll;
 use hemlockfield::feed::Publisher;
 use hemlockfield::feed::Tallies;
+use hemlockfield::feed::Update;
 use hemlockfield::fleet::State;
 use hemlockfield::health::Kind;
 
@@ -40,13 +40,13 @@
     poll_update(publisher, now, entry).entries
 }
 
-fn poll_update(publisher: &mut Publisher, now: Duration, entry: Entry) -> News {
+fn poll_update(publisher: &mut Publisher, now: Duration, entry: Entry) -> Update {
     let catalog = Catalog::default();
     let ledger = ledger(&catalog);
     let poll = Poll { entry, known: 0, named: 0, sequence: 1, tallies: Tallies::default() };
     let sends = publisher.poll(now, poll, &ledger);
-    let Some((_, Message::News(news))) = sends.into_iter().next() else { panic!("no answer") };
-    *news
+    let Some((_, Message::News(update))) = sends.into_iter().next() else { panic!("no answer") };
+    *update
 }
 
 fn fleet(now: Duration) -> Publisher {
--- a/tests/suite/feed/subscriber.rs
+++ b/tests/suite/feed/subscriber.rs
@@ -10,11 +10,11 @@
 use hemlockfield::feed::Entry;
 use hemlockfield::feed::Input;
 use hemlockfield::feed::Message;
-use hemlockfield::feed::News;
 use hemlockfield::feed::Output;
 use hemlockfield::feed::Poll;
 use hemlockfield::feed::Subscriber;
 use hemlockfield::feed::Tallies;
+use hemlockfield::feed::Update;
 use hemlockfield::fleet::State;
 use hemlockfield::health::Kind;
 use rand::SeedableRng;
@@ -43,10 +43,10 @@
     Subscriber::new(ms(0), me, seeds, ChaCha8Rng::seed_from_u64(seed))
 }
 
-fn news(sequence: u64, known: u64) -> News {
+fn update(sequence: u64, known: u64) -> Update {
     let domains = ["south", "east", "north"];
     let control = |(id, domain): (&&str, &str)| Control { domain: domain.into(), id: (*id).into() };
-    News {
+    Update {
         base: 0,
         configuration: None,
         controls: SEEDS.iter().zip(domains).map(control).collect(),
@@ -68,8 +68,8 @@
     })
 }
 
-fn answer(subscriber: &mut Subscriber, now: Duration, from: &str, news: News) -> Vec<Output> {
-    subscriber.handle(now, Input::News(from.into(), Box::new(news)))
+fn answer(subscriber: &mut Subscriber, now: Duration, from: &str, update: Update) -> Vec<Output> {
+    subscriber.handle(now, Input::News(from.into(), Box::new(update)))
 }
 
 fn is_applied(outputs: &[Output]) -> bool {
@@ -84,7 +84,7 @@
     let outputs = subscriber.handle(ms(0), Input::Tick);
     let (first, poll) = sent_poll(&outputs).expect("a poll");
     let (first, sequence) = (first.to_owned(), poll.sequence);
-    answer(&mut subscriber, ms(5), &first, news(sequence, 4));
+    answer(&mut subscriber, ms(5), &first, update(sequence, 4));
     let outputs = subscriber.handle(ms(505), Input::Tick);
     assert_eq!(sent_poll(&outputs).expect("a poll").0, "c3");
 }
@@ -112,7 +112,7 @@
     let outputs = subscriber.handle(ms(0), Input::Tick);
     let (first, poll) = sent_poll(&outputs).expect("a poll");
     let (first, sequence) = (first.to_owned(), poll.sequence);
-    let stale = News { fresh: false, ..news(sequence, 4) };
+    let stale = Update { fresh: false, ..update(sequence, 4) };
     assert_eq!(sent_poll(&answer(&mut subscriber, ms(5), &first, stale)), None);
     assert_eq!(subscriber.wake(), ms(105));
     let outputs = subscriber.handle(ms(105), Input::Tick);
@@ -126,8 +126,8 @@
 fn handle_older_update() {
     let mut subscriber = subscriber();
     subscriber.handle(ms(0), Input::Tick);
-    assert!(is_applied(&answer(&mut subscriber, ms(5), "c1", news(0, 9))));
-    assert!(!is_applied(&answer(&mut subscriber, ms(6), "c2", news(0, 7))));
+    assert!(is_applied(&answer(&mut subscriber, ms(5), "c1", update(0, 9))));
+    assert!(!is_applied(&answer(&mut subscriber, ms(6), "c2", update(0, 7))));
 }
 
 // An update that starts after the known index has a gap. It is dropped, and the next poll asks
@@ -138,7 +138,7 @@
     let outputs = subscriber.handle(ms(0), Input::Tick);
     let (to, poll) = sent_poll(&outputs).expect("a poll");
     let (to, sequence) = (to.to_owned(), poll.sequence);
-    let gap = News { base: 5, ..news(sequence, 9) };
+    let gap = Update { base: 5, ..update(sequence, 9) };
     assert!(!is_applied(&answer(&mut subscriber, ms(5), &to, gap)));
     let outputs = subscriber.handle(ms(505), Input::Tick);
     assert_eq!(sent_poll(&outputs).expect("a poll").1.known, 0);
@@ -152,7 +152,7 @@
     let outputs = subscriber.handle(ms(0), Input::Tick);
     let (to, poll) = sent_poll(&outputs).expect("a poll");
     let (to, sequence) = (to.to_owned(), poll.sequence);
-    answer(&mut subscriber, ms(5), &to, news(sequence, 4));
+    answer(&mut subscriber, ms(5), &to, update(sequence, 4));
     subscriber.note(ms(100), &"hull-1".into(), &Counts::from_outcome(Kind::Cut, ms(3)));
     assert!(subscriber.wake() <= ms(130));
     let outputs = subscriber.handle(subscriber.wake(), Input::Tick);
@@ -170,7 +170,7 @@
     assert_eq!(poll.named, 0);
     let (to, sequence) = (to.to_owned(), poll.sequence);
     let named = vec![poll.entry.clone()];
-    let told = News { named: Some(named.clone()), ..news(sequence, 4) };
+    let told = Update { named: Some(named.clone()), ..update(sequence, 4) };
     let outputs = answer(&mut subscriber, ms(5), &to, told);
     assert!(outputs.contains(&Output::Name(named)));
     let outputs = subscriber.handle(ms(505), Input::Tick);
