--- a/src/feed/publisher.rs
+++ b/src/feed/publisher.rs
@@ -64,7 +64,7 @@
 
 /// Committed state of a control, from which updates are made.
 #[derive(Debug)]
-pub struct Ledger<'a> {
+pub struct Snapshot<'a> {
     /// Log index up to which all commands are applied.
     pub applied: Index,
     /// Table of upstreams.
@@ -114,14 +114,19 @@
 
 impl Publisher {
     /// Answers a poll of an entry.
-    pub fn poll(&mut self, now: Moment, poll: Poll, ledger: &Ledger<'_>) -> Vec<(NodeId, Message)> {
+    pub fn poll(
+        &mut self,
+        now: Moment,
+        poll: Poll,
+        snapshot: &Snapshot<'_>,
+    ) -> Vec<(NodeId, Message)> {
         let id = poll.entry.id.clone();
         let before = self.subscriptions.get(&id).map(|subscription| subscription.entry.state);
         if before != Some(poll.entry.state) {
             self.has_moved = true;
         }
         self.reported.remove(&id);
-        let known = ledger.applied.max(poll.known);
+        let known = snapshot.applied.max(poll.known);
         let before = self.subscriptions.remove(&id);
         self.gather(now, &poll.tallies, true);
         let requested_at = (poll.tallies.arrivals > 0).then_some(now);
@@ -136,7 +141,7 @@
             tallies: Tallies::default(),
         };
         self.subscriptions.insert(id.clone(), subscription);
-        let mut update = self.update(now, poll.known, poll.sequence, tallies, ledger);
+        let mut update = self.update(now, poll.known, poll.sequence, tallies, snapshot);
         update.named = self.changed_advertised(now, poll.named);
         vec![(id, Message::News(Box::new(update)))]
     }
@@ -184,13 +189,13 @@
     }
 
     /// Returns the pushes and forwarded tallies that are due.
-    pub fn tick(&mut self, now: Moment, ledger: &Ledger<'_>) -> Vec<(NodeId, Message)> {
+    pub fn tick(&mut self, now: Moment, snapshot: &Snapshot<'_>) -> Vec<(NodeId, Message)> {
         let mut sends = Vec::new();
         if self.push_at.is_some_and(|at| at <= now) {
-            self.push(now, ledger, &mut sends);
+            self.push(now, snapshot, &mut sends);
         }
         if self.forward_at.is_some_and(|at| at <= now) {
-            self.forward_tallies(now, ledger, &mut sends);
+            self.forward_tallies(now, snapshot, &mut sends);
         }
         sends
     }
@@ -280,29 +285,29 @@
         base: Index,
         sequence: u64,
         tallies: Tallies,
-        ledger: &Ledger<'_>,
+        snapshot: &Snapshot<'_>,
     ) -> Update {
-        let configuration = ledger.configuration.filter(|(_, since)| *since > base);
+        let configuration = snapshot.configuration.filter(|(_, since)| *since > base);
         Update {
             base,
             configuration: configuration.map(|(version, _)| version.clone()),
-            controls: ledger.controls.clone(),
+            controls: snapshot.controls.clone(),
             entries: self.named(now).len(),
-            fresh: ledger.fresh,
-            known: ledger.applied,
+            fresh: snapshot.fresh,
+            known: snapshot.applied,
             named: None,
             sequence,
             serving: self.serving(now).count(),
             tallies,
-            upstreams: ledger.catalog.since(base),
+            upstreams: snapshot.catalog.since(base),
         }
     }
 
-    fn push(&mut self, now: Moment, ledger: &Ledger<'_>, sends: &mut Vec<(NodeId, Message)>) {
+    fn push(&mut self, now: Moment, snapshot: &Snapshot<'_>, sends: &mut Vec<(NodeId, Message)>) {
         self.push_at = None;
         self.pushed_at = now;
         let due = |subscription: &&Subscription| {
-            now < subscription.last_poll_at + POLL_EXPIRY && subscription.known < ledger.applied
+            now < subscription.last_poll_at + POLL_EXPIRY && subscription.known < snapshot.applied
         };
         let outdated: Vec<(NodeId, Index)> = self
             .subscriptions
@@ -311,7 +316,7 @@
             .map(|subscription| (subscription.entry.id.clone(), subscription.known))
             .collect();
         for (id, known) in outdated {
-            self.push_to(now, &id, known, ledger, sends);
+            self.push_to(now, &id, known, snapshot, sends);
         }
     }
 
@@ -320,14 +325,14 @@
     fn forward_tallies(
         &mut self,
         now: Moment,
-        ledger: &Ledger<'_>,
+        snapshot: &Snapshot<'_>,
         sends: &mut Vec<(NodeId, Message)>,
     ) {
         self.forward_at = None;
         self.forwarded_at = now;
         let batch = std::mem::take(&mut self.unforwarded);
         if !batch.is_empty() {
-            let others = ledger.controls.iter().map(|control| control.id.clone());
+            let others = snapshot.controls.iter().map(|control| control.id.clone());
             sends.extend(others.map(|id| (id, Message::Tallies(batch.clone()))));
         }
         self.last_advertised = self.named(now).into_iter().map(|entry| entry.id.clone()).collect();
@@ -346,7 +351,7 @@
             .map(|subscription| (subscription.entry.id.clone(), subscription.known))
             .collect();
         for (id, known) in urgent {
-            self.push_to(now, &id, known, ledger, sends);
+            self.push_to(now, &id, known, snapshot, sends);
         }
     }
 
@@ -356,13 +361,13 @@
         now: Moment,
         id: &NodeId,
         known: Index,
-        ledger: &Ledger<'_>,
+        snapshot: &Snapshot<'_>,
         sends: &mut Vec<(NodeId, Message)>,
     ) {
         let Some(subscription) = self.subscriptions.get_mut(id) else { return };
-        subscription.known = known.max(ledger.applied);
+        subscription.known = known.max(snapshot.applied);
         let tallies = std::mem::take(&mut subscription.tallies);
-        let update = self.update(now, known, 0, tallies, ledger);
+        let update = self.update(now, known, 0, tallies, snapshot);
         sends.push((id.clone(), Message::News(Box::new(update))));
     }
 }
--- a/src/node/feed_core/hub.rs
+++ b/src/node/feed_core/hub.rs
@@ -11,10 +11,10 @@
 use crate::config::Version;
 use crate::directory;
 use crate::feed::Control;
-use crate::feed::Ledger;
 use crate::feed::Message;
 use crate::feed::Publisher;
 use crate::feed::Ready;
+use crate::feed::Snapshot;
 use crate::id::Index;
 use crate::id::NodeId;
 use crate::node::Controller;
@@ -478,11 +478,17 @@
     controller: Option<&'a Controller>,
     blank: &'a Catalog,
     controls: Vec<Control>,
-) -> Ledger<'a> {
+) -> Snapshot<'a> {
     let Some(controller) = controller else {
-        return Ledger { applied: 0, catalog: blank, configuration: None, controls, fresh: false };
+        return Snapshot {
+            applied: 0,
+            catalog: blank,
+            configuration: None,
+            controls,
+            fresh: false,
+        };
     };
-    Ledger {
+    Snapshot {
         applied: controller.applied(),
         catalog: controller.catalog(),
         configuration: controller.configuration(),
--- a/tests/suite/feed/budget.rs
+++ b/tests/suite/feed/budget.rs
@@ -5,10 +5,10 @@
 use hemlockfield::catalog::Catalog;
 use hemlockfield::feed::Capacity;
 use hemlockfield::feed::Entry;
-use hemlockfield::feed::Ledger;
 use hemlockfield::feed::Message;
 use hemlockfield::feed::Poll;
 use hemlockfield::feed::Publisher;
+use hemlockfield::feed::Snapshot;
 use hemlockfield::feed::Tallies;
 use hemlockfield::fleet::State;
 use hemlockfield::retry::Attempt;
@@ -74,8 +74,8 @@
     fn poll(&mut self, now: Duration, age: Duration, publisher: &mut Publisher) {
         let catalog = Catalog::default();
         let controls = Vec::new();
-        let ledger =
-            Ledger { applied: 0, catalog: &catalog, configuration: None, controls, fresh: true };
+        let snapshot =
+            Snapshot { applied: 0, catalog: &catalog, configuration: None, controls, fresh: true };
         let poll = Poll {
             entry: self.entry.clone(),
             known: 0,
@@ -83,7 +83,7 @@
             sequence: 1,
             tallies: Tallies::default(),
         };
-        let sends = publisher.poll(age, poll, &ledger);
+        let sends = publisher.poll(age, poll, &snapshot);
         let Some((_, Message::News(update))) = sends.into_iter().next() else {
             panic!("no answer")
         };
--- a/tests/suite/feed/publisher.rs
+++ b/tests/suite/feed/publisher.rs
@@ -7,10 +7,10 @@
 use hemlockfield::catalog::Catalog;
 use hemlockfield::feed::Capacity;
 use hemlockfield::feed::Entry;
-use hemlockfield::feed::Ledger;
 use hemlockfield::feed::Message;
 use hemlockfield::feed::Poll;
 use hemlockfield::feed::Publisher;
+use hemlockfield::feed::Snapshot;
 use hemlockfield::feed::Tallies;
 use hemlockfield::feed::Update;
 use hemlockfield::fleet::State;
@@ -32,8 +32,8 @@
     }
 }
 
-fn ledger(catalog: &Catalog) -> Ledger<'_> {
-    Ledger { applied: 0, catalog, configuration: None, controls: Vec::new(), fresh: true }
+fn snapshot(catalog: &Catalog) -> Snapshot<'_> {
+    Snapshot { applied: 0, catalog, configuration: None, controls: Vec::new(), fresh: true }
 }
 
 fn poll(publisher: &mut Publisher, now: Duration, entry: Entry) -> usize {
@@ -42,9 +42,9 @@
 
 fn poll_update(publisher: &mut Publisher, now: Duration, entry: Entry) -> Update {
     let catalog = Catalog::default();
-    let ledger = ledger(&catalog);
+    let snapshot = snapshot(&catalog);
     let poll = Poll { entry, known: 0, named: 0, sequence: 1, tallies: Tallies::default() };
-    let sends = publisher.poll(now, poll, &ledger);
+    let sends = publisher.poll(now, poll, &snapshot);
     let Some((_, Message::News(update))) = sends.into_iter().next() else { panic!("no answer") };
     *update
 }
@@ -188,8 +188,8 @@
     cut.add(&"hull-01".into(), &Counts::from_outcome(Kind::Cut, Duration::ZERO));
     publisher.gather(now, &cut, false);
     let catalog = Catalog::default();
-    let ledger = ledger(&catalog);
-    let sends = publisher.tick(publisher.wake(), &ledger);
+    let snapshot = snapshot(&catalog);
+    let sends = publisher.tick(publisher.wake(), &snapshot);
     sends.into_iter().map(|(id, _)| id.to_string()).collect()
 }
 
@@ -216,10 +216,10 @@
     let old = (0..NORTH_ENTRIES).map(|at| entry(at, "north"));
     let old = old.into_iter().find(|entry| !named.contains(&entry.id.to_string())).expect("one");
     let catalog = Catalog::default();
-    let ledger = ledger(&catalog);
+    let snapshot = snapshot(&catalog);
     let tallies = Tallies { arrivals: 3, ..Tallies::default() };
     let poll = Poll { entry: old.clone(), known: 0, named: 0, sequence: 1, tallies };
-    publisher.poll(secs(1), poll, &ledger);
+    publisher.poll(secs(1), poll, &snapshot);
     assert!(pushed_to(&mut publisher, secs(1)).contains(&old.id.to_string()));
     poll_all(&mut publisher, secs(5));
     assert!(!pushed_to(&mut publisher, secs(5)).contains(&old.id.to_string()));
@@ -231,7 +231,7 @@
 fn push_many_cuts() {
     let mut publisher = fleet(secs(0));
     let catalog = Catalog::default();
-    let ledger = ledger(&catalog);
+    let snapshot = snapshot(&catalog);
     let mut cut = Tallies::default();
     cut.add(&"hull-01".into(), &Counts::from_outcome(Kind::Cut, Duration::ZERO));
     let mut first = None;
@@ -241,7 +241,7 @@
         if at % 10 == 0 {
             publisher.gather(now, &cut, false);
         }
-        if now >= publisher.wake() && !publisher.tick(now, &ledger).is_empty() {
+        if now >= publisher.wake() && !publisher.tick(now, &snapshot).is_empty() {
             rounds += 1;
             first.get_or_insert(at);
         }
