--- a/src/feed/message.rs
+++ b/src/feed/message.rs
@@ -5,7 +5,7 @@
 
 use super::Control;
 use super::Poll;
-use super::Ready;
+use super::Report;
 use super::Tallies;
 use super::Update;
 use crate::id::NodeId;
@@ -22,7 +22,7 @@
         /// Identity of its disk, once it has one.
         disk: Option<DiskId>,
         /// The entries that poll it.
-        ready: Ready,
+        ready: Report,
     },
     /// A control sends another one the known controls and the leader.
     Controls {
--- a/src/feed/publisher.rs
+++ b/src/feed/publisher.rs
@@ -12,7 +12,7 @@
 use super::Message;
 use super::Poll;
 use super::Rate;
-use super::Ready;
+use super::Report;
 use super::Tallies;
 use super::Update;
 use super::entry;
@@ -147,7 +147,7 @@
     }
 
     /// Replaces the entries that another control reports.
-    pub fn hear(&mut self, now: Moment, from: &NodeId, ready: Ready) {
+    pub fn hear(&mut self, now: Moment, from: &NodeId, ready: Report) {
         self.reported.retain(|_, (_, _, by)| by != from);
         for entry in ready.entries {
             let subscription = self.subscriptions.get(&entry.id);
--- a/src/node/feed_core/hub.rs
+++ b/src/node/feed_core/hub.rs
@@ -13,7 +13,7 @@
 use crate::feed::Control;
 use crate::feed::Message;
 use crate::feed::Publisher;
-use crate::feed::Ready;
+use crate::feed::Report;
 use crate::feed::Snapshot;
 use crate::id::Index;
 use crate::id::NodeId;
@@ -277,7 +277,7 @@
         self.peers.forget(now, self.members());
         let disk =
             self.controller.as_ref().and_then(|controller| controller.replica().named_disk());
-        let ready = Ready { entries: self.publisher.own(now) };
+        let ready = Report { entries: self.publisher.own(now) };
         for id in self.peers.others() {
             let (control, ready) = (self.peers.me().clone(), ready.clone());
             outputs.push(send(id.clone(), Message::Hello { control, disk, ready }));
