--- a/src/feed/input.rs
+++ b/src/feed/input.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     /// Update from a control, polled or pushed.
-    News(NodeId, Box<Update>),
+    Update(NodeId, Box<Update>),
     /// Time has passed.
     Tick,
 }
@@ -19,11 +19,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Advertise these entries to callers.
-    Name(Vec<Entry>),
+    Advertise(Vec<Entry>),
     /// Record the results that callers of other entries received.
-    Note(Tallies),
+    Record(Tallies),
     /// Send a message to a control.
     Send(NodeId, Message),
     /// Apply an update, which is at least as new as all before it.
-    Take(Box<Update>),
+    Apply(Box<Update>),
 }
--- a/src/feed/subscriber.rs
+++ b/src/feed/subscriber.rs
@@ -82,7 +82,7 @@
     pub fn handle(&mut self, now: Moment, input: Input) -> Vec<Output> {
         let mut outputs = Vec::new();
         match input {
-            Input::News(from, update) => self.receive(now, &from, update, &mut outputs),
+            Input::Update(from, update) => self.receive(now, &from, update, &mut outputs),
             Input::Tick => {}
         }
         self.poll_if_due(now, &mut outputs);
@@ -158,18 +158,18 @@
             self.controls = update.controls.iter().cloned().collect();
         }
         if !update.tallies.is_empty() {
-            outputs.push(Output::Note(update.tallies.clone()));
+            outputs.push(Output::Record(update.tallies.clone()));
         }
         self.prefer_local_control(now);
         if let Some(entries) = &update.named {
             self.named_digest = entry::digest(entries);
-            outputs.push(Output::Name(entries.clone()));
+            outputs.push(Output::Advertise(entries.clone()));
         }
         if is_stale || update.base > self.known {
             return;
         }
         self.known = update.known;
-        outputs.push(Output::Take(update));
+        outputs.push(Output::Apply(update));
     }
 
     /// Drops a control in another failure domain once one in this domain is usable. Entries learn
--- a/src/node/feed_core/spoke.rs
+++ b/src/node/feed_core/spoke.rs
@@ -123,7 +123,7 @@
                 self.tell_subscriber(now, feed::Input::Tick, &mut outputs);
             }
             Input::Frame(from, Frame::Feed(Message::News(news))) => {
-                let input = feed::Input::News(from.clone(), news.clone());
+                let input = feed::Input::Update(from.clone(), news.clone());
                 self.tell_subscriber(now, input, &mut outputs);
             }
             Input::Frame(_, Frame::Feed(Message::Grant { ticket, grant })) => {
@@ -229,15 +229,15 @@
     fn tell_subscriber(&mut self, now: Moment, input: feed::Input, outputs: &mut Vec<Output>) {
         for output in self.subscriber.handle(now, input) {
             match output {
-                feed::Output::Name(entries) => {
+                feed::Output::Advertise(entries) => {
                     self.named = Arc::new(entries.iter().map(super::listed).collect());
                     self.dirty = true;
                 }
-                feed::Output::Note(tallies) => self.note_others(now, &tallies),
+                feed::Output::Record(tallies) => self.note_others(now, &tallies),
                 feed::Output::Send(to, message) => {
                     outputs.push(Output::Send(to, None, Frame::Feed(message)));
                 }
-                feed::Output::Take(news) => self.take(now, *news, outputs),
+                feed::Output::Apply(news) => self.take(now, *news, outputs),
             }
         }
     }
--- a/tests/suite/feed/subscriber.rs
+++ b/tests/suite/feed/subscriber.rs
@@ -69,11 +69,11 @@
 }
 
 fn answer(subscriber: &mut Subscriber, now: Duration, from: &str, update: Update) -> Vec<Output> {
-    subscriber.handle(now, Input::News(from.into(), Box::new(update)))
+    subscriber.handle(now, Input::Update(from.into(), Box::new(update)))
 }
 
 fn is_applied(outputs: &[Output]) -> bool {
-    outputs.iter().any(|output| matches!(output, Output::Take(_)))
+    outputs.iter().any(|output| matches!(output, Output::Apply(_)))
 }
 
 // An entry starts with three seeds and polls any of them. Once it knows the failure domains of the
@@ -172,7 +172,7 @@
     let named = vec![poll.entry.clone()];
     let told = Update { named: Some(named.clone()), ..update(sequence, 4) };
     let outputs = answer(&mut subscriber, ms(5), &to, told);
-    assert!(outputs.contains(&Output::Name(named)));
+    assert!(outputs.contains(&Output::Advertise(named)));
     let outputs = subscriber.handle(ms(505), Input::Tick);
     assert_ne!(sent_poll(&outputs).expect("a poll").1.named, 0);
 }
