--- a/src/feed/publisher.rs
+++ b/src/feed/publisher.rs
@@ -83,7 +83,7 @@
     subscriptions: BTreeMap<NodeId, Subscription>,
     byte_rate: Rate,
     unforwarded: Tallies,
-    has_moved: bool,
+    has_changed_entries: bool,
     reported: BTreeMap<NodeId, (Moment, Entry, NodeId)>,
     forwarded_at: Moment,
     forward_at: Option<Moment>,
@@ -123,12 +123,12 @@
         let id = poll.entry.id.clone();
         let before = self.subscriptions.get(&id).map(|subscription| subscription.entry.state);
         if before != Some(poll.entry.state) {
-            self.has_moved = true;
+            self.has_changed_entries = true;
         }
         self.reported.remove(&id);
         let known = snapshot.applied.max(poll.known);
         let before = self.subscriptions.remove(&id);
-        self.gather(now, &poll.tallies, true);
+        self.add_tallies(now, &poll.tallies, true);
         let requested_at = (poll.tallies.arrivals > 0).then_some(now);
         let last_request_at =
             requested_at.or(before.as_ref().and_then(|before| before.last_request_at));
@@ -147,7 +147,7 @@
     }
 
     /// Replaces the entries that another control reports.
-    pub fn hear(&mut self, now: Moment, from: &NodeId, ready: Report) {
+    pub fn merge_report(&mut self, now: Moment, from: &NodeId, ready: Report) {
         self.reported.retain(|_, (_, _, by)| by != from);
         for entry in ready.entries {
             let subscription = self.subscriptions.get(&entry.id);
@@ -160,7 +160,7 @@
     }
 
     /// Adds tallies. `is_local` says that an entry which polls this control reported them.
-    pub fn gather(&mut self, now: Moment, tallies: &Tallies, is_local: bool) {
+    pub fn add_tallies(&mut self, now: Moment, tallies: &Tallies, is_local: bool) {
         if tallies.is_empty() {
             return;
         }
@@ -183,7 +183,7 @@
     }
 
     /// Schedules a push of committed changes.
-    pub fn changed(&mut self, now: Moment) {
+    pub fn schedule_push(&mut self, now: Moment) {
         let at = now.max(self.pushed_at + MIN_PUSH_INTERVAL);
         self.push_at = Some(self.push_at.map_or(at, |other| other.min(at)));
     }
@@ -205,14 +205,14 @@
         self.push_at.into_iter().chain(self.forward_at).min().unwrap_or(Moment::MAX)
     }
 
-    /// Whether an entry joined or changed its state since the last call of [`Publisher::own`].
-    pub fn has_moved(&self) -> bool {
-        self.has_moved
+    /// Whether an entry joined or changed its state since the last call of [`Publisher::report`].
+    pub fn has_changed_entries(&self) -> bool {
+        self.has_changed_entries
     }
 
     /// Returns the entries that poll this control, as a report to the other controls.
-    pub fn own(&mut self, now: Moment) -> Vec<Entry> {
-        self.has_moved = false;
+    pub fn report(&mut self, now: Moment) -> Vec<Entry> {
+        self.has_changed_entries = false;
         self.subscriptions.retain(|_, subscription| now < subscription.last_poll_at + POLL_EXPIRY);
         self.reported.retain(|_, (at, ..)| now < *at + REPORT_EXPIRY);
         self.subscriptions.values().map(|subscription| subscription.entry.clone()).collect()
@@ -221,7 +221,7 @@
     /// Returns the entries to advertise to callers, a few in each failure domain. With callers
     /// spread over all of a large fleet, each entry would get one request every 0.3 s: too few
     /// to see which upstreams are busy, to keep connections open, or to earn retry budget.
-    pub fn named(&self, now: Moment) -> Vec<&Entry> {
+    pub fn advertised(&self, now: Moment) -> Vec<&Entry> {
         let mut domains: BTreeMap<&DomainId, Vec<&Entry>> = BTreeMap::new();
         for entry in self.serving(now) {
             domains.entry(&entry.domain).or_default().push(entry);
@@ -274,7 +274,7 @@
     /// Returns the advertised entries if they differ from those with the digest `known`. Entries
     /// relay the list to callers, who could not get it while all controls are down.
     fn changed_advertised(&self, now: Moment, known: u64) -> Option<Vec<Entry>> {
-        let advertised: Vec<Entry> = self.named(now).into_iter().cloned().collect();
+        let advertised: Vec<Entry> = self.advertised(now).into_iter().cloned().collect();
         let is_different = now >= WARM_UP && entry::digest(&advertised) != known;
         is_different.then_some(advertised)
     }
@@ -292,7 +292,7 @@
             base,
             configuration: configuration.map(|(version, _)| version.clone()),
             controls: snapshot.controls.clone(),
-            entries: self.named(now).len(),
+            entries: self.advertised(now).len(),
             fresh: snapshot.fresh,
             known: snapshot.applied,
             named: None,
@@ -335,7 +335,8 @@
             let others = snapshot.controls.iter().map(|control| control.id.clone());
             sends.extend(others.map(|id| (id, Message::Tallies(batch.clone()))));
         }
-        self.last_advertised = self.named(now).into_iter().map(|entry| entry.id.clone()).collect();
+        self.last_advertised =
+            self.advertised(now).into_iter().map(|entry| entry.id.clone()).collect();
         let is_active = |subscription: &Subscription| {
             subscription.is_active(now) || self.last_advertised.contains(&subscription.entry.id)
         };
--- a/src/node/feed_core/hub.rs
+++ b/src/node/feed_core/hub.rs
@@ -158,7 +158,7 @@
     /// Entries that take callers; `None` where they are those of the last view.
     pub(super) fn entries(&self, now: Moment, last: &View) -> Option<Arc<Vec<directory::Entry>>> {
         let mut entries: Vec<directory::Entry> =
-            self.publisher.named(now).into_iter().map(super::listed).collect();
+            self.publisher.advertised(now).into_iter().map(super::listed).collect();
         entries.sort_by(|one, other| one.id.cmp(&other.id));
         (entries != *last.entries).then(|| Arc::new(entries))
     }
@@ -228,7 +228,7 @@
                 if self.peers.greeted(now, control, disk) {
                     self.set_forwarder();
                 }
-                self.publisher.hear(now, &from, ready);
+                self.publisher.merge_report(now, &from, ready);
                 if !known {
                     let controls = self.peers.present(now);
                     let leader = self.controller.as_ref().and_then(Controller::leader);
@@ -237,7 +237,7 @@
             }
             Message::Ask { ticket, ask } => self.quota(now, from, ticket, ask, outputs),
             Message::Grant { .. } | Message::News(_) => (),
-            Message::Tallies(tallies) => self.publisher.gather(now, &tallies, false),
+            Message::Tallies(tallies) => self.publisher.add_tallies(now, &tallies, false),
             Message::Poll(poll) => {
                 let controls = self.peers.present(now);
                 let blank = Catalog::default();
@@ -270,14 +270,14 @@
 
     /// Tells the other controls that this one is there, and of its entries.
     fn greet(&mut self, now: Moment, outputs: &mut Vec<Output>) {
-        if now < self.hello_at && !self.publisher.has_moved() {
+        if now < self.hello_at && !self.publisher.has_changed_entries() {
             return;
         }
         self.hello_at = now + HELLO;
         self.peers.forget(now, self.members());
         let disk =
             self.controller.as_ref().and_then(|controller| controller.replica().named_disk());
-        let ready = Report { entries: self.publisher.own(now) };
+        let ready = Report { entries: self.publisher.report(now) };
         for id in self.peers.others() {
             let (control, ready) = (self.peers.me().clone(), ready.clone());
             outputs.push(send(id.clone(), Message::Hello { control, disk, ready }));
@@ -452,7 +452,7 @@
             let upstreams =
                 self.controller.iter().flat_map(|controller| controller.catalog().upstreams());
             self.publisher.set_slots(upstreams.map(|said| said.slots).sum());
-            self.publisher.changed(now);
+            self.publisher.schedule_push(now);
             self.meet_members();
             self.publish(now, outputs);
         }
--- a/tests/suite/feed/budget.rs
+++ b/tests/suite/feed/budget.rs
@@ -156,7 +156,7 @@
             }
             sender.update_limits(ms(now), self.burst);
         }
-        let named: Vec<_> = self.publisher.named(age).iter().map(|it| it.id.clone()).collect();
+        let named: Vec<_> = self.publisher.advertised(age).iter().map(|it| it.id.clone()).collect();
         for sender in &mut self.senders {
             let interval = if named.contains(&sender.entry.id) {
                 self.intervals.named
--- a/tests/suite/feed/publisher.rs
+++ b/tests/suite/feed/publisher.rs
@@ -62,23 +62,23 @@
     poll(publisher, now, entry(0, "south"));
 }
 
-fn names(publisher: &Publisher, now: Duration) -> Vec<String> {
-    publisher.named(now).into_iter().map(|entry| entry.id.to_string()).collect()
+fn advertised_ids(publisher: &Publisher, now: Duration) -> Vec<String> {
+    publisher.advertised(now).into_iter().map(|entry| entry.id.to_string()).collect()
 }
 
 fn load(publisher: &mut Publisher, from: u64, requests: u32) {
     for second in from..from + 3 {
         let tallies = Tallies { arrivals: requests, ..Tallies::default() };
-        publisher.gather(secs(second), &tallies, false);
+        publisher.add_tallies(secs(second), &tallies, false);
     }
 }
 
 // Twelve entries serve in one failure domain and one in another. Under little load, two of the
 // twelve and the other one are advertised, and updates give their number.
 #[test]
-fn named_little_load() {
+fn advertised_little_load() {
     let mut publisher = fleet(secs(0));
-    let names = names(&publisher, secs(1));
+    let names = advertised_ids(&publisher, secs(1));
     assert_eq!(names.iter().filter(|name| name.starts_with("north")).count(), 2);
     assert_eq!(names.len(), 3);
     assert_eq!(poll(&mut publisher, secs(1), entry(1, "north")), 3);
@@ -87,12 +87,12 @@
 // The load rises to 200 requests per second. Within seconds more entries are advertised, so that
 // neither of the two is overloaded. After a quiet period there are fewer north_after.
 #[test]
-fn named_load_rises() {
+fn advertised_load_rises() {
     let mut publisher = fleet(secs(0));
     load(&mut publisher, 0, 200);
     let north_after = |publisher: &mut Publisher, now| {
         poll_all(publisher, now);
-        names(publisher, now).iter().filter(|name| name.starts_with("north")).count()
+        advertised_ids(publisher, now).iter().filter(|name| name.starts_with("north")).count()
     };
     assert_eq!(north_after(&mut publisher, secs(3)), 4);
     assert_eq!(north_after(&mut publisher, secs(30)), 2);
@@ -102,11 +102,11 @@
 // entries are advertised, because callers that arrive together would overload two within a
 // second. Once the load is known to be low, two are advertised.
 #[test]
-fn named_before_any_load() {
+fn advertised_before_any_load() {
     let mut publisher = fleet(secs(0));
     publisher.set_slots(1200);
     let north = |publisher: &Publisher, now| {
-        names(publisher, now).iter().filter(|name| name.starts_with("north")).count()
+        advertised_ids(publisher, now).iter().filter(|name| name.starts_with("north")).count()
     };
     assert_eq!(north(&publisher, secs(1)), 12);
     load(&mut publisher, 1, 30);
@@ -117,18 +117,18 @@
 // Two overloaded entries refuse requests and complete almost none. All arrivals count as load,
 // so more entries are advertised.
 #[test]
-fn named_overloaded() {
+fn advertised_overloaded() {
     let mut publisher = fleet(secs(0));
     let refused = Tallies { arrivals: 300, ..Tallies::default() };
-    publisher.gather(secs(0), &refused, true);
-    assert_eq!(names(&publisher, secs(1)).len(), 6);
+    publisher.add_tallies(secs(0), &refused, true);
+    assert_eq!(advertised_ids(&publisher, secs(1)).len(), 6);
 }
 
 // Callers upload 300 requests of 6 KB per second, and the link of an entry takes 2.1 Mbit/s. Two
 // entries have enough CPU but not enough bandwidth, and would answer seconds late. Enough entries
 // are advertised that each uses a fifth of its link: twelve per failure domain.
 #[test]
-fn named_narrow_links() {
+fn advertised_narrow_links() {
     let mut publisher = Publisher::default();
     let room = Capacity::new(0.2, Some(2.1));
     let north_after = |publisher: &mut Publisher, now| {
@@ -139,11 +139,11 @@
     };
     for second in 0..8 {
         let tallies = Tallies { arrivals: 300, bytes: 300 * 6_000, ..Tallies::default() };
-        publisher.gather(secs(second), &tallies, true);
+        publisher.add_tallies(secs(second), &tallies, true);
     }
     let now = Duration::from_millis(7900);
     north_after(&mut publisher, now);
-    let named = names(&publisher, now);
+    let named = advertised_ids(&publisher, now);
     let north = named.iter().filter(|name| name.starts_with("north")).count();
     assert_eq!((north, named.len()), (12, 36));
 }
@@ -151,14 +151,14 @@
 // One of the advertised entries leaves and another replaces it. The others stay advertised, so
 // that their callers keep their connections.
 #[test]
-fn named_one_leaves() {
+fn advertised_one_leaves() {
     let mut publisher = fleet(secs(0));
-    let before = names(&publisher, secs(1));
+    let before = advertised_ids(&publisher, secs(1));
     let gone = before.iter().find(|name| name.starts_with("north")).expect("some").clone();
     let at = gone.rsplit('-').next().and_then(|text| text.parse().ok()).expect("a number");
     let leaving = Entry { state: State::Leaving, ..entry(at, "north") };
     poll(&mut publisher, secs(1), leaving);
-    let after = names(&publisher, secs(1));
+    let after = advertised_ids(&publisher, secs(1));
     assert_eq!(after.len(), before.len());
     assert!(!after.contains(&gone));
     assert_eq!(after.iter().filter(|name| before.contains(name)).count(), before.len() - 1);
@@ -166,15 +166,15 @@
 
 // An entry stops polling. It is advertised for at most two polls and a lost one.
 #[test]
-fn named_silent_entry() {
+fn advertised_silent_entry() {
     let publisher = fleet(secs(0));
-    assert!(names(&publisher, secs(2)).is_empty());
+    assert!(advertised_ids(&publisher, secs(2)).is_empty());
 }
 
 // A control that has just started knows only the first entries. It sends no list yet, because
 // all callers would connect to those. Later it sends the list to entries with a different one.
 #[test]
-fn poll_named_entries() {
+fn poll_advertised_entries() {
     let mut publisher = fleet(secs(0));
     assert_eq!(poll_update(&mut publisher, secs(1), entry(1, "north")).named, None);
     poll_all(&mut publisher, secs(2));
@@ -186,7 +186,7 @@
 fn pushed_to(publisher: &mut Publisher, now: Duration) -> Vec<String> {
     let mut cut = Tallies::default();
     cut.add(&"hull-01".into(), &Counts::from_outcome(Kind::Cut, Duration::ZERO));
-    publisher.gather(now, &cut, false);
+    publisher.add_tallies(now, &cut, false);
     let catalog = Catalog::default();
     let snapshot = snapshot(&catalog);
     let sends = publisher.tick(publisher.wake(), &snapshot);
@@ -199,7 +199,7 @@
 #[test]
 fn push_idle_entries() {
     let mut publisher = fleet(secs(0));
-    let named = names(&publisher, secs(1));
+    let named = advertised_ids(&publisher, secs(1));
     let mut told = pushed_to(&mut publisher, secs(1));
     told.sort();
     let mut wanted = named;
@@ -212,7 +212,7 @@
 #[test]
 fn push_old_list() {
     let mut publisher = fleet(secs(0));
-    let named = names(&publisher, secs(0));
+    let named = advertised_ids(&publisher, secs(0));
     let old = (0..NORTH_ENTRIES).map(|at| entry(at, "north"));
     let old = old.into_iter().find(|entry| !named.contains(&entry.id.to_string())).expect("one");
     let catalog = Catalog::default();
@@ -239,7 +239,7 @@
     for at in (0..1_000).step_by(5) {
         let now = Duration::from_millis(200 + at);
         if at % 10 == 0 {
-            publisher.gather(now, &cut, false);
+            publisher.add_tallies(now, &cut, false);
         }
         if now >= publisher.wake() && !publisher.tick(now, &snapshot).is_empty() {
             rounds += 1;
@@ -254,15 +254,15 @@
 // sees a third of all answers. Once the load exceeds what three can carry, a second one in each is
 // advertised.
 #[test]
-fn named_three_domains() {
+fn advertised_three_domains() {
     let mut publisher = Publisher::default();
     for at in 0..12 {
         poll(&mut publisher, secs(0), entry(at, ["east", "north", "south"][at % 3]));
     }
-    assert_eq!(names(&publisher, secs(1)).len(), 3);
+    assert_eq!(advertised_ids(&publisher, secs(1)).len(), 3);
     let busy = Tallies { arrivals: 113, ..Tallies::default() };
-    publisher.gather(secs(0), &busy, true);
-    assert_eq!(names(&publisher, secs(1)).len(), 6);
+    publisher.add_tallies(secs(0), &busy, true);
+    assert_eq!(advertised_ids(&publisher, secs(1)).len(), 6);
 }
 
 // Hundreds of upstreams answer each second and one cuts an answer. With its next poll, an idle
@@ -271,7 +271,7 @@
 #[test]
 fn poll_idle_entry() {
     let mut publisher = fleet(secs(0));
-    let named = names(&publisher, secs(0));
+    let named = advertised_ids(&publisher, secs(0));
     let idle = (0..NORTH_ENTRIES).map(|at| entry(at, "north"));
     let idle = idle.into_iter().find(|entry| !named.contains(&entry.id.to_string())).expect("one");
     pushed_to(&mut publisher, secs(0));
@@ -281,7 +281,7 @@
         let id = compact_str::format_compact!("i-{at:03}");
         tallies.add(&id, &Counts::from_outcome(kind, Duration::from_millis(500)));
     }
-    publisher.gather(Duration::from_millis(100), &tallies, false);
+    publisher.add_tallies(Duration::from_millis(100), &tallies, false);
     let heard = poll_update(&mut publisher, Duration::from_millis(200), idle).tallies.by_upstream;
     let ids: Vec<&str> = heard.keys().map(AsRef::as_ref).collect();
     assert_eq!(ids, ["hull-01", "i-007"]);
--- a/tests/suite/feed/subscriber.rs
+++ b/tests/suite/feed/subscriber.rs
@@ -163,7 +163,7 @@
 // Entries advertise entries to callers even while all controls are down. An entry keeps the last
 // list that it got and polls with its digest, so that the list is not sent again.
 #[test]
-fn handle_named_entries() {
+fn handle_advertised_entries() {
     let mut subscriber = subscriber();
     let outputs = subscriber.handle(ms(0), Input::Tick);
     let (to, poll) = sent_poll(&outputs).expect("a poll");
