--- a/src/feed/subscriber.rs
+++ b/src/feed/subscriber.rs
@@ -103,7 +103,7 @@
     }
 
     /// Records results that callers received here. Broken answers are reported at once.
-    pub fn note(&mut self, now: Moment, upstream: &UpstreamId, counts: &Counts) {
+    pub fn record(&mut self, now: Moment, upstream: &UpstreamId, counts: &Counts) {
         self.tallies.add(upstream, counts);
         if counts.is_urgent() {
             self.poll_at = self.poll_at.min(now.max(self.polled_at + MIN_URGENT_INTERVAL));
@@ -111,7 +111,7 @@
     }
 
     /// Records requests that callers sent and bytes that were transferred.
-    pub fn note_traffic(&mut self, arrivals: u32, bytes: u64) {
+    pub fn record_traffic(&mut self, arrivals: u32, bytes: u64) {
         self.tallies.arrivals += arrivals;
         self.tallies.bytes += bytes;
     }
--- a/src/node/feed_core/spoke.rs
+++ b/src/node/feed_core/spoke.rs
@@ -151,7 +151,7 @@
             Input::Overdue(service, upstream, ages) => {
                 self.overdue(now, service, upstream, ages, &mut outputs);
             }
-            Input::Carried(arrivals, bytes) => self.subscriber.note_traffic(*arrivals, *bytes),
+            Input::Carried(arrivals, bytes) => self.subscriber.record_traffic(*arrivals, *bytes),
             Input::Seeds(seeds) => self.subscriber.set_seeds(seeds.clone()),
             Input::Tick => self.tick(now, &mut outputs),
             _ => (),
@@ -333,7 +333,7 @@
         if noted.is_evidence {
             let alarming = if noted.alarmed { counts.failed } else { 0 };
             let counts = Counts { alarming, cleared: noted.cleared, ..*counts };
-            self.subscriber.note(now, upstream, &counts);
+            self.subscriber.record(now, upstream, &counts);
         }
         if noted.changed {
             self.dirty = true;
--- a/tests/suite/feed/subscriber.rs
+++ b/tests/suite/feed/subscriber.rs
@@ -147,13 +147,13 @@
 // A caller receives a cut answer. The entry reports it at once instead of with its next regular
 // poll, or the next caller of another entry would lose a request at the same upstream.
 #[test]
-fn note_broken_answer() {
+fn record_broken_answer() {
     let mut subscriber = subscriber();
     let outputs = subscriber.handle(ms(0), Input::Tick);
     let (to, poll) = sent_poll(&outputs).expect("a poll");
     let (to, sequence) = (to.to_owned(), poll.sequence);
     answer(&mut subscriber, ms(5), &to, update(sequence, 4));
-    subscriber.note(ms(100), &"hull-1".into(), &Counts::from_outcome(Kind::Cut, ms(3)));
+    subscriber.record(ms(100), &"hull-1".into(), &Counts::from_outcome(Kind::Cut, ms(3)));
     assert!(subscriber.wake() <= ms(130));
     let outputs = subscriber.handle(subscriber.wake(), Input::Tick);
     let (_, poll) = sent_poll(&outputs).expect("a poll");
