--- a/src/registry/announcement.rs
+++ b/src/registry/announcement.rs
@@ -1,4 +1,4 @@
-//! What an upstream says of itself.
+//! Announcement of an upstream.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,39 +11,39 @@
 use crate::id::ServiceId;
 use crate::id::UpstreamId;
 
-/// An upstream's announcement; the same one sent again renews the lease.
+/// Description that an upstream sends of itself. Sending it again renews the lease.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Announcement {
-    /// Where it takes requests.
+    /// Address that accepts requests.
     pub address: SocketAddr,
-    /// Connections that it takes in all.
+    /// Most connections that it accepts in total.
     pub connections: u32,
     /// Failure domain of its VM.
     pub domain: DomainId,
-    /// Restart counter: higher is newer; the start time in milliseconds will do.
+    /// Restart counter. A higher one is newer; the start time in milliseconds is suitable.
     pub incarnation: Incarnation,
-    /// How long the announcement holds without a renewal.
+    /// How long the announcement is valid without a renewal.
     pub lease: Duration,
-    /// Service that it is part of.
+    /// Service that it belongs to.
     pub service: ServiceId,
-    /// Requests that it runs at a time.
+    /// Most requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub state: State,
-    /// Its name, unique in the system.
+    /// Name, unique in the system.
     pub upstream: UpstreamId,
-    /// How long after its start it takes less than its full share.
+    /// How long after its start it gets less than its full share of work.
     pub warm_up: Duration,
 }
 
-/// Whether an upstream takes new work; later ones outweigh earlier ones.
+/// Whether an upstream accepts new work. Later states override earlier ones.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// Takes new work.
+    /// Accepts new work.
     Ready,
-    /// Finishes what it has and takes no new work.
+    /// Completes its work and accepts no more.
     Draining,
-    /// Its lease ran out.
+    /// Its lease expired.
     Gone,
 }
--- a/src/registry/change.rs
+++ b/src/registry/change.rs
@@ -1,4 +1,4 @@
-//! News of one upstream.
+//! Replicated change of one upstream.
 
 use std::time::Duration;
 
@@ -11,25 +11,25 @@
 use crate::registry::Announcement;
 use crate::registry::State;
 
-/// An upstream's announcement with its place in the order of changes.
+/// An upstream's announcement and its position in the order of changes.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Change {
-    /// How long ago its incarnation was first announced; for the warm-up.
+    /// Time since its incarnation was first announced, from which the warm-up is computed.
     pub age: Duration,
-    /// What it says of itself; the state may be [`State::Gone`].
+    /// The announcement. Its state may be [`State::Gone`].
     pub announcement: Announcement,
-    /// Grows when an upstream comes back in the same incarnation after its lease
-    /// ran out, which a plain order of states could not express.
+    /// Increases when an upstream returns in the same incarnation after its lease expired, or
+    /// changes its figures. The order of states alone cannot express that.
     pub revision: u32,
 }
 
 impl Change {
-    /// Place in the order of changes: incarnation, revision, state.
+    /// Position in the order of changes: incarnation, revision, state.
     pub fn order(&self) -> (u64, u32, State) {
         (self.announcement.incarnation, self.revision, self.announcement.state)
     }
 
-    /// Hash of [`Change::order`], for digests.
+    /// Hash of [`Change::order`] that digests compare.
     pub fn version(&self) -> u32 {
         let (incarnation, revision, state) = self.order();
         let mut bytes = incarnation.to_le_bytes().to_vec();
@@ -39,14 +39,14 @@
     }
 }
 
-/// State of an upstream that the receiver knows already: a quarter of a [`Change`].
+/// New state of an upstream that the receiver knows. A quarter of the size of a [`Change`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Standing {
-    /// Its incarnation.
+pub struct StateChange {
+    /// Incarnation of the upstream.
     pub incarnation: Incarnation,
     /// Revision, as in [`Change`].
     pub revision: u32,
-    /// Its state.
+    /// State of the upstream.
     pub state: State,
     /// The upstream.
     pub upstream: UpstreamId,
--- a/src/registry/entry.rs
+++ b/src/registry/entry.rs
@@ -1,4 +1,4 @@
-//! Entries as the registry needs to know them.
+//! Entries from the point of view of the registry.
 
 use std::net::SocketAddr;
 
@@ -9,25 +9,25 @@
 use crate::fleet::Status;
 use crate::id::NodeId;
 
-/// A live entry, as the fleet knows it.
+/// A live member of the fleet.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Entry {
-    /// Where upstreams announce themselves.
+    /// Address at which upstreams announce themselves.
     pub address: SocketAddr,
-    /// Whether it may keep leases: a leaving one hands them over, but still learns
-    /// of changes.
+    /// Whether it may be the home of upstreams. A leaving entry hands its upstreams over, but
+    /// still gets changes.
     pub home: bool,
-    /// Its name.
+    /// Name of the process.
     pub id: NodeId,
-    /// Whether this process and it hold a link, along which changes spread.
+    /// Whether this process has a link to it, along which changes are gossiped.
     pub neighbour: bool,
-    /// Whether the fleet suspects it.
+    /// Whether the fleet suspects it to have failed.
     pub suspect: bool,
 }
 
 impl Entry {
-    /// Live members of the fleet. Those that are no entries keep no leases, but
-    /// changes spread through them too.
+    /// Returns the live members of the fleet. Those that are not entries are no homes, but they
+    /// relay changes too.
     pub fn all(fleet: &Member) -> Vec<Self> {
         let live = fleet.members().filter(|(_, status)| *status < Status::Failed);
         live.map(|(record, status)| Self::new(fleet, record, status)).collect()
--- a/src/registry/input.rs
+++ b/src/registry/input.rs
@@ -1,4 +1,4 @@
-//! What happens to a registry.
+//! Inputs of a registry.
 
 use std::collections::BTreeSet;
 
@@ -9,35 +9,35 @@
 use crate::registry::Entry;
 use crate::registry::Message;
 
-/// One thing that happens to a registry.
+/// Event that a registry handles.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// An upstream announced itself or renewed its lease here.
     Announce(Announcement),
     /// An upstream answered a request or a probe of this entry.
     Answered {
-        /// Whether it said that it is draining.
+        /// Whether the answer said that it is draining.
         draining: bool,
-        /// Its incarnation, where the answer tells.
+        /// Its incarnation, if the answer names it.
         incarnation: Option<Incarnation>,
         /// The upstream.
         upstream: UpstreamId,
     },
-    /// The live entries, this one included, changed.
+    /// The live entries changed. The list includes this one.
     Entries(Vec<Entry>),
     /// A message arrived.
     Receive {
-        /// Its sender, as the sender's certificate says.
+        /// Sender, taken from its certificate.
         from: NodeId,
         /// The message.
         message: Message,
     },
     /// Time has passed; due at least every [`crate::registry::Registry::TICK`].
     Tick {
-        /// What [`crate::fleet::Member::in_touch`] says.
+        /// Result of [`crate::fleet::Member::in_touch`].
         in_touch: bool,
     },
-    /// Upstreams that this entry sends work to, which alone are worth probes;
-    /// all of them until this is told.
+    /// Upstreams that this entry sends work to. Only these are probed; without this input, all
+    /// upstreams are.
     Watch(BTreeSet<UpstreamId>),
 }
--- a/src/registry/machine.rs
+++ b/src/registry/machine.rs
@@ -1,8 +1,8 @@
-//! One entry's registry.
+//! Registry of one entry.
 
 mod announce;
-mod answered;
-mod learn;
+mod answer;
+mod apply;
 mod receive;
 
 use std::collections::BTreeMap;
@@ -26,59 +26,59 @@
 use crate::registry::Output;
 use crate::registry::State;
 use crate::registry::Upstream;
-use crate::registry::homes::Homes;
+use crate::registry::placement::Placement;
 
-/// Hash buckets: 6,200 upstreams give 24 to a bucket, and all hashes fit two messages.
+/// Hash buckets of the digest. 6,200 upstreams give 39 to a bucket, and all hashes fit one message.
 const BUCKETS: usize = 160;
 
-/// Bytes a second for changes in the long run.
+/// Sustained bytes per second for changes.
 const SPREAD_RATE: u64 = 1000;
 
-/// Bytes of changes that may pass now and then: 6,200 upstreams that all start.
+/// Burst of bytes for changes. 6,200 upstreams that all start need as much.
 const SPREAD_BURST: u64 = 2_000_000;
 
-/// Bytes of changes a second while there are many.
+/// Bytes per second for changes during a burst.
 const SPREAD_PACE: u64 = 10_000;
 
-/// Bytes a second for drains in the long run. They do not wait behind other changes:
-/// when a thousand upstreams are announced at once, a drain has 3 s all the same.
+/// Sustained bytes per second for drains. They have an allowance of their own, because a drain
+/// must be known within 3 s even while a thousand upstreams are announced.
 const URGENT_RATE: u64 = 500;
 
-/// Bytes of drains that may pass now and then: 6,200 drains, one copy a link.
+/// Burst of bytes for drains: 6,200 drains, one copy per link.
 const URGENT_BURST: u64 = 1_500_000;
 
-/// Bytes of drains a second while there are many, and four times that at once: a
-/// tenth of 6,200 upstreams within the 3 s.
+/// Bytes per second for drains during a burst, and four times as many at once. A tenth of 6,200
+/// upstreams can drain within 3 s.
 const URGENT_PACE: u64 = 25_000;
 
-/// Encoded bytes of a [`crate::registry::Standing`] whose upstream has a name of 20 letters.
-const STANDING_MAX: usize = 32;
+/// Encoded bytes of a [`crate::registry::StateChange`] for an upstream name of 20 letters.
+const STATE_CHANGE_BYTES: usize = 32;
 
-/// How often a digest is sent to one neighbour. A change that the flood lost
-/// reaches everybody all the same, one link in this time.
+/// Interval at which the digest is sent to one neighbour. A change lost by gossip still spreads,
+/// over one link per interval.
 const SUMMARY_PERIOD: Duration = Duration::from_secs(2);
 
-/// How long the table must have been still before digests are compared.
-const QUIET: Duration = Duration::from_secs(1);
+/// Time without changes before digests are compared.
+const QUIET_PERIOD: Duration = Duration::from_secs(1);
 
-/// Longest time that changes under way put off a comparison.
-const COMPARE_ANYWAY: Duration = Duration::from_secs(10);
+/// Interval after which digests are compared even if changes are in flight.
+const COMPARE_PERIOD_MAX: Duration = Duration::from_secs(10);
 
-/// How long an upstream whose lease ran out is remembered, so that an old
-/// announcement arriving late does not bring it back.
-const TOMBSTONE: Duration = Duration::from_secs(3600);
+/// How long an upstream with an expired lease is remembered, so that a late announcement does
+/// not revive it.
+const TOMBSTONE_LIFETIME: Duration = Duration::from_secs(3600);
 
-/// How often the table is searched for leases that ran out.
-const SWEEP: Duration = Duration::from_millis(500);
+/// Interval between searches for expired leases.
+const SWEEP_PERIOD: Duration = Duration::from_millis(500);
 
-/// One entry's view of the upstreams and its part in keeping it.
+/// Replicated table of upstreams at one entry.
 #[derive(Debug)]
 pub struct Registry {
     changed_at: Moment,
     compared_at: Option<Moment>,
-    contested: BTreeSet<UpstreamId>,
+    in_grace: BTreeSet<UpstreamId>,
     digest: Digest,
-    homes: Homes,
+    placement: Placement,
     in_touch: bool,
     me: NodeId,
     random: ChaCha8Rng,
@@ -94,15 +94,15 @@
     /// Longest time between two [`Input::Tick`]s.
     pub const TICK: Duration = Duration::from_millis(100);
 
-    /// Empty registry of entry `me`.
+    /// Creates the empty registry of entry `me`.
     pub fn new(now: Moment, me: NodeId, mut random: ChaCha8Rng) -> Self {
         let phase = random.random_range(Duration::ZERO..SUMMARY_PERIOD);
         Self {
             changed_at: now,
             compared_at: None,
-            contested: BTreeSet::new(),
+            in_grace: BTreeSet::new(),
             digest: Digest::new(BUCKETS),
-            homes: Homes::default(),
+            placement: Placement::default(),
             in_touch: true,
             me,
             random,
@@ -115,15 +115,15 @@
         }
     }
 
-    /// Takes one input.
+    /// Handles one input.
     pub fn handle(&mut self, now: Moment, input: Input) -> Vec<Output> {
         let mut outputs = Vec::new();
         match input {
             Input::Announce(announcement) => self.announce(now, announcement, &mut outputs),
             Input::Answered { draining, incarnation, upstream } => {
-                self.answered(now, &upstream, incarnation, draining, &mut outputs);
+                self.record_answer(now, &upstream, incarnation, draining, &mut outputs);
             }
-            Input::Entries(entries) => self.replace(now, entries, &mut outputs),
+            Input::Entries(entries) => self.replace_entries(now, entries, &mut outputs),
             Input::Receive { from, message } => self.receive(now, from, message, &mut outputs),
             Input::Tick { in_touch } => {
                 self.in_touch = in_touch;
@@ -134,70 +134,70 @@
         outputs
     }
 
-    /// One upstream.
+    /// Returns an upstream, also one whose lease has expired.
     pub fn get(&self, upstream: &UpstreamId) -> Option<&Upstream> {
         self.upstreams.get(upstream)
     }
 
-    /// Upstreams that may get new work now; all services.
+    /// Returns the upstreams of all services that may get new work.
     ///
-    /// An upstream is usable when nothing known says that it drains, and either
-    /// its home vouches for it (the home is not suspected, and this entry is in
-    /// touch with the fleet, so that a change would have reached it) or this entry
-    /// had an answer from it a moment ago.
+    /// An upstream is usable if it is not known to drain, and either its home is trusted or it
+    /// answered this entry recently. A home is trusted if it is not suspected and this entry is
+    /// in touch with the fleet, so that changes reach it.
     pub fn usable(&self, now: Moment) -> impl Iterator<Item = &Upstream> {
         self.upstreams.values().filter(move |upstream| self.is_usable(now, upstream))
     }
 
-    /// Whether one upstream may get new work now.
+    /// Whether an upstream may get new work.
     pub fn is_usable(&self, now: Moment, upstream: &Upstream) -> bool {
-        upstream.is_ready() && (self.is_vouched(now, upstream) || upstream.is_proven(now))
+        upstream.is_ready()
+            && (self.has_trusted_home(now, upstream) || upstream.has_recent_answer(now))
     }
 
-    /// Every upstream whose lease has not run out, usable or not.
+    /// Returns all upstreams with a valid lease or in their grace period, usable or not.
     pub fn view(&self) -> impl Iterator<Item = &Upstream> {
-        self.upstreams.values().filter(|upstream| upstream.is_here())
+        self.upstreams.values().filter(|upstream| upstream.is_listed())
     }
 
-    /// Services that have any upstream.
+    /// Returns the services that have an upstream.
     pub fn services(&self) -> BTreeSet<ServiceId> {
         self.view().map(|upstream| upstream.announcement.service.clone()).collect()
     }
 
-    /// Hash over all that is known; equal at two entries that know the same.
+    /// Hash over all records, equal at two entries with the same records.
     pub fn root(&self) -> u32 {
         self.digest.root()
     }
 
-    fn is_vouched(&self, now: Moment, upstream: &Upstream) -> bool {
-        self.has_home(upstream, |home| self.homes.vouches(now, home))
+    fn has_trusted_home(&self, now: Moment, upstream: &Upstream) -> bool {
+        self.has_home(upstream, |home| self.placement.is_trusted(now, home))
     }
 
-    fn has_home(&self, upstream: &Upstream, sound: impl Fn(&NodeId) -> bool) -> bool {
-        let here = upstream.announcement.state != State::Gone;
-        let sound = |home: &NodeId| *home == self.me || sound(home);
-        here && self.in_touch && upstream.home.as_ref().is_some_and(sound)
+    fn has_home(&self, upstream: &Upstream, is_healthy: impl Fn(&NodeId) -> bool) -> bool {
+        let is_leased = upstream.announcement.state != State::Gone;
+        let is_healthy = |home: &NodeId| *home == self.me || is_healthy(home);
+        is_leased && self.in_touch && upstream.home.as_ref().is_some_and(is_healthy)
     }
 
-    fn replace(&mut self, now: Moment, entries: Vec<Entry>, outputs: &mut Vec<Output>) {
-        let (came, went) = self.homes.replace(now, entries);
-        let linked: BTreeSet<NodeId> = self.homes.neighbours().cloned().collect();
+    fn replace_entries(&mut self, now: Moment, entries: Vec<Entry>, outputs: &mut Vec<Output>) {
+        let (added, removed) = self.placement.replace(now, entries);
+        let linked: BTreeSet<NodeId> = self.placement.neighbours().cloned().collect();
         self.spread.retain(|peer| linked.contains(peer));
         self.urgent.retain(|peer| linked.contains(peer));
-        if came.is_empty() && went.is_empty() {
+        if added.is_empty() && removed.is_empty() {
             return;
         }
         for (id, upstream) in &mut self.upstreams {
             let home = match &upstream.home {
-                Some(home) if !went.contains(home) => self.homes.prefer(id, home, &came),
-                _ => self.homes.pick(id),
+                Some(home) if !removed.contains(home) => self.placement.prefer(id, home, &added),
+                _ => self.placement.pick(id),
             };
             if home == upstream.home {
                 continue;
             }
             upstream.home = home;
             if upstream.home.as_ref() == Some(&self.me) {
-                upstream.renewed = now;
+                upstream.renewed_at = now;
                 outputs.push(Output::Moved(id.clone()));
             }
         }
@@ -210,28 +210,28 @@
         self.flush(now, outputs);
     }
 
-    /// Lets leases run out that this entry keeps, and forgets those long gone.
+    /// Expires leases that this entry tracks, and forgets old expired ones.
     ///
-    /// A home that is not in touch may miss renewals that others take for it; it
-    /// lets none run out until it has been in touch for a lease's time again.
+    /// A home that is not in touch may miss renewals that other entries accept for it. It
+    /// expires no lease until it has been in touch for the duration of the lease.
     fn sweep(&mut self, now: Moment, outputs: &mut Vec<Output>) {
         if !self.in_touch {
-            self.upstreams.values_mut().for_each(|upstream| upstream.renewed = now);
+            self.upstreams.values_mut().for_each(|upstream| upstream.renewed_at = now);
         }
         if now < self.sweep_at {
             return;
         }
-        self.sweep_at = now + SWEEP;
-        self.give_up(now, outputs);
+        self.sweep_at = now + SWEEP_PERIOD;
+        self.end_grace_periods(now, outputs);
         let mut expired = Vec::new();
         let mut forgotten = Vec::new();
         for (id, upstream) in &self.upstreams {
             if upstream.announcement.state == State::Gone {
-                if now >= upstream.since + TOMBSTONE {
+                if now >= upstream.replaced_at + TOMBSTONE_LIFETIME {
                     forgotten.push(id.clone());
                 }
             } else if upstream.home.as_ref() == Some(&self.me)
-                && now >= upstream.renewed.saturating_add(upstream.announcement.lease)
+                && now >= upstream.renewed_at.saturating_add(upstream.announcement.lease)
             {
                 expired.push(upstream.change(now));
             }
@@ -242,7 +242,7 @@
         }
         for mut change in expired {
             change.announcement.state = State::Gone;
-            self.learn(now, change, None, outputs);
+            self.apply(now, change, None, outputs);
         }
     }
 
@@ -251,18 +251,18 @@
             return;
         }
         self.summary_at = now + SUMMARY_PERIOD;
-        if let Some(to) = self.homes.neighbours().choose(&mut self.random).cloned() {
+        if let Some(to) = self.placement.neighbours().choose(&mut self.random).cloned() {
             outputs.push(Output::Send { to, message: Message::Summary(self.digest.root()) });
         }
     }
 
     fn flush(&mut self, now: Moment, outputs: &mut Vec<Output>) {
         let first = self.random.random_range(0..64);
-        let size = |_: &UpstreamId| STANDING_MAX;
+        let size = |_: &UpstreamId| STATE_CHANGE_BYTES;
         for (to, ids) in self.urgent.take(now, first, size) {
             let known = ids.iter().filter_map(|id| self.upstreams.get(id));
-            let standings = known.map(Upstream::standing).collect();
-            outputs.push(Output::Send { to, message: Message::Standings(standings) });
+            let state_changes = known.map(Upstream::state_change).collect();
+            outputs.push(Output::Send { to, message: Message::Standings(state_changes) });
         }
         let size = |id: &UpstreamId| self.upstreams.get(id).map_or(0, |known| size_of(now, known));
         for (to, ids) in self.spread.take(now, first, size) {
@@ -273,7 +273,7 @@
     }
 }
 
-/// Encoded bytes of what is told of an upstream.
+/// Encoded bytes of the change of an upstream.
 fn size_of(now: Moment, upstream: &Upstream) -> usize {
     postcard::to_allocvec(&upstream.change(now)).map_or(0, |bytes| bytes.len())
 }
--- a/src/registry/machine/announce.rs
+++ b/src/registry/machine/announce.rs
@@ -1,4 +1,4 @@
-//! What a registry does with announcements.
+//! Announcements and renewals.
 
 use std::time::Duration;
 
@@ -13,9 +13,9 @@
 use crate::registry::Registry;
 use crate::registry::State;
 
-/// Shortest lease that is taken: at a third of it 6,200 upstreams send 6,200
-/// renewals a second to 520 entries, twelve each.
-const LEASE_MIN: Duration = Duration::from_secs(3);
+/// Shortest accepted lease. With a renewal after a third of it, 6,200 upstreams send 6,200
+/// renewals per second to 520 entries, twelve to each.
+const MIN_LEASE: Duration = Duration::from_secs(3);
 
 impl Registry {
     pub(super) fn announce(
@@ -33,38 +33,38 @@
         let incarnation = announcement.incarnation;
         let revision = self.revision(&announcement);
         let change = Change { age: Duration::ZERO, announcement, revision };
-        self.learn(now, change, None, outputs);
+        self.apply(now, change, None, outputs);
         self.renew(now, &upstream, incarnation, outputs);
         let home = self.upstreams.get(&upstream).and_then(|known| known.home.clone());
-        let home = home.and_then(|id| self.homes.address(&id).map(|address| (id, address)));
+        let home = home.and_then(|id| self.placement.address(&id).map(|address| (id, address)));
         outputs.push(Output::Accepted { home, renew_after, upstream });
     }
 
-    /// Revision that puts an announcement after what is known: one more where the
-    /// lease ran out or the figures changed, the same otherwise.
+    /// Returns the revision that orders an announcement after the known record: one more if the
+    /// lease expired or a field other than the state changed, the same otherwise.
     fn revision(&self, announcement: &Announcement) -> u32 {
         let Some(known) = self.upstreams.get(&announcement.upstream) else { return 0 };
         let old = &known.announcement;
         if old.incarnation != announcement.incarnation {
             return 0;
         }
-        let same = Announcement { state: old.state, ..announcement.clone() } == *old;
-        if old.state == State::Gone || !same { known.revision + 1 } else { known.revision }
+        let is_unchanged = Announcement { state: old.state, ..announcement.clone() } == *old;
+        if old.state == State::Gone || !is_unchanged { known.revision + 1 } else { known.revision }
     }
 
     fn check(&self, announcement: &Announcement) -> Result<(), Refusal> {
         let upstream = announcement.upstream.clone();
         if announcement.slots == 0 {
-            return Err(Refusal::Wrong { field: "slots", upstream });
+            return Err(Refusal::Invalid { field: "slots", upstream });
         }
         if announcement.connections == 0 {
-            return Err(Refusal::Wrong { field: "connections", upstream });
+            return Err(Refusal::Invalid { field: "connections", upstream });
         }
-        if announcement.lease < LEASE_MIN {
-            return Err(Refusal::Wrong { field: "lease", upstream });
+        if announcement.lease < MIN_LEASE {
+            return Err(Refusal::Invalid { field: "lease", upstream });
         }
         if announcement.state == State::Gone {
-            return Err(Refusal::Wrong { field: "state", upstream });
+            return Err(Refusal::Invalid { field: "state", upstream });
         }
         let Some(known) = self.upstreams.get(&upstream) else { return Ok(()) };
         let old = &known.announcement;
@@ -77,14 +77,15 @@
         if old.state != State::Gone && announcement.address != old.address {
             return Err(Refusal::Duplicate { address: old.address, upstream });
         }
-        let drained = old.state == State::Draining || (old.state == State::Gone && known.draining);
-        if drained && announcement.state == State::Ready {
+        let has_drained =
+            old.state == State::Draining || (old.state == State::Gone && known.draining);
+        if has_drained && announcement.state == State::Ready {
             return Err(Refusal::Draining { upstream });
         }
         Ok(())
     }
 
-    /// Renews a lease here or at its home.
+    /// Renews a lease here, or forwards the renewal to the home.
     fn renew(
         &mut self,
         now: Moment,
@@ -98,7 +99,7 @@
                 let message = Message::Renew { incarnation, upstream: upstream.clone() };
                 outputs.push(Output::Send { to: home.clone(), message });
             }
-            _ => known.renewed = now,
+            _ => known.renewed_at = now,
         }
     }
 }
--- a/src/registry/machine/receive.rs
+++ b/src/registry/machine/receive.rs
@@ -1,4 +1,4 @@
-//! What a registry does with messages.
+//! Messages from other registries.
 
 use crate::clock::Moment;
 use crate::fleet::Repair;
@@ -7,10 +7,10 @@
 use crate::registry::Message;
 use crate::registry::Output;
 use crate::registry::Registry;
-use crate::registry::Standing;
 use crate::registry::State;
-use crate::registry::machine::COMPARE_ANYWAY;
-use crate::registry::machine::QUIET;
+use crate::registry::StateChange;
+use crate::registry::machine::COMPARE_PERIOD_MAX;
+use crate::registry::machine::QUIET_PERIOD;
 use crate::registry::machine::SUMMARY_PERIOD;
 
 impl Registry {
@@ -24,7 +24,7 @@
         match message {
             Message::Changes(changes) => {
                 for change in changes {
-                    self.learn(now, change, Some(&from), outputs);
+                    self.apply(now, change, Some(&from), outputs);
                 }
             }
             Message::Missing(upstream) => self.spread.queue(&from, &upstream),
@@ -35,7 +35,7 @@
                     announcement.incarnation == incarnation && announcement.state != State::Gone
                 });
                 match current {
-                    Some(known) => known.renewed = now,
+                    Some(known) => known.renewed_at = now,
                     None => {
                         let message = Message::Missing(upstream);
                         outputs.push(Output::Send { to: from, message });
@@ -43,44 +43,50 @@
                 }
             }
             Message::Repair(step) => self.repair(&from, &step, outputs),
-            Message::Standings(standings) => {
-                for standing in standings {
-                    self.stand(now, &from, standing, outputs);
+            Message::Standings(state_changes) => {
+                for state_change in state_changes {
+                    self.apply_state(now, &from, state_change, outputs);
                 }
             }
             Message::Summary(root) => self.compare(now, from, root, outputs),
         }
     }
 
-    /// Takes in a state, or asks for the whole record where this one lacks it.
-    fn stand(&mut self, now: Moment, from: &NodeId, standing: Standing, outputs: &mut Vec<Output>) {
-        let known = self.upstreams.get(&standing.upstream).map(|known| known.change(now));
-        let told = (standing.incarnation, standing.revision);
-        let place = |known: &Change| (known.announcement.incarnation, known.revision);
-        let Some(mut change) = known.filter(|known| place(known) >= told) else {
-            let message = Message::Missing(standing.upstream);
+    /// Applies a state change, or requests the whole record if it is missing here.
+    fn apply_state(
+        &mut self,
+        now: Moment,
+        from: &NodeId,
+        state_change: StateChange,
+        outputs: &mut Vec<Output>,
+    ) {
+        let known = self.upstreams.get(&state_change.upstream).map(|known| known.change(now));
+        let received = (state_change.incarnation, state_change.revision);
+        let position = |known: &Change| (known.announcement.incarnation, known.revision);
+        let Some(mut change) = known.filter(|known| position(known) >= received) else {
+            let message = Message::Missing(state_change.upstream);
             outputs.push(Output::Send { to: from.clone(), message });
             return;
         };
-        if place(&change) == told {
-            change.announcement.state = standing.state;
-            self.learn(now, change, Some(from), outputs);
+        if position(&change) == received {
+            change.announcement.state = state_change.state;
+            self.apply(now, change, Some(from), outputs);
         }
     }
 
-    /// Starts a comparison where a neighbour's table differs for no passing reason.
+    /// Starts a digest comparison if a neighbour's table differs and no changes are in flight.
     ///
-    /// Where it does not differ, nothing waits for that neighbour any more: after a
-    /// bulk of changes most of what waits reached it on other ways.
+    /// If the tables are equal, all changes queued for the neighbour are dropped. After many
+    /// changes, most of the queued ones have reached it over other links.
     fn compare(&mut self, now: Moment, with: NodeId, root: u32, outputs: &mut Vec<Output>) {
         if root == self.digest.root() {
             self.spread.saw_all(&with);
             self.urgent.saw_all(&with);
             return;
         }
-        let rested = |period| self.compared_at.is_none_or(|at| now >= at + period);
-        let quiet = now >= self.changed_at + QUIET && rested(SUMMARY_PERIOD);
-        if quiet || rested(COMPARE_ANYWAY) {
+        let is_due = |period| self.compared_at.is_none_or(|at| now >= at + period);
+        let is_quiet = now >= self.changed_at + QUIET_PERIOD && is_due(SUMMARY_PERIOD);
+        if is_quiet || is_due(COMPARE_PERIOD_MAX) {
             self.compared_at = Some(now);
             let message = Message::Repair(self.digest.hashes());
             outputs.push(Output::Send { to: with, message });
--- a/src/registry/message.rs
+++ b/src/registry/message.rs
@@ -1,4 +1,4 @@
-//! What registries send each other.
+//! Messages between registries.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,26 +7,27 @@
 use crate::id::Incarnation;
 use crate::id::UpstreamId;
 use crate::registry::Change;
-use crate::registry::Standing;
+use crate::registry::StateChange;
 
-/// One message; encoded, it fits a datagram of 1,100 bytes.
+/// Message between registries. Encoded, it fits a datagram of 1,100 bytes.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Message {
-    /// News of upstreams.
+    /// Changes of upstreams.
     Changes(Vec<Change>),
-    /// The receiver renewed an upstream that the sender does not know so.
+    /// Requests the record of an upstream that the sender lacks in the incarnation or revision
+    /// that the receiver named.
     Missing(UpstreamId),
-    /// An upstream renewed its lease at the sender; the receiver is its home.
+    /// An upstream renewed its lease at the sender. The receiver is its home.
     Renew {
-        /// Its incarnation.
+        /// Incarnation of the upstream.
         incarnation: Incarnation,
         /// The upstream.
         upstream: UpstreamId,
     },
-    /// Step of a comparison of digests.
+    /// Step of a digest comparison (anti-entropy).
     Repair(Repair),
-    /// States of upstreams that the receiver should know.
-    Standings(Vec<Standing>),
-    /// Digest of all that the sender knows.
+    /// Current states of upstreams, sent when one drains.
+    Standings(Vec<StateChange>),
+    /// Root hash of the digest over all records of the sender.
     Summary(u32),
 }
--- a/src/registry/output.rs
+++ b/src/registry/output.rs
@@ -1,4 +1,4 @@
-//! What a registry wants done.
+//! Outputs of a registry.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,39 +11,39 @@
 use crate::registry::Message;
 use crate::registry::State;
 
-/// One thing that a registry wants done or known.
+/// Action or notification of a registry.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Output {
-    /// An announcement was taken; the answer to the upstream.
+    /// An announcement was accepted. This is the answer to the upstream.
     Accepted {
-        /// Entry that keeps its lease, and where to renew it.
+        /// Entry that tracks its lease, and the address for renewals.
         home: Option<(NodeId, SocketAddr)>,
-        /// When to renew it.
+        /// Time after which to renew the lease.
         renew_after: Duration,
         /// The upstream.
         upstream: UpstreamId,
     },
     /// An upstream is new, or its incarnation, state or figures changed.
     Changed {
-        /// Its incarnation.
+        /// Incarnation of the upstream.
         incarnation: Incarnation,
-        /// Its state now.
+        /// New state of the upstream.
         state: State,
         /// The upstream.
         upstream: UpstreamId,
     },
-    /// This entry became the home of an upstream that it knew.
+    /// This entry became the home of a known upstream.
     Moved(UpstreamId),
-    /// Ask an upstream whether it is there and whether it drains.
+    /// Probe an upstream to learn whether it answers and whether it drains.
     Probe {
-        /// Where it takes requests.
+        /// Address that accepts requests.
         address: SocketAddr,
         /// The upstream.
         upstream: UpstreamId,
     },
-    /// An announcement was refused; the answer to the upstream.
+    /// An announcement was refused. This is the answer to the upstream.
     Refused {
-        /// Why.
+        /// Reason.
         refusal: Refusal,
         /// The upstream.
         upstream: UpstreamId,
@@ -60,15 +60,15 @@
 /// Why an announcement was refused.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum Refusal {
-    /// Two processes use one name and incarnation.
+    /// Two processes use the same name and incarnation.
     #[error("upstream `{upstream}` is announced from `{address}` in the same incarnation")]
     Duplicate {
-        /// Address of the other one.
+        /// Address of the other process.
         address: SocketAddr,
         /// The name.
         upstream: UpstreamId,
     },
-    /// An upstream that drains can't come back in the same incarnation.
+    /// A draining upstream cannot become ready again in the same incarnation.
     #[error("upstream `{upstream}` is draining; it needs a new incarnation to come back")]
     Draining {
         /// The name.
@@ -77,14 +77,14 @@
     /// A newer incarnation is known.
     #[error("upstream `{upstream}` is known in incarnation `{known}`")]
     Superseded {
-        /// The newer one.
+        /// The newer incarnation.
         known: Incarnation,
         /// The name.
         upstream: UpstreamId,
     },
-    /// The announcement's figures make no sense.
+    /// A field of the announcement has an invalid value.
     #[error("announcement of upstream `{upstream}` has a wrong `{field}`")]
-    Wrong {
+    Invalid {
         /// The field.
         field: &'static str,
         /// The name.
--- a/src/registry/homes.rs
+++ b/src/registry/placement.rs
@@ -1,4 +1,4 @@
-//! Which entry keeps an upstream's lease.
+//! Selection of the home entry of each upstream, which tracks its lease.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -12,37 +12,37 @@
 use crate::id::NodeId;
 use crate::registry::Entry;
 
-/// How long a suspected home still vouches. Meanwhile its upstreams are probed; without
-/// this they would be out of use until the first probes are answered.
-const GRACE: Duration = Duration::from_secs(1);
+/// How long a suspected home is still trusted. Its upstreams are probed meanwhile. Without
+/// the grace period they would be unusable until the first probes are answered.
+const SUSPECT_GRACE: Duration = Duration::from_secs(1);
 
-/// Live entries, from which rendezvous hashing picks a home.
+/// Live entries and their rendezvous hashing.
 #[derive(Debug, Default)]
-pub(crate) struct Homes {
-    suspected: BTreeMap<NodeId, Moment>,
+pub(crate) struct Placement {
+    suspected_at: BTreeMap<NodeId, Moment>,
     entries: BTreeMap<NodeId, (u64, Entry)>,
 }
 
-impl Homes {
-    /// Replaces the entries; tells which came and which went.
+impl Placement {
+    /// Replaces the entries. Returns the homes that were added and those that were removed.
     pub(crate) fn replace(
         &mut self,
         now: Moment,
         entries: Vec<Entry>,
     ) -> (Vec<NodeId>, Vec<NodeId>) {
-        let place = |entry: Entry| (entry.id.clone(), (xxh3_64(entry.id.as_bytes()), entry));
-        let fresh: BTreeMap<NodeId, (u64, Entry)> = entries.into_iter().map(place).collect();
+        let with_hash = |entry: Entry| (entry.id.clone(), (xxh3_64(entry.id.as_bytes()), entry));
+        let current: BTreeMap<NodeId, (u64, Entry)> = entries.into_iter().map(with_hash).collect();
         let before = eligible(&self.entries);
-        let after = eligible(&fresh);
-        self.entries = fresh;
+        let after = eligible(&current);
+        self.entries = current;
         let suspects = self.entries.iter().filter(|(_, (_, entry))| entry.suspect);
-        let since = |id: &NodeId| self.suspected.get(id).copied().unwrap_or(now);
-        self.suspected = suspects.map(|(id, _)| (id.clone(), since(id))).collect();
-        let came = after.difference(&before).cloned().collect();
-        (came, before.difference(&after).cloned().collect())
+        let since = |id: &NodeId| self.suspected_at.get(id).copied().unwrap_or(now);
+        self.suspected_at = suspects.map(|(id, _)| (id.clone(), since(id))).collect();
+        let added = after.difference(&before).cloned().collect();
+        (added, before.difference(&after).cloned().collect())
     }
 
-    /// Home of an upstream: the entry with the highest score. When an entry goes,
+    /// Returns the home of an upstream, the entry with the highest score. When an entry leaves,
     /// only its own upstreams move, evenly to all others.
     pub(crate) fn pick(&self, upstream: &str) -> Option<NodeId> {
         let score = |hash: u64| xxh3_64_with_seed(upstream.as_bytes(), hash);
@@ -51,13 +51,13 @@
         best.map(|(id, _)| id.clone())
     }
 
-    /// Home of an upstream whose home was `home` before `came` came.
-    pub(crate) fn prefer(&self, upstream: &str, home: &NodeId, came: &[NodeId]) -> Option<NodeId> {
+    /// Returns the home of an upstream that had `home` before the entries `added` joined.
+    pub(crate) fn prefer(&self, upstream: &str, home: &NodeId, added: &[NodeId]) -> Option<NodeId> {
         let score = |id: &NodeId| {
             let (hash, _) = self.entries.get(id)?;
             Some((xxh3_64_with_seed(upstream.as_bytes(), *hash), id.clone()))
         };
-        let best = came.iter().chain([home]).filter_map(score).max();
+        let best = added.iter().chain([home]).filter_map(score).max();
         best.map(|(_, id)| id)
     }
 
@@ -66,18 +66,18 @@
     }
 
     /// Whether an entry is alive and not suspected.
-    pub(crate) fn is_sound(&self, id: &NodeId) -> bool {
+    pub(crate) fn is_unsuspected(&self, id: &NodeId) -> bool {
         self.entries.get(id).is_some_and(|(_, entry)| !entry.suspect)
     }
 
-    /// Whether an entry is alive and not suspected for longer than [`GRACE`].
-    pub(crate) fn vouches(&self, now: Moment, id: &NodeId) -> bool {
-        let fresh = self.suspected.get(id).is_some_and(|since| now < *since + GRACE);
-        self.is_sound(id) || fresh
+    /// Whether an entry is alive and has not been suspected for longer than [`SUSPECT_GRACE`].
+    pub(crate) fn is_trusted(&self, now: Moment, id: &NodeId) -> bool {
+        let is_recent = self.suspected_at.get(id).is_some_and(|since| now < *since + SUSPECT_GRACE);
+        self.is_unsuspected(id) || is_recent
     }
 
     /// Whether no entry is suspected.
-    pub(crate) fn are_sound(&self) -> bool {
+    pub(crate) fn has_no_suspects(&self) -> bool {
         self.entries.values().all(|(_, entry)| !entry.suspect)
     }
 
--- a/src/registry/trial.rs
+++ b/src/registry/trial.rs
@@ -1,4 +1,4 @@
-//! Several registries on the fake network in virtual time, for tests and measurements.
+//! Simulation of several registries on the fake network in virtual time.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -24,38 +24,38 @@
 use crate::registry::Registry;
 use crate::registry::State;
 
-/// Ticks are spread over this many steps.
+/// Number of steps over which the ticks of the entries are spread.
 const STEPS: usize = 10;
-/// IP, UDP and QUIC headers of a datagram, counted on top of its payload.
-const HEADERS: usize = 60;
+/// Bytes of the IP, UDP and QUIC headers, added to the payload of each datagram.
+const HEADER_BYTES: usize = 60;
 
-/// Registries on top of a fleet; every accident follows from the seed.
+/// Registries on a simulated fleet. All faults follow from the seed.
 pub struct Trial {
-    /// What each upstream announces, by name; each renews at a third of its lease.
+    /// Announcements by upstream. Each is renewed after a third of its lease.
     pub announced: BTreeMap<UpstreamId, Announcement>,
-    /// Entries that the upstreams can't reach and that can't reach them.
+    /// Entries that are partitioned from the upstreams.
     pub apart: BTreeSet<NodeId>,
-    /// Events other than messages: when, at which entry, what.
+    /// Outputs other than messages, with their time and entry.
     pub events: Vec<(Moment, NodeId, Output)>,
-    /// The membership below, which has the network of its own messages.
+    /// The simulated fleet, which has a network of its own.
     pub fleet: fleet::Trial,
-    /// Longest encoded message.
+    /// Bytes of the longest encoded message.
     pub longest: usize,
     /// Network between the registries.
     pub net: Net,
-    /// Probes asked for.
+    /// Number of probes that were requested.
     pub probes: u64,
     /// Registries by entry.
     pub registries: BTreeMap<NodeId, Registry>,
     /// Bytes that each entry sent, headers included.
     pub sent: BTreeMap<NodeId, u64>,
-    contact: BTreeMap<UpstreamId, (Moment, usize)>,
+    renewals: BTreeMap<UpstreamId, (Moment, usize)>,
     seen: BTreeMap<NodeId, usize>,
     step: usize,
 }
 
 impl Trial {
-    /// Entries over a fleet that has settled; no upstreams yet.
+    /// Creates registries on a converged fleet, without upstreams.
     pub fn new(seed: u64, count: usize) -> Self {
         let mut fleet = fleet::Trial::new(seed, count, Weather::fair());
         fleet.run(Duration::from_secs(if count > 100 { 60 } else { 20 }));
@@ -68,7 +68,7 @@
         Self {
             announced: BTreeMap::new(),
             apart: BTreeSet::new(),
-            contact: BTreeMap::new(),
+            renewals: BTreeMap::new(),
             events: Vec::new(),
             fleet,
             longest: 0,
@@ -86,7 +86,7 @@
         self.fleet.now
     }
 
-    /// A plausible announcement of the upstream with `index`.
+    /// Creates an announcement of the upstream with `index`.
     pub fn announcement(index: usize) -> Announcement {
         let (high, low) = ((index / 250) as u8, (index % 250) as u8);
         Announcement {
@@ -103,15 +103,15 @@
         }
     }
 
-    /// An upstream announces itself now, and renews from then on.
+    /// Announces an upstream and renews its lease from then on.
     pub fn announce(&mut self, entry: usize, announcement: Announcement) {
         let upstream = announcement.upstream.clone();
-        self.contact.insert(upstream.clone(), (self.now(), entry));
+        self.renewals.insert(upstream.clone(), (self.now(), entry));
         self.announced.insert(upstream.clone(), announcement);
         self.renew(&upstream);
     }
 
-    /// Cuts entries off from the others, not from the upstreams.
+    /// Partitions entries from the others, but not from the upstreams.
     pub fn cut_off(&mut self, group: &[NodeId]) {
         self.fleet.cut_off(group);
         for other in self.registries.keys().filter(|id| !group.contains(id)) {
@@ -119,41 +119,41 @@
         }
     }
 
-    /// Mends every cut.
+    /// Heals all partitions.
     pub fn heal(&mut self) {
         self.fleet.net.heal_all();
         self.net.heal_all();
     }
 
-    /// Stops an entry without a word.
+    /// Stops an entry without notice.
     pub fn kill(&mut self, id: &NodeId) {
         self.fleet.kill(id);
         self.registries.remove(id);
     }
 
-    /// Entries that would give an upstream new work now.
+    /// Returns the entries that may send new work to an upstream.
     pub fn users(&self, upstream: &UpstreamId) -> Vec<NodeId> {
-        let uses = |registry: &Registry| {
+        let is_usable = |registry: &Registry| {
             registry.get(upstream).is_some_and(|known| registry.is_usable(self.now(), known))
         };
-        self.registries.iter().filter(|(_, r)| uses(r)).map(|(id, _)| id.clone()).collect()
+        self.registries.iter().filter(|(_, r)| is_usable(r)).map(|(id, _)| id.clone()).collect()
     }
 
-    /// Gives one registry an input.
+    /// Passes an input to one registry.
     pub fn input(&mut self, id: &NodeId, input: Input) {
         let now = self.now();
         let Some(registry) = self.registries.get_mut(id) else { return };
         for output in registry.handle(now, input) {
-            self.carry(id, output);
+            self.dispatch(id, output);
         }
     }
 
-    /// Lets `span` pass.
+    /// Advances virtual time by `span`.
     pub fn run(&mut self, span: Duration) {
         let end = self.now() + span;
-        let pace = Registry::TICK / STEPS as u32;
+        let step = Registry::TICK / STEPS as u32;
         while self.now() < end {
-            self.fleet.run(pace);
+            self.fleet.run(step);
             while let Some(delivery) = self.net.receive(self.now()) {
                 if let Ok(message) = postcard::from_bytes::<Message>(&delivery.bytes) {
                     self.input(&delivery.to, Input::Receive { from: delivery.from, message });
@@ -171,8 +171,8 @@
         let Some(member) = self.fleet.members.get(id) else { return };
         let in_touch = member.in_touch(self.now());
         let entries = self.entries(member);
-        let news = self.seen.insert(id.clone(), self.fleet.events.len());
-        if news != Some(self.fleet.events.len()) {
+        let seen = self.seen.insert(id.clone(), self.fleet.events.len());
+        if seen != Some(self.fleet.events.len()) {
             self.input(id, Input::Entries(entries));
         }
         self.input(id, Input::Tick { in_touch });
@@ -187,30 +187,30 @@
         let now = self.now();
         let due = |(at, _): &(Moment, usize)| *at <= now;
         let upstreams: Vec<UpstreamId> =
-            self.contact.iter().filter(|(_, c)| due(c)).map(|(id, _)| id.clone()).collect();
+            self.renewals.iter().filter(|(_, c)| due(c)).map(|(id, _)| id.clone()).collect();
         upstreams.iter().for_each(|upstream| self.renew(upstream));
     }
 
     fn renew(&mut self, upstream: &UpstreamId) {
         let now = self.now();
         let Some(announcement) = self.announced.get(upstream).cloned() else { return };
-        let Some((_, entry)) = self.contact.get(upstream).copied() else { return };
+        let Some((_, entry)) = self.renewals.get(upstream).copied() else { return };
         let id = fleet::Trial::id(entry);
-        self.contact.insert(upstream.clone(), (now + announcement.lease / 3, entry));
+        self.renewals.insert(upstream.clone(), (now + announcement.lease / 3, entry));
         if self.registries.contains_key(&id) && !self.apart.contains(&id) {
             self.input(&id, Input::Announce(announcement));
         } else {
             let next = (entry + 1) % self.registries.len().max(1);
-            self.contact.insert(upstream.clone(), (now + Duration::from_secs(1), next));
+            self.renewals.insert(upstream.clone(), (now + Duration::from_secs(1), next));
         }
     }
 
-    fn carry(&mut self, from: &NodeId, output: Output) {
+    fn dispatch(&mut self, from: &NodeId, output: Output) {
         match &output {
             Output::Accepted { home: Some((home, _)), upstream, .. } => {
                 let index = home.trim_start_matches("vm-").parse();
-                if let (Ok(index), Some(contact)) = (index, self.contact.get_mut(upstream)) {
-                    contact.1 = index;
+                if let (Ok(index), Some(renewal)) = (index, self.renewals.get_mut(upstream)) {
+                    renewal.1 = index;
                 }
             }
             Output::Probe { upstream, .. } => {
@@ -219,7 +219,7 @@
             }
             Output::Send { to, message } => {
                 let Ok(bytes) = postcard::to_allocvec(message) else { return };
-                *self.sent.entry(from.clone()).or_default() += (bytes.len() + HEADERS) as u64;
+                *self.sent.entry(from.clone()).or_default() += (bytes.len() + HEADER_BYTES) as u64;
                 self.longest = self.longest.max(bytes.len());
                 self.net.send(self.now(), from, to, bytes);
                 return;
--- a/src/registry/upstream.rs
+++ b/src/registry/upstream.rs
@@ -1,4 +1,4 @@
-//! One upstream as this entry knows it.
+//! Local record of an upstream.
 
 use std::time::Duration;
 
@@ -6,63 +6,62 @@
 use crate::id::NodeId;
 use crate::registry::Announcement;
 use crate::registry::Change;
-use crate::registry::Standing;
 use crate::registry::State;
+use crate::registry::StateChange;
 
-/// How long an answer proves that an upstream does not drain: with the probe's
-/// period below the 3 s within which a drain must be known.
-pub(crate) const PROOF: Duration = Duration::from_millis(2500);
+/// How long an answer proves that an upstream is not draining. Even with the interval between
+/// probes, a drain must be known within 3 s.
+pub(crate) const ANSWER_VALIDITY: Duration = Duration::from_millis(2500);
 
-/// One upstream as this entry knows it.
+/// Record of an upstream at this entry.
 #[derive(Clone, Debug)]
 pub struct Upstream {
-    /// What it said last; the state may be [`State::Gone`].
+    /// Latest announcement. Its state may be [`State::Gone`].
     pub announcement: Announcement,
-    /// Entry that keeps its lease.
+    /// Entry that tracks its lease.
     pub home: Option<NodeId>,
-    /// When this entry had proof of its own that the upstream is there.
+    /// When the upstream last answered this entry, or when its grace period began.
     pub answered: Option<Moment>,
-    /// Whether an answer without an incarnation said that it drains.
+    /// Whether the last answer to this entry said that it drains, or a record before said so.
     pub(crate) draining: bool,
-    /// When its incarnation was first announced, as this process's clock has it;
-    /// negative times (before the start of the process) are kept as an age.
-    pub(crate) born: Born,
-    /// Until when answers to this entry count for more than the end of its lease; the
-    /// registry clears it when that is over.
-    pub(crate) contested: Option<Moment>,
-    /// When a probe was last asked for.
-    pub(crate) probed: Option<Moment>,
-    /// When the home heard a renewal last, or when this entry became the home.
-    pub(crate) renewed: Moment,
+    /// When its incarnation was first announced. An age is stored with it, because the time may
+    /// be before the start of this process, where its clock begins.
+    pub(crate) first_seen: FirstSeen,
+    /// End of the grace period in which answers to this entry override the expiry of the lease.
+    /// The registry clears it when it is over.
+    pub(crate) grace_until: Option<Moment>,
+    /// When a probe was last requested.
+    pub(crate) probed_at: Option<Moment>,
+    /// When the home last got a renewal, or when this entry became the home.
+    pub(crate) renewed_at: Moment,
     pub(crate) revision: u32,
-    /// When the state was taken note of.
-    pub(crate) since: Moment,
+    /// When this record was last replaced.
+    pub(crate) replaced_at: Moment,
 }
 
-/// Moment of a birth: known at `at` to have been `age` ago.
+/// Moment that lay `age` in the past at the time `at`.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) struct Born {
+pub(crate) struct FirstSeen {
     pub(crate) age: Duration,
     pub(crate) at: Moment,
 }
 
 impl Upstream {
-    /// Share of work in the first moment of the warm-up.
+    /// Share of work at the start of the warm-up.
     pub const WARM_UP_START: f64 = 0.1;
 
-    /// How long ago its incarnation was first announced.
+    /// Time since its incarnation was first announced.
     pub fn age(&self, now: Moment) -> Duration {
-        self.born.age + now.saturating_sub(self.born.at)
+        self.first_seen.age + now.saturating_sub(self.first_seen.at)
     }
 
-    /// When its incarnation was first announced; the start of this process where that
-    /// was earlier.
+    /// When its incarnation was first announced, but not before the start of this process.
     pub fn born_at(&self) -> Moment {
-        self.born.at.saturating_sub(self.born.age)
+        self.first_seen.at.saturating_sub(self.first_seen.age)
     }
 
-    /// Share of its full work that it may get, from [`Upstream::WARM_UP_START`] at
-    /// its start to 1 after its warm-up, in a straight line.
+    /// Share of its full work that it may get. Grows linearly from [`Upstream::WARM_UP_START`] at
+    /// its start to 1 at the end of the warm-up.
     pub fn share(&self, now: Moment) -> f64 {
         let warm_up = self.announcement.warm_up.as_secs_f64();
         let age = self.age(now).as_secs_f64();
@@ -72,20 +71,20 @@
         Self::WARM_UP_START + (1.0 - Self::WARM_UP_START) * age / warm_up
     }
 
-    /// Whether this entry itself has fresh proof that it takes new work.
-    pub fn is_proven(&self, now: Moment) -> bool {
-        self.answered.is_some_and(|at| now < at + PROOF)
+    /// Whether a recent answer to this entry proves that the upstream accepts new work.
+    pub fn has_recent_answer(&self, now: Moment) -> bool {
+        self.answered.is_some_and(|at| now < at + ANSWER_VALIDITY)
     }
 
-    /// Whether its lease runs, or ran out a moment ago while it was ready.
-    pub fn is_here(&self) -> bool {
-        self.announcement.state != State::Gone || self.contested.is_some()
+    /// Whether its lease is valid, or expired while it was ready and is in the grace period.
+    pub fn is_listed(&self) -> bool {
+        self.announcement.state != State::Gone || self.grace_until.is_some()
     }
 
-    /// Whether nothing known says that it takes no new work.
+    /// Whether it is ready, or in the grace period, and no answer said that it drains.
     pub fn is_ready(&self) -> bool {
-        let here = self.announcement.state == State::Ready || self.contested.is_some();
-        here && !self.draining
+        let is_ready = self.announcement.state == State::Ready || self.grace_until.is_some();
+        is_ready && !self.draining
     }
 
     pub(crate) fn change(&self, now: Moment) -> Change {
@@ -93,8 +92,8 @@
         Change { age, announcement: self.announcement.clone(), revision: self.revision }
     }
 
-    pub(crate) fn standing(&self) -> Standing {
-        Standing {
+    pub(crate) fn state_change(&self) -> StateChange {
+        StateChange {
             incarnation: self.announcement.incarnation,
             revision: self.revision,
             state: self.announcement.state,
--- a/tests/suite/registry.rs
+++ b/tests/suite/registry.rs
@@ -1,4 +1,4 @@
-//! Announced upstreams in virtual time.
+//! Registry of announced upstreams in virtual time.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -17,8 +17,8 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// 44 entries and 30 upstreams that all entries use.
-fn settled(seed: u64) -> Trial {
+/// Creates 44 entries and 30 upstreams that all entries use.
+fn converged(seed: u64) -> Trial {
     let mut trial = Trial::new(seed, 44);
     (0..30).for_each(|index| trial.announce(index, Trial::announcement(index)));
     trial.run(SECOND * 10);
@@ -49,9 +49,9 @@
 
 #[test]
 fn announce_renewals_do_not_spread() {
-    // Thirty upstreams renew for five minutes and nothing changes. Entries other
-    // than the homes must hear nothing of it, or 6,200 upstreams would fill the links.
-    let mut trial = settled(1);
+    // Renewals without changes must not be sent to entries other than the homes, or 6,200
+    // upstreams would saturate the links.
+    let mut trial = converged(1);
     trial.events.clear();
     trial.sent.clear();
     trial.run(SECOND * 300);
@@ -63,7 +63,7 @@
 
 #[test]
 fn drain_reaches_every_entry_within_3_s() {
-    let mut trial = settled(2);
+    let mut trial = converged(2);
     drain(&mut trial, 4, 17);
     trial.run(SECOND * 3);
     assert!(trial.users(&Trial::announcement(4).upstream).is_empty());
@@ -74,27 +74,27 @@
 #[case::alone(1)]
 #[case::four_together(4)]
 #[case::twelve_together(12)]
-fn drain_reaches_entries_cut_off_from_the_rest(#[case] group: usize) {
-    // Entries lose the fleet but not the upstreams. An upstream drains at another
-    // entry in the same moment, so nobody can tell those cut off. Their neighbours
-    // stop answering, so nobody vouches any more, and their own probes tell.
-    let mut trial = settled(3);
-    let cut: Vec<NodeId> = (20..20 + group).map(fleet::Trial::id).collect();
-    trial.cut_off(&cut);
+fn drain_reaches_partitioned_entries(#[case] group: usize) {
+    // Entries are partitioned from the fleet but not from the upstreams, and an upstream drains
+    // at another entry. The partitioned entries get no change. They are no longer in touch, so
+    // no home is trusted, and their own probes find the drain.
+    let mut trial = converged(3);
+    let partitioned: Vec<NodeId> = (20..20 + group).map(fleet::Trial::id).collect();
+    trial.cut_off(&partitioned);
     drain(&mut trial, 4, 1);
     trial.run(SECOND * 3);
     assert!(trial.users(&Trial::announcement(4).upstream).is_empty());
-    // The others are still given work by those cut off: they answer the probes.
+    // The partitioned entries keep using the other upstreams, which answer the probes.
     trial.run(SECOND * 2);
     let users = trial.users(&Trial::announcement(5).upstream);
-    assert!(cut.iter().all(|id| users.contains(id)));
+    assert!(partitioned.iter().all(|id| users.contains(id)));
 }
 
 #[test]
-fn drain_does_not_wait_behind_a_bulk_of_announcements() {
-    // Two thousand upstreams are announced at once, more than the byte allowance
-    // lets through in a while. One that was there before drains right then.
-    let mut trial = settled(14);
+fn drain_does_not_wait_for_announcements() {
+    // Two thousand upstreams are announced at once, more than the byte allowance lets through
+    // quickly. A drain at that moment must not wait for them.
+    let mut trial = converged(14);
     trial.announce(1, Trial::announcement(9999));
     trial.run(SECOND * 5);
     (100..2100).for_each(|index| trial.announce(index % 44, Trial::announcement(index)));
@@ -109,10 +109,10 @@
 }
 
 #[test]
-fn drain_known_from_an_answer_alone() {
-    // An upstream drains but its announcement is lost. The first answer that says so
-    // takes it out everywhere.
-    let mut trial = settled(4);
+fn drain_learned_from_an_answer() {
+    // An upstream drains and its announcement is lost. The first answer that says so stops all
+    // entries from using it.
+    let mut trial = converged(4);
     let upstream = Trial::announcement(7).upstream;
     let incarnation = Some(Trial::announcement(7).incarnation);
     let input = Input::Answered { draining: true, incarnation, upstream: upstream.clone() };
@@ -122,8 +122,8 @@
 }
 
 #[test]
-fn answered_without_incarnation_speaks_for_one_entry() {
-    let mut trial = settled(5);
+fn answer_without_incarnation_affects_one_entry() {
+    let mut trial = converged(5);
     let upstream = Trial::announcement(7).upstream;
     let input =
         |draining| Input::Answered { draining, incarnation: None, upstream: upstream.clone() };
@@ -135,11 +135,10 @@
 }
 
 #[test]
-fn home_dies_and_the_next_keeps_the_lease() {
-    // The entry that keeps an upstream's lease dies. The upstream finds another entry
-    // for its renewals; the next home takes the lease over, and the upstream is
-    // usable at all times. When it dies too, the new home lets the lease run out.
-    let mut trial = settled(6);
+fn home_dies_and_another_takes_over() {
+    // The home of an upstream dies. The upstream renews at another entry, the new home takes
+    // over the lease, and the upstream stays usable. When it dies too, its lease expires.
+    let mut trial = converged(6);
     let upstream = Trial::announcement(9).upstream;
     let old = home(&trial, 9);
     trial.kill(&old);
@@ -154,8 +153,8 @@
 }
 
 #[test]
-fn lease_runs_out_and_the_upstream_comes_back() {
-    let mut trial = settled(7);
+fn lease_expires_and_the_upstream_returns() {
+    let mut trial = converged(7);
     let upstream = Trial::announcement(3).upstream;
     trial.announced.remove(&upstream);
     trial.run(SECOND * 20);
@@ -166,11 +165,11 @@
 }
 
 #[test]
-fn region_back_keeps_the_upstreams_in_use() {
-    // A region loses the others and their upstreams for five minutes, and lets those
-    // leases run out. When the sides meet, its verdicts spread to the others; the
-    // upstreams are in use all the same, by their answers, until they have renewed.
-    let mut trial = settled(15);
+fn partition_heals_and_upstreams_stay_in_use() {
+    // A region is partitioned for five minutes and expires the leases of the other upstreams.
+    // When the partition heals, these expiries spread to the other entries. The upstreams must
+    // stay in use, because they answer, until they have renewed.
+    let mut trial = converged(15);
     let region = trial.fleet.region("r1");
     trial.cut_off(&region);
     trial.apart = region.iter().cloned().collect();
@@ -195,8 +194,8 @@
 }
 
 #[test]
-fn late_announcement_after_a_drained_lease_ran_out() {
-    let mut trial = settled(16);
+fn late_announcement_after_a_drained_lease_expired() {
+    let mut trial = converged(16);
     drain(&mut trial, 4, 17);
     let upstream = Trial::announcement(4).upstream;
     trial.announced.remove(&upstream);
@@ -206,10 +205,10 @@
 }
 
 #[test]
-fn restart_at_another_address_and_a_late_announcement() {
-    // An upstream restarts at another address. Then an announcement of its former
-    // life arrives at another entry. It is refused, and nobody uses the old address.
-    let mut trial = settled(8);
+fn late_announcement_after_a_restart() {
+    // An upstream restarts at another address. A late announcement of its old incarnation is
+    // refused, and no entry uses the old address.
+    let mut trial = converged(8);
     let old = Trial::announcement(2);
     let address = SocketAddr::from(([127, 9, 9, 9], 8080));
     let fresh = Announcement { address, incarnation: old.incarnation + 1, ..old.clone() };
@@ -228,7 +227,7 @@
 
 #[test]
 fn late_announcement_does_not_undo_a_drain() {
-    let mut trial = settled(9);
+    let mut trial = converged(9);
     drain(&mut trial, 4, 17);
     trial.run(SECOND);
     trial.input(&fleet::Trial::id(40), Input::Announce(Trial::announcement(4)));
@@ -240,9 +239,9 @@
 
 #[test]
 fn duplicate_name_is_refused() {
-    // Two processes are given one name. The second is told the first one's address;
+    // Two processes use the same name. The second is refused with the address of the first, and
     // the first stays in use.
-    let mut trial = settled(10);
+    let mut trial = converged(10);
     let address = SocketAddr::from(([127, 9, 9, 9], 8080));
     let first = Trial::announcement(6);
     trial.input(&fleet::Trial::id(8), Input::Announce(Announcement { address, ..first.clone() }));
@@ -252,10 +251,10 @@
 }
 
 #[test]
-fn changes_lost_by_the_flood_are_repaired() {
-    // Half of all messages are lost while ten upstreams come and ten drain. Digests
-    // find what the flood lost.
-    let mut trial = settled(11);
+fn changes_lost_by_gossip_are_repaired() {
+    // Half of all messages are lost while ten upstreams join and ten drain. Anti-entropy repairs
+    // what gossip lost.
+    let mut trial = converged(11);
     trial.net.weather.loss = 0.5;
     (30..40).for_each(|index| trial.announce(index, Trial::announcement(index)));
     (0..10).for_each(|index| drain(&mut trial, index, 20));
@@ -270,8 +269,8 @@
 
 #[test]
 fn share_grows_over_the_warm_up_at_every_entry() {
-    // A cold upstream takes 60 s to warm up. An entry that joins halfway must not
-    // take it for cold from the beginning, nor for warm.
+    // An upstream takes 60 s to warm up. All entries must compute its share from its first
+    // announcement.
     let mut trial = Trial::new(12, 44);
     let upstream = Trial::announcement(0).upstream;
     trial.announce(0, Trial::announcement(0));
@@ -291,26 +290,25 @@
 #[case::lease(Announcement { lease: SECOND, ..Trial::announcement(50) }, "lease")]
 #[case::slots(Announcement { slots: 0, ..Trial::announcement(50) }, "slots")]
 #[case::state(Announcement { state: State::Gone, ..Trial::announcement(50) }, "state")]
-fn announce_refuses_wrong(#[case] announcement: Announcement, #[case] field: &'static str) {
+fn announce_refuses_invalid(#[case] announcement: Announcement, #[case] field: &'static str) {
     let mut trial = Trial::new(13, 3);
     let upstream = announcement.upstream.clone();
     trial.input(&fleet::Trial::id(0), Input::Announce(announcement));
-    assert_eq!(refusals(&trial), vec![Refusal::Wrong { field, upstream }]);
+    assert_eq!(refusals(&trial), vec![Refusal::Invalid { field, upstream }]);
 }
 
 #[test]
-fn announce_endless_lease() {
-    // One upstream announces the longest lease and warm-up that can be written. Every
-    // entry reckons when they end, and the control thread of each must live through it:
-    // the other upstreams are used as before.
-    let mut trial = settled(1);
-    let endless = Announcement {
+fn announce_longest_lease() {
+    // One upstream announces the longest possible lease and warm-up. Computing their ends must
+    // not overflow at any entry, and the other upstreams stay in use.
+    let mut trial = converged(1);
+    let announcement = Announcement {
         lease: Duration::MAX,
         slots: u32::MAX,
         warm_up: Duration::MAX,
         ..Trial::announcement(30)
     };
-    trial.announce(3, endless);
+    trial.announce(3, announcement);
     trial.run(SECOND * 10);
     assert_eq!(trial.users(&Trial::announcement(4).upstream).len(), 44);
 }
