--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,26 +1,24 @@
-//! Membership between our processes: failure detection, dissemination and anti-entropy.
+//! Gossip membership of the processes: failure detection, dissemination and anti-entropy.
 //!
-//! Load pattern: up to 520 processes, of which 33 fail and 810 restart on a day, a
-//! failure domain is lost at once, and regions lose each other for an hour. With
-//! all-to-all heartbeats each process would spend more on them than its whole
-//! allowance; see `docs/design/fleet.md` for the figures.
+//! Load: up to 520 processes, of which 33 fail and 810 restart per day. A whole failure domain
+//! may fail, and regions may be partitioned for an hour. All-to-all heartbeats would cost each
+//! process more than its whole allowance. `docs/design/fleet.md` has the figures.
 //!
-//! [`Member`] probes only its successors on a few hashed rings, so that each process
-//! needs few long-lived links and is watched by a fixed number of observers. News
-//! floods along the same links within a byte [`Allowance`], and [`Digest`]s repair
-//! what was lost.
+//! [`Member`] probes only its successors on a few hashed rings, so that each process needs few
+//! long-lived links and has a fixed number of observers. Updates are flooded along the same links
+//! within a byte [`Allowance`], and [`Digest`]s repair losses.
 
 mod allowance;
 mod digest;
 mod input;
 mod member;
+mod member_table;
 mod message;
 mod output;
 mod probe;
 mod record;
 mod repair;
 mod rings;
-mod roster;
 mod rumour;
 mod spread;
 mod trial;
--- a/src/fleet/digest.rs
+++ b/src/fleet/digest.rs
@@ -1,4 +1,4 @@
-//! Hashes over a set of versioned records, to find differences cheaply.
+//! Digests of versioned records, for anti-entropy.
 
 use std::collections::BTreeMap;
 
@@ -17,16 +17,15 @@
 
 /// Versions of keyed records in hashed buckets.
 ///
-/// Records that are not counted (tombstones) take part in the comparison of a
-/// bucket but do not make its hash differ: nodes forget them at different times,
-/// and would otherwise repair forever.
+/// Records that are not counted (tombstones) are compared within a bucket but do not change its
+/// hash. Nodes forget them at different times, and would otherwise repair forever.
 #[derive(Clone, Debug)]
 pub struct Digest {
     buckets: Vec<BTreeMap<u32, Version>>,
     hashes: Vec<u32>,
 }
 
-/// What a step of a comparison calls for.
+/// Answer to a step of a comparison.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Answer {
     /// Steps to send back.
@@ -36,21 +35,21 @@
 }
 
 impl Digest {
-    /// Bytes of one step, so that it fits a datagram of 1,100 bytes.
-    const STEP_MAX: usize = 900;
-    /// Steps sent in one answer; the rest waits for the next comparison. Bounds
-    /// what a node with an empty table can ask of one peer at once.
+    /// Most bytes in one step, so that it fits a datagram of 1,100 bytes.
+    const STEP_BYTES_MAX: usize = 900;
+    /// Most steps in one answer; the rest waits for the next comparison. Bounds what a node with
+    /// an empty table can request from one peer at once.
     const STEPS_MAX: usize = 8;
-    /// Encoded bytes of one hash, at most.
-    const HASH_BYTES: usize = 5;
+    /// Most encoded bytes of one hash.
+    const HASH_BYTES_MAX: usize = 5;
 
-    /// Empty digest of 1 to 256 buckets.
+    /// Creates an empty digest of 1 to 256 buckets.
     pub fn new(buckets: usize) -> Self {
         let buckets = buckets.clamp(1, 256);
         Self { buckets: vec![BTreeMap::new(); buckets], hashes: vec![0; buckets] }
     }
 
-    /// Hash over all counted records.
+    /// Returns the hash over all counted records.
     pub fn root(&self) -> u32 {
         let bytes: Vec<u8> = self.hashes.iter().flat_map(|hash| hash.to_le_bytes()).collect();
         xxh3_64(&bytes) as u32
@@ -58,21 +57,21 @@
 
     /// Sets the version of a record.
     pub fn set(&mut self, key: &CompactString, version: u32, counted: bool) {
-        let (bucket, hash) = self.place(key);
+        let (bucket, hash) = self.locate(key);
         let new = Version { counted, key: key.clone(), version };
         let old = self.buckets[bucket].insert(hash, new);
-        self.hashes[bucket] ^= contribution(hash, old.as_ref());
-        self.hashes[bucket] ^= contribution(hash, self.buckets[bucket].get(&hash));
+        self.hashes[bucket] ^= hash_contribution(hash, old.as_ref());
+        self.hashes[bucket] ^= hash_contribution(hash, self.buckets[bucket].get(&hash));
     }
 
-    /// Forgets a record.
+    /// Removes a record.
     pub fn remove(&mut self, key: &CompactString) {
-        let (bucket, hash) = self.place(key);
+        let (bucket, hash) = self.locate(key);
         let old = self.buckets[bucket].remove(&hash);
-        self.hashes[bucket] ^= contribution(hash, old.as_ref());
+        self.hashes[bucket] ^= hash_contribution(hash, old.as_ref());
     }
 
-    /// First step of a comparison.
+    /// Returns the first step of a comparison.
     pub fn hashes(&self) -> Repair {
         Repair::Hashes(self.hashes.clone())
     }
@@ -91,17 +90,17 @@
             return Answer::default();
         }
         let mut steps: Vec<Vec<Bucket>> = Vec::new();
-        let mut room = 0;
+        let mut remaining = 0;
         for (index, versions) in self.buckets.iter().enumerate() {
             if hashes[index] == self.hashes[index] {
                 continue;
             }
-            let size = Self::HASH_BYTES * (2 * versions.len() + 1);
-            if size > room || steps.is_empty() {
+            let size = Self::HASH_BYTES_MAX * (2 * versions.len() + 1);
+            if size > remaining || steps.is_empty() {
                 steps.push(Vec::new());
-                room = Self::STEP_MAX;
+                remaining = Self::STEP_BYTES_MAX;
             }
-            room = room.saturating_sub(size);
+            remaining = remaining.saturating_sub(size);
             let list = versions.iter().map(|(hash, version)| (*hash, version.version)).collect();
             if let Some(step) = steps.last_mut() {
                 step.push((index as u8, list));
@@ -129,7 +128,7 @@
                 }
             }
         }
-        let per_step = Self::STEP_MAX / Self::HASH_BYTES;
+        let per_step = Self::STEP_BYTES_MAX / Self::HASH_BYTES_MAX;
         let repairs = want.chunks(per_step).map(|chunk| Repair::Want(chunk.to_vec())).collect();
         Answer { repairs, send }
     }
@@ -142,13 +141,13 @@
         Answer { repairs: Vec::new(), send: hashes.iter().filter_map(find).collect() }
     }
 
-    fn place(&self, key: &CompactString) -> (usize, u32) {
+    fn locate(&self, key: &CompactString) -> (usize, u32) {
         let hash = xxh3_64(key.as_bytes()) as u32;
         (hash as usize % self.buckets.len(), hash)
     }
 }
 
-fn contribution(hash: u32, version: Option<&Version>) -> u32 {
+fn hash_contribution(hash: u32, version: Option<&Version>) -> u32 {
     let Some(version) = version else { return 0 };
     if !version.counted {
         return 0;
--- a/src/fleet/input.rs
+++ b/src/fleet/input.rs
@@ -1,26 +1,26 @@
-//! What happens to a member.
+//! Inputs of a member.
 
 use crate::fleet::Message;
 use crate::fleet::Meta;
 use crate::id::ConfigNumber;
 use crate::id::NodeId;
 
-/// One thing that happens to a member.
+/// Event that a member handles.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Another configuration is in force here.
+    /// Another configuration is in force at this process.
     Configuration(ConfigNumber),
-    /// The process stops for good; tells the others.
+    /// The process stops for good and announces it to the others.
     Leave,
     /// A message arrived.
     Receive {
-        /// Its sender, as the sender's certificate says.
+        /// Sender, taken from its certificate.
         from: NodeId,
         /// The message.
         message: Message,
     },
     /// Time has passed; due at least every [`crate::fleet::Member::TICK`].
     Tick,
-    /// The process describes itself differently.
+    /// The metadata of this process changed.
     Update(Meta),
 }
--- a/src/fleet/member.rs
+++ b/src/fleet/member.rs
@@ -1,6 +1,6 @@
-//! One process's part in the fleet.
+//! Membership of one process in the fleet.
 
-mod learn;
+mod apply;
 mod receive;
 
 use std::collections::BTreeSet;
@@ -22,44 +22,44 @@
 use crate::fleet::Seed;
 use crate::fleet::Spread;
 use crate::fleet::Status;
-use crate::fleet::probe::Due;
+use crate::fleet::member_table::MemberState;
+use crate::fleet::member_table::MemberTable;
+use crate::fleet::probe::Action;
 use crate::fleet::probe::Prober;
 use crate::fleet::rings::Rings;
-use crate::fleet::roster::Entry;
-use crate::fleet::roster::Roster;
 use crate::id::NodeId;
 
-/// Rings that members are ordered on, hence observers of each member. Four lets two
-/// of them be lost or cut off and two still confirm each other.
+/// Number of rings, which is also the number of observers of each member. If two of four are lost
+/// or partitioned, two can still confirm each other.
 const RINGS: usize = 4;
 
-/// Bytes a second for joins and repairs in the long run, and the same for suspicions,
-/// refutations and verdicts, so that a refutation does not come too late because a
-/// failure domain joins at the same time. Probes need about 0.43 KB a second beside.
+/// Sustained bytes per second for joins and repairs. Suspicions, refutations and failures have as
+/// much again, so that a refutation is not delayed when a failure domain joins at the same time.
+/// Probes need about 0.43 KB per second in addition.
 const SPREAD_RATE: u64 = 500;
 
-/// Bytes of news that may pass now and then: 520 members that all start, some times.
+/// Burst of bytes for updates. Enough for 520 members that all start, several times over.
 const SPREAD_BURST: u64 = 1_000_000;
 
-/// Bytes of news a second while there are many: the table in four seconds.
+/// Bytes per second for updates during a burst. The whole table takes four seconds.
 const SPREAD_PACE: u64 = 10_000;
 
-/// How often a process that knows nobody asks a seed.
+/// Interval at which a process that knows no other member asks a seed to join.
 const JOIN_PERIOD: Duration = Duration::from_secs(1);
 
-/// How often one that knows others asks a seed that is not among them; reached by
-/// doubling, so that a seed which is gone for good costs little.
+/// Longest interval at which a process that knows other members asks a missing seed to join. The
+/// interval doubles up to it, so that a seed that never returns costs little.
 const JOIN_PERIOD_MAX: Duration = Duration::from_secs(64);
 
-/// How often a failed member is pinged, in case the path to it is back. With 170
-/// processes on one side of a cut that is eight pings a second in all.
+/// Mean interval at which a failed member is pinged, in case a partition has healed. With 170
+/// processes on one side of it, that is eight pings per second in total.
 const REJOIN_PERIOD: Duration = Duration::from_secs(20);
 
-/// A longer gap between ticks means that this process was stopped (a paused VM):
-/// the answers it misses prove nothing against others.
-const STALL: Duration = Duration::from_secs(1);
+/// Gap between ticks from which this process counts as paused, for example with its VM. The answers
+/// that it missed are no evidence against other members.
+const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
 
-/// One process's view of the fleet and its duties in it.
+/// Member of the fleet with its view of the other members.
 #[derive(Debug)]
 pub struct Member {
     changed_at: Moment,
@@ -74,7 +74,7 @@
     rejoin_at: Moment,
     repaired_at: Option<Moment>,
     rings: Rings,
-    roster: Roster,
+    member_table: MemberTable,
     seeds: Vec<Seed>,
     spread: Spread,
     started_at: Moment,
@@ -86,13 +86,13 @@
     /// Longest time between two [`Input::Tick`]s.
     pub const TICK: Duration = Duration::from_millis(100);
 
-    /// Member `me`, which joins through `seeds`; itself among them does no harm.
+    /// Creates member `me`, which joins through `seeds`. Itself among them is ignored.
     pub fn new(now: Moment, me: Record, seeds: Vec<Seed>, mut random: ChaCha8Rng) -> Self {
         let allowance = Allowance::new(SPREAD_RATE, SPREAD_BURST, SPREAD_PACE);
         let mut rings = Rings::new(RINGS);
         rings.insert(&me.id);
-        let mut roster = Roster::new();
-        roster.apply(now, &Rumour::Alive(me.clone()));
+        let mut member_table = MemberTable::new();
+        member_table.apply(now, &Rumour::Alive(me.clone()));
         let rejoin = random.random_range(Duration::ZERO..REJOIN_PERIOD);
         let seeds = seeds.into_iter().filter(|seed| seed.id != me.id).collect();
         Self {
@@ -108,7 +108,7 @@
             rejoin_at: now + rejoin,
             repaired_at: None,
             rings,
-            roster,
+            member_table,
             seeds,
             spread: Spread::new(allowance.clone()),
             started_at: now,
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Takes one input.
+    /// Handles one input.
     pub fn handle(&mut self, now: Moment, input: Input) -> Vec<Output> {
         let mut outputs = Vec::new();
         if self.left {
@@ -133,53 +133,54 @@
         outputs
     }
 
-    /// Whether more than half of the members probed from here answered lately; a
-    /// process for which it is `false` may miss news.
+    /// Whether more than half of the probed members answered recently. Otherwise this process may
+    /// miss updates.
     pub fn in_touch(&self, now: Moment) -> bool {
-        let founder = self.seeds.is_empty() && self.neighbours.is_empty();
-        founder || self.prober.in_touch(now)
+        let is_only_member = self.seeds.is_empty() && self.neighbours.is_empty();
+        is_only_member || self.prober.in_touch(now)
     }
 
-    /// What this process says of itself.
+    /// Record of this process.
     pub fn me(&self) -> &Record {
         &self.me
     }
 
-    /// Every member known, this process and those gone included.
+    /// Returns all known members, including this process and those that failed or left.
     pub fn members(&self) -> impl Iterator<Item = (&Record, Status)> {
-        self.roster.entries().map(|entry| (&entry.record, entry.status))
+        self.member_table.entries().map(|entry| (&entry.record, entry.status))
     }
 
-    /// Members that this process holds links to: those it probes and those that probe it.
+    /// Returns the members that this process has links to: those that it probes and those that
+    /// probe it.
     pub fn neighbours(&self) -> &BTreeSet<NodeId> {
         &self.neighbours
     }
 
-    /// One member's record and status.
+    /// Returns the record and status of a member.
     pub fn record(&self, id: &NodeId) -> Option<(&Record, Status)> {
-        self.roster.get(id).map(|entry| (&entry.record, entry.status))
+        self.member_table.get(id).map(|entry| (&entry.record, entry.status))
     }
 
     fn tick(&mut self, now: Moment, outputs: &mut Vec<Output>) {
-        if now > self.ticked_at + STALL {
+        if now > self.ticked_at + PAUSE_THRESHOLD {
             self.prober.reset(now);
         }
         self.ticked_at = now;
-        for due in self.prober.due(now) {
-            self.probe(now, due, outputs);
+        for action in self.prober.due(now) {
+            self.probe(now, action, outputs);
         }
-        for id in self.roster.overdue(now, &self.me.id) {
-            self.convict(now, &id, outputs);
+        for id in self.member_table.timed_out(now, &self.me.id) {
+            self.declare_failed(now, &id, outputs);
         }
         self.join(now, outputs);
         self.rejoin(now, outputs);
         self.flush(now, outputs);
     }
 
-    fn probe(&mut self, now: Moment, due: Due, outputs: &mut Vec<Output>) {
-        match due {
-            Due::Ping { sequence, target } => self.ping(sequence, &target, outputs),
-            Due::Repeat { sequence, target } => {
+    fn probe(&mut self, now: Moment, action: Action, outputs: &mut Vec<Output>) {
+        match action {
+            Action::Ping { sequence, target } => self.ping(sequence, &target, outputs),
+            Action::Repeat { sequence, target } => {
                 self.ping(sequence, &target, outputs);
                 let helpers = self.rings.predecessors(&target);
                 for helper in helpers.iter().filter(|helper| **helper != self.me.id) {
@@ -187,48 +188,49 @@
                     self.send(helper, message, outputs);
                 }
             }
-            Due::Silent { sent, target } => self.accuse(now, sent, target, outputs),
+            Action::Unanswered { sent, target } => self.suspect(now, sent, target, outputs),
         }
     }
 
-    /// Suspects a silent target, unless this process is the one cut off.
+    /// Suspects an unresponsive target, unless this process itself may be partitioned.
     ///
-    /// A process that no answers reach would accuse all its
-    /// targets, and each would have to refute. It accuses nobody unless another
-    /// target answered since the ping left; its observers accuse it.
-    fn accuse(&mut self, now: Moment, sent: Moment, target: NodeId, outputs: &mut Vec<Output>) {
-        let alone = self.roster.live() <= 2;
-        if !alone && !self.prober.heard_other(&target, sent) {
+    /// A process that gets no answers would suspect all its targets, and each would have to
+    /// refute. It suspects a target only if another one answered since the ping was sent. Its
+    /// observers will suspect it instead.
+    fn suspect(&mut self, now: Moment, sent: Moment, target: NodeId, outputs: &mut Vec<Output>) {
+        let is_alone = self.member_table.live_count() <= 2;
+        if !is_alone && !self.prober.has_other_answer(&target, sent) {
             return;
         }
-        let Some(entry) = self.roster.get(&target) else { return };
+        let Some(entry) = self.member_table.get(&target) else { return };
         let incarnation = entry.record.incarnation;
         let by = self.me.id.clone();
         let rumour = Rumour::Suspect { by, id: target, incarnation };
-        self.learn(now, &rumour, None, outputs);
+        self.apply(now, &rumour, None, outputs);
     }
 
-    fn convict(&mut self, now: Moment, id: &NodeId, outputs: &mut Vec<Output>) {
-        self.roster.convict(now, id);
-        self.settle(now, id, outputs);
+    fn declare_failed(&mut self, now: Moment, id: &NodeId, outputs: &mut Vec<Output>) {
+        self.member_table.declare_failed(now, id);
+        self.on_status_change(now, id, outputs);
         self.queue(id, None, true);
     }
 
-    /// Asks a seed that is not among the live members.
+    /// Sends a join request to a seed that is not among the live members.
     ///
-    /// Not only a process that knows nobody asks: when all start at once the seeds
-    /// take in a share each, and these islands would never hear of each other.
+    /// A process that knows other members does so as well. When all processes start at once, each
+    /// seed admits some of them, and these groups would never find each other otherwise.
     fn join(&mut self, now: Moment, outputs: &mut Vec<Output>) {
         if now < self.join_at {
             return;
         }
-        let alone = self.roster.live() <= 1;
+        let is_alone = self.member_table.live_count() <= 1;
         self.join_period =
-            if alone { JOIN_PERIOD } else { JOIN_PERIOD_MAX.min(self.join_period * 2) };
+            if is_alone { JOIN_PERIOD } else { JOIN_PERIOD_MAX.min(self.join_period * 2) };
         self.join_at = now + self.join_period;
-        let met: BTreeSet<SocketAddr> = self.live().map(|entry| entry.record.meta.links).collect();
-        let strangers = self.seeds.iter().filter(|seed| !met.contains(&seed.address));
-        if let Some(seed) = strangers.choose(&mut self.random) {
+        let known: BTreeSet<SocketAddr> =
+            self.live().map(|entry| entry.record.meta.links).collect();
+        let missing = self.seeds.iter().filter(|seed| !known.contains(&seed.address));
+        if let Some(seed) = missing.choose(&mut self.random) {
             let to = seed.id.clone();
             let message = Box::new(Message::Join(self.me.clone()));
             outputs.push(Output::Send { to, address: seed.address, message });
@@ -241,11 +243,11 @@
         }
         let jitter = self.random.random_range(Duration::ZERO..REJOIN_PERIOD / 2);
         self.rejoin_at = now + REJOIN_PERIOD * 3 / 4 + jitter;
-        self.roster.forget(now);
-        let failed = self.roster.entries().filter(|entry| entry.status == Status::Failed);
+        self.member_table.forget(now);
+        let failed = self.member_table.entries().filter(|entry| entry.status == Status::Failed);
         let chosen = failed.choose(&mut self.random).map(|entry| entry.record.id.clone());
         if let Some(id) = chosen {
-            let sequence = self.prober.number();
+            let sequence = self.prober.next_sequence();
             self.ping(sequence, &id, outputs);
         }
     }
@@ -253,7 +255,7 @@
     fn leave(&mut self, now: Moment, outputs: &mut Vec<Output>) {
         let id = self.me.id.clone();
         let rumour = Rumour::Left { id, incarnation: self.me.incarnation };
-        self.roster.apply(now, &rumour);
+        self.member_table.apply(now, &rumour);
         let neighbours = self.neighbours.clone();
         for neighbour in &neighbours {
             self.send(neighbour, Message::Rumours(vec![rumour.clone()]), outputs);
@@ -263,19 +265,19 @@
 
     fn update(&mut self, now: Moment, meta: Meta) {
         self.me.meta = meta;
-        self.renew(now, self.me.incarnation);
+        self.bump_incarnation(now, self.me.incarnation);
     }
 
-    /// Describes itself anew, above `incarnation`.
-    fn renew(&mut self, now: Moment, incarnation: u64) {
+    /// Publishes a new incarnation of this process above `incarnation`.
+    fn bump_incarnation(&mut self, now: Moment, incarnation: u64) {
         self.me.incarnation = incarnation.max(self.me.incarnation).saturating_add(1);
-        self.roster.apply(now, &Rumour::Alive(self.me.clone()));
+        self.member_table.apply(now, &Rumour::Alive(self.me.clone()));
         self.changed_at = now;
         let me = self.me.id.clone();
         self.queue(&me, None, true);
     }
 
-    /// Lets news of `id` wait for all neighbours; also for itself, to refute it.
+    /// Queues updates about `id` for all neighbours, including `id` itself, which may refute them.
     fn queue(&mut self, id: &NodeId, except: Option<&NodeId>, urgent: bool) {
         let spread = if urgent { &mut self.urgent } else { &mut self.spread };
         for neighbour in self.neighbours.iter().filter(|neighbour| Some(*neighbour) != except) {
@@ -285,40 +287,40 @@
 
     fn flush(&mut self, now: Moment, outputs: &mut Vec<Output>) {
         let first = self.random.random_range(0..64);
-        let roster = &self.roster;
-        let size = |id: &NodeId| roster.rumours(id).iter().map(size_of).sum();
+        let member_table = &self.member_table;
+        let size = |id: &NodeId| member_table.rumours(id).iter().map(size_of).sum();
         let mut batches = self.urgent.take(now, first, size);
         batches.extend(self.spread.take(now, first, size));
         for (peer, ids) in batches {
-            let rumours = ids.iter().flat_map(|id| self.roster.rumours(id)).collect();
+            let rumours = ids.iter().flat_map(|id| self.member_table.rumours(id)).collect();
             self.send(&peer, Message::Rumours(rumours), outputs);
         }
     }
 
     fn ping(&self, sequence: u32, target: &NodeId, outputs: &mut Vec<Output>) {
-        let accused = |entry: &&Entry| entry.status != Status::Alive;
-        let entry = self.roster.get(target).filter(accused);
+        let is_doubted = |entry: &&MemberState| entry.status != Status::Alive;
+        let entry = self.member_table.get(target).filter(is_doubted);
         let about =
-            entry.and_then(|entry| self.roster.rumours(&entry.record.id).pop()).map(Box::new);
+            entry.and_then(|entry| self.member_table.rumours(&entry.record.id).pop()).map(Box::new);
         let address = self.me.meta.links;
         let config = self.me.meta.config;
-        let root = self.roster.digest.root();
+        let root = self.member_table.digest.root();
         self.send(target, Message::Ping { about, address, config, root, sequence }, outputs);
     }
 
     fn send(&self, to: &NodeId, message: Message, outputs: &mut Vec<Output>) {
-        if let Some(entry) = self.roster.get(to) {
+        if let Some(entry) = self.member_table.get(to) {
             let address = entry.record.meta.links;
             outputs.push(Output::Send { to: to.clone(), address, message: Box::new(message) });
         }
     }
 
-    fn live(&self) -> impl Iterator<Item = &Entry> {
-        self.roster.entries().filter(|entry| entry.status < Status::Failed)
+    fn live(&self) -> impl Iterator<Item = &MemberState> {
+        self.member_table.entries().filter(|entry| entry.status < Status::Failed)
     }
 }
 
-/// Encoded bytes of a rumour.
+/// Encoded bytes of an update.
 fn size_of(rumour: &Rumour) -> usize {
     postcard::to_allocvec(rumour).map_or(0, |bytes| bytes.len())
 }
--- a/src/fleet/member/learn.rs
+++ b/src/fleet/member/apply.rs
@@ -1,4 +1,4 @@
-//! What a member makes of news.
+//! Application of updates.
 
 use std::time::Duration;
 
@@ -9,16 +9,16 @@
 use crate::fleet::Output;
 use crate::fleet::Rumour;
 use crate::fleet::Status;
+use crate::fleet::member_table::Effect;
 use crate::fleet::probe::PERIOD;
-use crate::fleet::roster::Effect;
 use crate::id::NodeId;
 
-/// Least time between two refutations. Two processes of one name would otherwise
-/// outbid each other without end.
-const REFUTE_PERIOD: Duration = Duration::from_millis(300);
+/// Shortest interval between two refutations. Otherwise two processes with the same name would
+/// raise their incarnations against each other without limit.
+const MIN_REFUTATION_INTERVAL: Duration = Duration::from_millis(300);
 
 impl Member {
-    pub(super) fn learn(
+    pub(super) fn apply(
         &mut self,
         now: Moment,
         rumour: &Rumour,
@@ -30,12 +30,12 @@
             self.refute(now, rumour);
             return;
         }
-        let before = self.roster.get(&id).map(|entry| entry.status);
-        let effect = self.roster.apply(now, rumour);
+        let before = self.member_table.get(&id).map(|entry| entry.status);
+        let effect = self.member_table.apply(now, rumour);
         if matches!(effect, Effect::Changed | Effect::Joined) {
-            let after = self.roster.get(&id).map(|entry| entry.status);
+            let after = self.member_table.get(&id).map(|entry| entry.status);
             if after != before || after == Some(Status::Alive) {
-                self.settle(now, &id, outputs);
+                self.on_status_change(now, &id, outputs);
             }
         }
         if effect != Effect::Nothing {
@@ -50,56 +50,56 @@
     }
 
     fn is_current(&self, rumour: &Rumour) -> bool {
-        self.roster.get(rumour.id()).is_some_and(|entry| {
+        self.member_table.get(rumour.id()).is_some_and(|entry| {
             (entry.record.incarnation, entry.status) == (rumour.incarnation(), rumour.status())
-                && entry.accusers.len() <= 1
+                && entry.observers.len() <= 1
         })
     }
 
     fn refute(&mut self, now: Moment, rumour: &Rumour) {
         let own = self.me.incarnation;
-        let harmless = match rumour {
+        let is_harmless = match rumour {
             Rumour::Alive(record) => record.incarnation <= own,
             _ => rumour.incarnation() < own,
         };
-        let recent = self.refuted_at.is_some_and(|at| now < at + REFUTE_PERIOD);
-        if !harmless && !recent {
+        let is_recent = self.refuted_at.is_some_and(|at| now < at + MIN_REFUTATION_INTERVAL);
+        if !is_harmless && !is_recent {
             self.refuted_at = Some(now);
-            self.renew(now, rumour.incarnation());
+            self.bump_incarnation(now, rumour.incarnation());
         }
     }
 
-    /// Draws the consequences of a member's new status.
-    pub(super) fn settle(&mut self, now: Moment, id: &NodeId, outputs: &mut Vec<Output>) {
-        let Some(entry) = self.roster.get(id) else { return };
+    /// Updates rings, queues and links after a status change, and reports it.
+    pub(super) fn on_status_change(&mut self, now: Moment, id: &NodeId, outputs: &mut Vec<Output>) {
+        let Some(entry) = self.member_table.get(id) else { return };
         self.changed_at = now;
         let id = id.clone();
-        let known = self.neighbours.contains(&id);
+        let is_neighbour = self.neighbours.contains(&id);
         match entry.status {
             Status::Alive if !self.rings.contains(&id) => {
                 self.rings.insert(&id);
-                self.rewatch(now);
+                self.update_neighbours(now);
                 outputs.push(Output::Joined(id));
             }
             Status::Alive => outputs.push(Output::Changed(id)),
             Status::Suspect => outputs.push(Output::Suspected(id)),
             Status::Failed | Status::Left => {
-                let left = entry.status == Status::Left;
+                let has_left = entry.status == Status::Left;
                 self.rings.remove(&id);
                 self.spread.retain(|peer| *peer != id);
                 self.urgent.retain(|peer| *peer != id);
-                if known {
-                    self.rewatch(now);
+                if is_neighbour {
+                    self.update_neighbours(now);
                 }
-                outputs.push(if left { Output::Left(id) } else { Output::Failed(id) });
+                outputs.push(if has_left { Output::Left(id) } else { Output::Failed(id) });
             }
         }
     }
 
-    fn rewatch(&mut self, now: Moment) {
+    fn update_neighbours(&mut self, now: Moment) {
         let targets = self.rings.successors(&self.me.id);
         let random = &mut self.random;
-        self.prober.watch(now, &targets, || random.random_range(Duration::ZERO..PERIOD));
+        self.prober.set_targets(now, &targets, || random.random_range(Duration::ZERO..PERIOD));
         self.neighbours = self.rings.predecessors(&self.me.id);
         self.neighbours.extend(targets);
     }
--- a/src/fleet/member/receive.rs
+++ b/src/fleet/member/receive.rs
@@ -1,4 +1,4 @@
-//! What a member does with messages.
+//! Messages from other members.
 
 use std::time::Duration;
 
@@ -13,19 +13,20 @@
 use crate::id::ConfigNumber;
 use crate::id::NodeId;
 
-/// Least time between two comparisons of digests that this process starts.
+/// Shortest interval between two digest comparisons that this process starts.
 const REPAIR_PERIOD: Duration = Duration::from_secs(2);
 
-/// How long the table must have been still before digests are compared: news under
-/// way makes them differ without need. After [`REPAIR_ANYWAY`] that is ignored.
-const REPAIR_QUIET: Duration = Duration::from_secs(1);
+/// Time without changes before digests are compared, because updates in flight make them differ.
+/// After [`REPAIR_PERIOD_MAX`] that is ignored.
+const REPAIR_QUIET_PERIOD: Duration = Duration::from_secs(1);
 
-/// Longest time that news under way puts off a comparison.
-const REPAIR_ANYWAY: Duration = Duration::from_secs(10);
+/// Interval after which digests are compared even if updates are in flight.
+const REPAIR_PERIOD_MAX: Duration = Duration::from_secs(10);
 
-/// How long after its start a process does not wait for its table to be still. Where
-/// a failure domain starts at once, the first that it compares with knows as little.
-const YOUTH: Duration = Duration::from_secs(20);
+/// Time after its start in which a process compares digests without waiting for its table to be
+/// quiet. If a failure domain starts at once, the first peer that it compares with knows as little
+/// as itself.
+const STARTUP_PERIOD: Duration = Duration::from_secs(20);
 
 impl Member {
     pub(super) fn receive(
@@ -37,62 +38,62 @@
     ) {
         match message {
             Message::Ack { config, root, sequence } => {
-                self.acknowledged(now, &from, sequence, outputs);
-                self.note(&from, config);
+                self.receive_ack(now, &from, sequence, outputs);
+                self.record_config(&from, config);
                 self.compare(now, &from, root, outputs);
             }
             Message::Join(record) => {
-                self.learn(now, &Rumour::Alive(record), None, outputs);
-                let mut rumours = self.roster.rumours(&from);
+                self.apply(now, &Rumour::Alive(record), None, outputs);
+                let mut rumours = self.member_table.rumours(&from);
                 rumours.push(Rumour::Alive(self.me.clone()));
                 self.send(&from, Message::Rumours(rumours), outputs);
             }
             Message::Ping { about, address, config, root, sequence } => {
                 let message = Box::new(self.ack(sequence));
                 outputs.push(Output::Send { to: from.clone(), address, message });
-                self.answer(now, &from, about, outputs);
-                self.note(&from, config);
+                self.answer_ping(now, &from, about, outputs);
+                self.record_config(&from, config);
                 self.compare(now, &from, root, outputs);
             }
             Message::Relay { sequence, target } => {
-                let number = self.prober.errand(now, from, sequence, target.clone());
-                self.ping(number, &target, outputs);
+                let relay_sequence = self.prober.start_relay(now, from, sequence, target.clone());
+                self.ping(relay_sequence, &target, outputs);
             }
-            Message::Relayed { sequence, target } => self.prober.relayed(&target, sequence),
+            Message::Relayed { sequence, target } => self.prober.record_relayed(&target, sequence),
             Message::Repair(step) => self.repair(now, &from, &step, outputs),
             Message::Rumours(rumours) => {
                 for rumour in &rumours {
-                    self.learn(now, rumour, Some(&from), outputs);
+                    self.apply(now, rumour, Some(&from), outputs);
                 }
-                self.greet(now, &from, outputs);
+                self.sync_first_member(now, &from, outputs);
             }
         }
     }
 
-    fn acknowledged(
+    fn receive_ack(
         &mut self,
         now: Moment,
         from: &NodeId,
         sequence: u32,
         outputs: &mut Vec<Output>,
     ) {
-        if let Some((origin, sequence)) = self.prober.answered(now, from, sequence) {
+        if let Some((origin, sequence)) = self.prober.record_ack(now, from, sequence) {
             let message = Message::Relayed { sequence, target: from.clone() };
             self.send(&origin, message, outputs);
         }
         let me = self.me.id.clone();
-        if let Some(entry) = self.roster.get_mut(from) {
-            entry.accusers.remove(&me);
+        if let Some(entry) = self.member_table.get_mut(from) {
+            entry.observers.remove(&me);
         }
     }
 
     fn ack(&self, sequence: u32) -> Message {
         let config = self.me.meta.config;
-        Message::Ack { config, root: self.roster.digest.root(), sequence }
+        Message::Ack { config, root: self.member_table.digest.root(), sequence }
     }
 
-    /// Tells a sender that it is not trusted here, or that this process is sound.
-    fn answer(
+    /// Refutes a suspicion of the sender, and informs a sender that is failed here.
+    fn answer_ping(
         &mut self,
         now: Moment,
         from: &NodeId,
@@ -100,61 +101,62 @@
         outputs: &mut Vec<Output>,
     ) {
         if let Some(rumour) = about {
-            self.learn(now, &rumour, Some(from), outputs);
+            self.apply(now, &rumour, Some(from), outputs);
             self.send(from, Message::Rumours(vec![Rumour::Alive(self.me.clone())]), outputs);
         }
-        let gone = self.roster.get(from).is_some_and(|entry| entry.status >= Status::Failed);
-        if gone {
-            let rumours = self.roster.rumours(from);
+        let is_failed =
+            self.member_table.get(from).is_some_and(|entry| entry.status >= Status::Failed);
+        if is_failed {
+            let rumours = self.member_table.rumours(from);
             self.send(from, Message::Rumours(rumours), outputs);
         }
     }
 
-    fn note(&mut self, from: &NodeId, config: ConfigNumber) {
-        if let Some(entry) = self.roster.get_mut(from) {
+    fn record_config(&mut self, from: &NodeId, config: ConfigNumber) {
+        if let Some(entry) = self.member_table.get_mut(from) {
             entry.record.meta.config = entry.record.meta.config.max(config);
         }
     }
 
-    /// Starts a comparison where a neighbour's table differs for no passing reason.
+    /// Starts a digest comparison if a neighbour's table differs and no updates are in flight.
     fn compare(&mut self, now: Moment, with: &NodeId, root: u32, outputs: &mut Vec<Output>) {
-        let young = now < self.started_at + YOUTH;
-        let quiet = young || now >= self.changed_at + REPAIR_QUIET;
-        let due =
-            (quiet && self.may_repair(now, REPAIR_PERIOD)) || self.may_repair(now, REPAIR_ANYWAY);
-        if root != self.roster.digest.root() && due {
-            self.ask(now, with, outputs);
+        let is_starting = now < self.started_at + STARTUP_PERIOD;
+        let is_quiet = is_starting || now >= self.changed_at + REPAIR_QUIET_PERIOD;
+        let is_due = (is_quiet && self.can_repair(now, REPAIR_PERIOD))
+            || self.can_repair(now, REPAIR_PERIOD_MAX);
+        if root != self.member_table.digest.root() && is_due {
+            self.start_repair(now, with, outputs);
         }
     }
 
-    /// Asks whom this process met first for the whole table.
-    fn greet(&mut self, now: Moment, from: &NodeId, outputs: &mut Vec<Output>) {
-        if self.roster.live() == 2 && self.may_repair(now, REPAIR_PERIOD) {
-            self.ask(now, from, outputs);
+    /// Requests the whole table from the first member that this process meets.
+    fn sync_first_member(&mut self, now: Moment, from: &NodeId, outputs: &mut Vec<Output>) {
+        if self.member_table.live_count() == 2 && self.can_repair(now, REPAIR_PERIOD) {
+            self.start_repair(now, from, outputs);
         }
     }
 
-    fn may_repair(&self, now: Moment, period: Duration) -> bool {
+    fn can_repair(&self, now: Moment, period: Duration) -> bool {
         self.repaired_at.is_none_or(|at| now >= at + period)
     }
 
-    fn ask(&mut self, now: Moment, whom: &NodeId, outputs: &mut Vec<Output>) {
+    fn start_repair(&mut self, now: Moment, peer: &NodeId, outputs: &mut Vec<Output>) {
         self.repaired_at = Some(now);
-        self.send(whom, Message::Repair(self.roster.digest.hashes()), outputs);
+        self.send(peer, Message::Repair(self.member_table.digest.hashes()), outputs);
     }
 
     fn repair(&mut self, now: Moment, from: &NodeId, step: &Repair, outputs: &mut Vec<Output>) {
         if !self.spread.is_open(now) {
             return;
         }
-        let answer = self.roster.digest.answer(step);
+        let answer = self.member_table.digest.answer(step);
         for repair in answer.repairs {
             self.send(from, Message::Repair(repair), outputs);
         }
-        let roster = &self.roster;
-        let size = |id: &NodeId| roster.rumours(id).iter().map(size_of).sum();
+        let member_table = &self.member_table;
+        let size = |id: &NodeId| member_table.rumours(id).iter().map(size_of).sum();
         for ids in self.spread.grant(now, &answer.send, size) {
-            let rumours = ids.iter().flat_map(|id| self.roster.rumours(id)).collect();
+            let rumours = ids.iter().flat_map(|id| self.member_table.rumours(id)).collect();
             self.send(from, Message::Rumours(rumours), outputs);
         }
     }
--- a/src/fleet/message.rs
+++ b/src/fleet/message.rs
@@ -1,4 +1,4 @@
-//! What members send each other.
+//! Messages between members.
 
 use std::net::SocketAddr;
 
@@ -11,50 +11,50 @@
 use crate::id::ConfigNumber;
 use crate::id::NodeId;
 
-/// One message; encoded, it fits a datagram of 1,100 bytes.
+/// Message between members. Encoded, it fits a datagram of 1,100 bytes.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Message {
-    /// Answers a ping.
+    /// Answer to a ping.
     Ack {
         /// Configuration in force at the sender.
         config: ConfigNumber,
-        /// Digest of the sender's members.
+        /// Root hash of the digest of the sender's members.
         root: u32,
-        /// Number of the ping.
+        /// Sequence number of the ping.
         sequence: u32,
     },
-    /// Asks to be taken in.
+    /// Request to join the fleet.
     Join(Record),
-    /// Asks for an answer.
+    /// Probe that the receiver acknowledges.
     Ping {
-        /// What the sender holds against the receiver, for the receiver to refute.
+        /// Suspicion or failure of the receiver as the sender knows it, for the receiver to refute.
         about: Option<Box<Rumour>>,
-        /// Where the sender listens for links: a receiver that has just started may not
+        /// Address at which the sender accepts links. A receiver that has just started may not
         /// know the sender yet, and would be suspected for not answering.
         address: SocketAddr,
         /// Configuration in force at the sender.
         config: ConfigNumber,
-        /// Digest of the sender's members.
+        /// Root hash of the digest of the sender's members.
         root: u32,
-        /// Number that the answer repeats.
+        /// Sequence number, repeated in the answer.
         sequence: u32,
     },
-    /// Asks the receiver to ping `target` and to report an answer.
+    /// Request for an indirect ping: the receiver pings `target` and reports an answer.
     Relay {
-        /// Number that the report repeats.
+        /// Sequence number, repeated in the report.
         sequence: u32,
-        /// Whom to ping.
+        /// Member to ping.
         target: NodeId,
     },
-    /// Reports that `target` answered the receiver's ping through the sender.
+    /// Report that `target` answered the indirect ping that the receiver requested.
     Relayed {
-        /// Number of the request.
+        /// Sequence number of the request.
         sequence: u32,
-        /// Who answered.
+        /// Member that answered.
         target: NodeId,
     },
-    /// Step of a comparison of digests.
+    /// Step of a digest comparison (anti-entropy).
     Repair(Repair),
-    /// News of members.
+    /// Updates about members.
     Rumours(Vec<Rumour>),
 }
--- a/src/fleet/output.rs
+++ b/src/fleet/output.rs
@@ -1,26 +1,26 @@
-//! What a member wants done.
+//! Outputs of a member.
 
 use std::net::SocketAddr;
 
 use crate::fleet::Message;
 use crate::id::NodeId;
 
-/// One thing that a member wants done or known.
+/// Action or notification of a member.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Output {
     /// A member's record changed, or it refuted a suspicion.
     Changed(NodeId),
-    /// A member is taken for failed.
+    /// A member was declared failed.
     Failed(NodeId),
-    /// A member is new or came back.
+    /// A member joined or returned.
     Joined(NodeId),
-    /// A member left by its own will.
+    /// A member left voluntarily.
     Left(NodeId),
     /// A message to send.
     Send {
         /// Receiver.
         to: NodeId,
-        /// Where the receiver listens for links.
+        /// Address at which the receiver accepts links.
         address: SocketAddr,
         /// The message.
         message: Box<Message>,
--- a/src/fleet/probe.rs
+++ b/src/fleet/probe.rs
@@ -1,4 +1,4 @@
-//! Pings under way and what came back.
+//! Direct and indirect pings in flight.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -7,99 +7,100 @@
 use crate::clock::Moment;
 use crate::id::NodeId;
 
-/// Each target is probed this often. Four observers at random phases notice a
-/// silent member within 0.4 s on average, and each within 1.5 s.
+/// Interval between probes of a target. Four observers at random phases begin to probe a silent
+/// member within 0.4 s on average, and each of them within 1.5 s.
 pub(crate) const PERIOD: Duration = Duration::from_millis(1500);
 
-/// How long a direct ping may take: some hundred times the 1.5 ms between failure
-/// domains, and above the stalls of a small VM.
-const DIRECT: Duration = Duration::from_millis(500);
+/// Timeout of a direct ping. Several hundred times the 1.5 ms between failure domains, and longer
+/// than the stalls of a small VM.
+const DIRECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long after that the repeated ping and the indirect ones may take.
-const INDIRECT: Duration = Duration::from_millis(500);
+/// Timeout of the repeated ping and the indirect ones, which follow the direct one.
+const INDIRECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long an answered ping proves a link: one period, one lost ping and its repeat.
-const PROOF: Duration = Duration::from_millis(2500);
+/// How long an answered ping proves a link. Covers one period, one lost ping and its repeat.
+const LINK_PROOF: Duration = Duration::from_millis(2500);
 
-/// One ping under way.
+/// Probe in flight.
 #[derive(Clone, Debug)]
 struct Probe {
-    repeated: bool,
+    is_repeated: bool,
     sent: Moment,
     target: NodeId,
 }
 
-/// Ping on behalf of another member.
+/// Indirect ping on behalf of another member.
 #[derive(Clone, Debug)]
-struct Errand {
+struct Relay {
     origin: NodeId,
     sequence: u32,
     sent: Moment,
     target: NodeId,
 }
 
-/// What is due.
+/// Action that is due for a probe.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(crate) enum Due {
+pub(crate) enum Action {
     /// First ping of a probe.
     Ping { sequence: u32, target: NodeId },
-    /// The direct ping was not answered: repeat it, and ask others to.
+    /// The direct ping timed out: repeat it, and request indirect pings.
     Repeat { sequence: u32, target: NodeId },
-    /// Nobody had an answer; `sent` is when the first ping left.
-    Silent { sent: Moment, target: NodeId },
+    /// No ping was answered. `sent` is the time of the first one.
+    Unanswered { sent: Moment, target: NodeId },
 }
 
-/// Probes of the own targets and errands for others.
+/// Probes of the own targets, and indirect pings for other members.
 #[derive(Debug, Default)]
 pub(crate) struct Prober {
-    errands: BTreeMap<u32, Errand>,
-    heard: BTreeMap<NodeId, Moment>,
-    next: BTreeMap<NodeId, Moment>,
+    relays: BTreeMap<u32, Relay>,
+    answered_at: BTreeMap<NodeId, Moment>,
+    next_at: BTreeMap<NodeId, Moment>,
     probes: BTreeMap<u32, Probe>,
     sequence: u32,
 }
 
 impl Prober {
-    /// Watches these from now on; `phase` spreads the first ping over a period.
-    pub(crate) fn watch(
+    /// Sets the targets. `phase` spreads their first pings over a period.
+    pub(crate) fn set_targets(
         &mut self,
         now: Moment,
         targets: &BTreeSet<NodeId>,
         mut phase: impl FnMut() -> Duration,
     ) {
-        self.next.retain(|id, _| targets.contains(id));
-        self.heard.retain(|id, _| targets.contains(id));
+        self.next_at.retain(|id, _| targets.contains(id));
+        self.answered_at.retain(|id, _| targets.contains(id));
         self.probes.retain(|_, probe| targets.contains(&probe.target));
         for id in targets {
-            self.next.entry(id.clone()).or_insert_with(|| now + phase());
-            self.heard.entry(id.clone()).or_insert(now);
+            self.next_at.entry(id.clone()).or_insert_with(|| now + phase());
+            self.answered_at.entry(id.clone()).or_insert(now);
         }
     }
 
-    /// What is due by `now`.
-    pub(crate) fn due(&mut self, now: Moment) -> Vec<Due> {
+    /// Returns the actions that are due by `now`.
+    pub(crate) fn due(&mut self, now: Moment) -> Vec<Action> {
         let mut due = self.due_probes(now);
         let ready: Vec<NodeId> =
-            self.next.iter().filter(|(_, at)| **at <= now).map(|(id, _)| id.clone()).collect();
+            self.next_at.iter().filter(|(_, at)| **at <= now).map(|(id, _)| id.clone()).collect();
         for target in ready {
-            self.next.insert(target.clone(), now + PERIOD);
+            self.next_at.insert(target.clone(), now + PERIOD);
             let sequence = self.start(now, target.clone());
-            due.push(Due::Ping { sequence, target });
+            due.push(Action::Ping { sequence, target });
         }
-        self.errands.retain(|_, errand| now < errand.sent + INDIRECT);
+        self.relays.retain(|_, relay| now < relay.sent + INDIRECT_TIMEOUT);
         due
     }
 
-    /// Forgets pings under way: the process itself was stopped for a while.
+    /// Forgets the probes in flight after a pause of this process.
     pub(crate) fn reset(&mut self, now: Moment) {
         self.probes.clear();
-        for heard in self.heard.values_mut() {
-            *heard = (*heard).max(now.saturating_sub(PROOF));
+        for answered_at in self.answered_at.values_mut() {
+            *answered_at = (*answered_at).max(now.saturating_sub(LINK_PROOF));
         }
     }
 
-    /// Takes note that `target` answered; returns an errand's origin and number.
-    pub(crate) fn answered(
+    /// Records an answer of `target`. For an indirect ping, returns the member that requested it
+    /// and the sequence number of its request.
+    pub(crate) fn record_ack(
         &mut self,
         now: Moment,
         target: &NodeId,
@@ -107,76 +108,76 @@
     ) -> Option<(NodeId, u32)> {
         if self.probes.get(&sequence).is_some_and(|probe| probe.target == *target) {
             self.probes.remove(&sequence);
-            self.hear(now, target);
+            self.set_answered(now, target);
         }
-        let errand = self.errands.get(&sequence).filter(|errand| errand.target == *target)?;
-        let report = (errand.origin.clone(), errand.sequence);
-        self.errands.remove(&sequence);
+        let relay = self.relays.get(&sequence).filter(|relay| relay.target == *target)?;
+        let report = (relay.origin.clone(), relay.sequence);
+        self.relays.remove(&sequence);
         Some(report)
     }
 
-    /// Takes note that `target` answered another member.
-    pub(crate) fn relayed(&mut self, target: &NodeId, sequence: u32) {
+    /// Records that `target` answered an indirect ping.
+    pub(crate) fn record_relayed(&mut self, target: &NodeId, sequence: u32) {
         if self.probes.get(&sequence).is_some_and(|probe| probe.target == *target) {
             self.probes.remove(&sequence);
         }
     }
 
-    /// Number for a ping of `target` on behalf of `origin`.
-    pub(crate) fn errand(
+    /// Starts an indirect ping of `target` for `origin`. Returns its sequence number.
+    pub(crate) fn start_relay(
         &mut self,
         now: Moment,
         origin: NodeId,
-        number: u32,
+        sequence: u32,
         target: NodeId,
     ) -> u32 {
         self.sequence = self.sequence.wrapping_add(1);
-        let errand = Errand { origin, sequence: number, sent: now, target };
-        self.errands.insert(self.sequence, errand);
+        let relay = Relay { origin, sequence, sent: now, target };
+        self.relays.insert(self.sequence, relay);
         self.sequence
     }
 
-    /// Number for a ping outside the rounds, whose silence means nothing.
-    pub(crate) fn number(&mut self) -> u32 {
+    /// Returns the sequence number of a ping without a timeout.
+    pub(crate) fn next_sequence(&mut self) -> u32 {
         self.sequence = self.sequence.wrapping_add(1);
         self.sequence
     }
 
-    /// Whether any target beside `but` answered since `since`.
-    pub(crate) fn heard_other(&self, but: &NodeId, since: Moment) -> bool {
-        self.heard.iter().any(|(id, at)| id != but && *at >= since)
+    /// Whether any target other than `except` answered since `since`.
+    pub(crate) fn has_other_answer(&self, except: &NodeId, since: Moment) -> bool {
+        self.answered_at.iter().any(|(id, at)| id != except && *at >= since)
     }
 
-    /// Whether more than half of the targets answered lately.
+    /// Whether more than half of the targets answered recently.
     pub(crate) fn in_touch(&self, now: Moment) -> bool {
-        let fresh = self.heard.values().filter(|at| now < **at + PROOF).count();
-        self.heard.is_empty() || fresh * 2 > self.heard.len()
+        let recent = self.answered_at.values().filter(|at| now < **at + LINK_PROOF).count();
+        self.answered_at.is_empty() || recent * 2 > self.answered_at.len()
     }
 
-    fn due_probes(&mut self, now: Moment) -> Vec<Due> {
+    fn due_probes(&mut self, now: Moment) -> Vec<Action> {
         let mut due = Vec::new();
         for (sequence, probe) in &mut self.probes {
             let target = probe.target.clone();
-            if now >= probe.sent + DIRECT + INDIRECT {
-                due.push(Due::Silent { sent: probe.sent, target });
-            } else if now >= probe.sent + DIRECT && !probe.repeated {
-                probe.repeated = true;
-                due.push(Due::Repeat { sequence: *sequence, target });
+            if now >= probe.sent + DIRECT_TIMEOUT + INDIRECT_TIMEOUT {
+                due.push(Action::Unanswered { sent: probe.sent, target });
+            } else if now >= probe.sent + DIRECT_TIMEOUT && !probe.is_repeated {
+                probe.is_repeated = true;
+                due.push(Action::Repeat { sequence: *sequence, target });
             }
         }
-        self.probes.retain(|_, probe| now < probe.sent + DIRECT + INDIRECT);
+        self.probes.retain(|_, probe| now < probe.sent + DIRECT_TIMEOUT + INDIRECT_TIMEOUT);
         due
     }
 
-    fn hear(&mut self, now: Moment, id: &NodeId) {
-        if let Some(heard) = self.heard.get_mut(id) {
-            *heard = now;
+    fn set_answered(&mut self, now: Moment, id: &NodeId) {
+        if let Some(answered_at) = self.answered_at.get_mut(id) {
+            *answered_at = now;
         }
     }
 
     fn start(&mut self, now: Moment, target: NodeId) -> u32 {
-        let sequence = self.number();
-        self.probes.insert(sequence, Probe { repeated: false, sent: now, target });
+        let sequence = self.next_sequence();
+        self.probes.insert(sequence, Probe { is_repeated: false, sent: now, target });
         sequence
     }
 }
--- a/src/fleet/record.rs
+++ b/src/fleet/record.rs
@@ -1,4 +1,4 @@
-//! What members know of each other.
+//! Descriptions of members.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -12,79 +12,79 @@
 use crate::id::NodeId;
 use crate::id::RegionId;
 
-/// What a member says of itself.
+/// Metadata that a member publishes.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Meta {
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub callers: SocketAddr,
     /// Configuration in force.
     ///
-    /// Travels on probes only, so it is current for neighbours and old for others:
-    /// 1,400 changes a day on 520 nodes would be 728,000 records a day to flood.
+    /// Updated by probes only, so it is current at neighbours and stale at other members. 1,400
+    /// changes per day on 520 nodes would mean 728,000 gossiped records per day.
     pub config: ConfigNumber,
     /// Failure domain of the VM.
     pub domain: DomainId,
-    /// Where other processes connect.
+    /// Address that other processes connect to.
     pub links: SocketAddr,
     /// Region of the VM.
     pub region: RegionId,
-    /// Duties of the process.
+    /// Roles of the process.
     pub roles: BTreeSet<Role>,
-    /// Whether it takes callers.
+    /// Whether it accepts callers.
     pub state: State,
 }
 
-/// One member as it describes itself in one incarnation.
+/// Description of a member in one incarnation.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Record {
     /// Name of the process.
     pub id: NodeId,
-    /// Version of this record; starts from the wall clock, grows with each change.
+    /// Version of this record. Starts from the wall clock and increases with each change.
     pub incarnation: Incarnation,
-    /// What it says of itself.
+    /// Metadata of the member.
     pub meta: Meta,
 }
 
-/// Duty of a process.
+/// Role of a process.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum Role {
     /// Replica of the durable state.
     Control,
-    /// Takes callers' requests.
+    /// Accepts requests of callers.
     Entry,
 }
 
-/// Process to ask for membership at the start.
+/// Process through which a member joins the fleet.
 ///
-/// Where its name is not known, any placeholder that the driver maps to `address`.
+/// If its name is unknown, any placeholder that the driver maps to `address`.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Seed {
-    /// Where it listens for links.
+    /// Address at which it accepts links.
     pub address: SocketAddr,
-    /// Its name.
+    /// Name of the process.
     pub id: NodeId,
 }
 
-/// Whether a member takes callers.
+/// Whether a member accepts callers.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum State {
-    /// Serves those who come, and is off the callers' lists.
+    /// Still serves requests, but is not advertised to callers.
     Leaving,
-    /// Takes callers.
+    /// Accepts callers.
     Serving,
     /// Not ready yet.
     Starting,
 }
 
-/// What a member is taken for; a later one outweighs an earlier one of the same incarnation.
+/// Status of a member. A later one overrides an earlier one of the same incarnation.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum Status {
     /// Answers probes.
     Alive,
-    /// Did not answer an observer, directly or through others.
+    /// Did not answer an observer, neither directly nor indirectly.
     Suspect,
     /// Did not refute the suspicion in time.
     Failed,
-    /// Left by its own will.
+    /// Left voluntarily.
     Left,
 }
--- a/src/fleet/repair.rs
+++ b/src/fleet/repair.rs
@@ -1,4 +1,4 @@
-//! Messages that find the records in which two nodes differ.
+//! Steps of a digest comparison (anti-entropy).
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -11,8 +11,8 @@
 pub enum Repair {
     /// First step: hash of each bucket.
     Hashes(Vec<u32>),
-    /// Second step: what the answering node holds in buckets that differ.
+    /// Second step: records of the answering node in the buckets that differ.
     Versions(Vec<Bucket>),
-    /// Third step: key hashes of records that the first node asks for.
+    /// Third step: key hashes of records that the first node requests.
     Want(Vec<u32>),
 }
--- a/src/fleet/rings.rs
+++ b/src/fleet/rings.rs
@@ -1,4 +1,4 @@
-//! Who watches whom: hashed rings over the members.
+//! Hashed rings over the members, which determine who probes whom.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -9,10 +9,9 @@
 
 /// Members in several pseudo-random circular orders.
 ///
-/// Each member probes its successor on every ring. The union of the rings is an
-/// expander with high probability, so news crosses 520 members in four or five
-/// hops; and each member has as many observers as there are rings, whatever the
-/// size of the fleet.
+/// Each member probes its successor on every ring. The union of the rings is an expander with high
+/// probability, so updates reach 520 members in four or five hops. Each member has as many
+/// observers as there are rings, regardless of the size of the fleet.
 #[derive(Clone, Debug)]
 pub(crate) struct Rings {
     rings: Vec<BTreeMap<(u64, NodeId), ()>>,
@@ -24,28 +23,28 @@
     }
 
     pub(crate) fn contains(&self, id: &NodeId) -> bool {
-        self.rings.first().is_some_and(|ring| ring.contains_key(&place(0, id)))
+        self.rings.first().is_some_and(|ring| ring.contains_key(&position(0, id)))
     }
 
     pub(crate) fn insert(&mut self, id: &NodeId) {
         for (index, ring) in self.rings.iter_mut().enumerate() {
-            ring.insert(place(index, id), ());
+            ring.insert(position(index, id), ());
         }
     }
 
     pub(crate) fn remove(&mut self, id: &NodeId) {
         for (index, ring) in self.rings.iter_mut().enumerate() {
-            ring.remove(&place(index, id));
+            ring.remove(&position(index, id));
         }
     }
 
-    /// Successors of `id`, one for each ring, without repeats.
+    /// Returns the successors of `id`, one distinct member per ring.
     pub(crate) fn successors(&self, id: &NodeId) -> BTreeSet<NodeId> {
         let mut found = BTreeSet::new();
         for (index, ring) in self.rings.iter().enumerate() {
-            let from = place(index, id);
-            let onward = ring.range(&from..).chain(ring.range(..&from));
-            let next = onward.map(|((_, other), ())| other);
+            let from = position(index, id);
+            let following = ring.range(&from..).chain(ring.range(..&from));
+            let next = following.map(|((_, other), ())| other);
             found.extend(
                 next.filter(|other| *other != id).find(|other| !found.contains(*other)).cloned(),
             );
@@ -53,13 +52,13 @@
         found
     }
 
-    /// Predecessors of `id`, one for each ring, without repeats.
+    /// Returns the predecessors of `id`, one distinct member per ring.
     pub(crate) fn predecessors(&self, id: &NodeId) -> BTreeSet<NodeId> {
         let mut found = BTreeSet::new();
         for (index, ring) in self.rings.iter().enumerate() {
-            let from = place(index, id);
-            let back = ring.range(..&from).rev().chain(ring.range(&from..).rev());
-            let next = back.map(|((_, other), ())| other);
+            let from = position(index, id);
+            let preceding = ring.range(..&from).rev().chain(ring.range(&from..).rev());
+            let next = preceding.map(|((_, other), ())| other);
             found.extend(
                 next.filter(|other| *other != id).find(|other| !found.contains(*other)).cloned(),
             );
@@ -68,6 +67,6 @@
     }
 }
 
-fn place(index: usize, id: &NodeId) -> (u64, NodeId) {
+fn position(index: usize, id: &NodeId) -> (u64, NodeId) {
     (xxh3_64_with_seed(id.as_bytes(), index as u64), id.clone())
 }
--- a/src/fleet/rumour.rs
+++ b/src/fleet/rumour.rs
@@ -1,4 +1,4 @@
-//! News of one member.
+//! Gossiped update about a member.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -8,38 +8,38 @@
 use crate::id::Incarnation;
 use crate::id::NodeId;
 
-/// News of one member, small enough that many fit one message.
+/// Update about a member, small enough that many fit one message.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Rumour {
-    /// It is alive and describes itself so.
+    /// The member is alive, with its own description.
     Alive(Record),
-    /// It did not refute a suspicion of this incarnation.
+    /// The member did not refute a suspicion of this incarnation.
     Failed {
         /// The member.
         id: NodeId,
-        /// Its incarnation.
+        /// Incarnation of the member.
         incarnation: Incarnation,
     },
-    /// It left by its own will.
+    /// The member left voluntarily.
     Left {
         /// The member.
         id: NodeId,
-        /// Its incarnation.
+        /// Incarnation of the member.
         incarnation: Incarnation,
     },
-    /// An observer had no answer from it.
+    /// An observer got no answer from the member.
     Suspect {
         /// The observer.
         by: NodeId,
         /// The member.
         id: NodeId,
-        /// Its incarnation.
+        /// Incarnation of the member.
         incarnation: Incarnation,
     },
 }
 
 impl Rumour {
-    /// Member concerned.
+    /// Member that the update is about.
     pub fn id(&self) -> &NodeId {
         match self {
             Self::Alive(record) => &record.id,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Incarnation concerned.
+    /// Incarnation that the update is about.
     pub fn incarnation(&self) -> Incarnation {
         match self {
             Self::Alive(record) => record.incarnation,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Status that it gives the member.
+    /// Status that the update gives to the member.
     pub fn status(&self) -> Status {
         match self {
             Self::Alive(_) => Status::Alive,
--- a/src/fleet/spread.rs
+++ b/src/fleet/spread.rs
@@ -1,4 +1,4 @@
-//! Records that wait to be sent to neighbours.
+//! Dissemination of records to neighbours.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -9,12 +9,11 @@
 use crate::fleet::Allowance;
 use crate::id::NodeId;
 
-/// Keys of records that peers don't have yet, sent within a byte allowance.
+/// Queues of record keys for each peer, sent within a byte allowance.
 ///
-/// A key that waits is sent as its record stands then, so that a record which
-/// changes often costs no more than its last state. A key that a peer sends itself
-/// is no longer waiting for that peer, which keeps a bulk of news (a region coming
-/// back) from crossing each link twice.
+/// A queued key stands for the record at the time of sending, so a record that changes often is
+/// sent only in its latest state. A key that a peer sends itself is removed from its queue, which
+/// keeps a burst of updates, such as the return of a region, from crossing each link twice.
 #[derive(Clone, Debug)]
 pub struct Spread {
     allowance: Allowance,
@@ -22,48 +21,49 @@
 }
 
 impl Spread {
-    /// Encoded items in one message; with the envelope it fits a datagram of 1,100 bytes.
+    /// Most bytes of encoded records in one message, which with its envelope fits a datagram of
+    /// 1,100 bytes.
     pub const MESSAGE_MAX: usize = 1000;
-    /// Cost of a message beside its items: IP, UDP and QUIC headers and the tag.
+    /// Bytes of a message in addition to its records: IP, UDP and QUIC headers and the tag.
     pub const OVERHEAD: usize = 60;
 
-    /// Nothing waits.
+    /// Creates empty queues.
     pub fn new(allowance: Allowance) -> Self {
         Self { allowance, pending: BTreeMap::new() }
     }
 
-    /// Keys that wait, over all peers.
+    /// Number of queued keys over all peers.
     pub fn backlog(&self) -> usize {
         self.pending.values().map(BTreeSet::len).sum()
     }
 
-    /// Forgets what waits for peers for whom `keep` is false.
+    /// Drops the queues of peers for which `keep` is false.
     pub fn retain(&mut self, keep: impl Fn(&NodeId) -> bool) {
         self.pending.retain(|peer, _| keep(peer));
     }
 
-    /// Takes note that `peer` has everything as it stands.
+    /// Records that `peer` has the current state of all records.
     pub fn saw_all(&mut self, peer: &NodeId) {
         self.pending.remove(peer);
     }
 
-    /// Lets the record of `key` wait for `peer`.
+    /// Queues the record of `key` for `peer`.
     pub fn queue(&mut self, peer: &NodeId, key: &CompactString) {
         self.pending.entry(peer.clone()).or_default().insert(key.clone());
     }
 
-    /// Takes note that `peer` has the record of `key` as it stands.
+    /// Records that `peer` has the current state of the record of `key`.
     pub fn saw(&mut self, peer: &NodeId, key: &CompactString) {
         if let Some(keys) = self.pending.get_mut(peer) {
             keys.remove(key);
         }
     }
 
-    /// Batches of `keys` for one peer that asked for them, as far as the allowance goes.
+    /// Splits `keys` that a peer requested into batches, as far as the allowance permits.
     ///
-    /// The rest does not wait: the peer asks again, perhaps another one. Were it to
-    /// wait, a seed that 500 processes ask at once would send them for hours what they
-    /// have long had, and have nothing left for one that starts later.
+    /// The rest is not queued. The peer requests it again, perhaps from another member. With a
+    /// queue, a seed that 500 processes ask at once would send them records for hours that they
+    /// already have, and have no allowance left for a process that starts later.
     pub fn grant(
         &mut self,
         now: Moment,
@@ -71,19 +71,19 @@
         size: impl Fn(&CompactString) -> usize,
     ) -> Vec<Vec<CompactString>> {
         let mut batches: Vec<Vec<CompactString>> = Vec::new();
-        let mut room = 0;
+        let mut remaining = 0;
         for key in keys {
             let cost = size(key);
-            if cost > room || batches.is_empty() {
+            if cost > remaining || batches.is_empty() {
                 if !self.allowance.is_open(now) {
                     break;
                 }
                 self.allowance.take(Self::OVERHEAD);
                 batches.push(Vec::new());
-                room = Self::MESSAGE_MAX;
+                remaining = Self::MESSAGE_MAX;
             }
             self.allowance.take(cost);
-            room = room.saturating_sub(cost);
+            remaining = remaining.saturating_sub(cost);
             if let Some(batch) = batches.last_mut() {
                 batch.push(key.clone());
             }
@@ -91,14 +91,14 @@
         batches
     }
 
-    /// Whether the allowance has anything left.
+    /// Whether the allowance is not used up.
     pub fn is_open(&mut self, now: Moment) -> bool {
         self.allowance.is_open(now)
     }
 
-    /// Takes batches of keys to send now: one message for each, as sized by `size`.
+    /// Takes batches of keys to send now, one message each. `size` returns the bytes of a record.
     ///
-    /// `first` picks the peer to begin with, so that none is always served last.
+    /// `first` selects the peer to start with, so that none is always served last.
     pub fn take(
         &mut self,
         now: Moment,
@@ -109,16 +109,16 @@
         let peers: Vec<NodeId> = self.pending.keys().cloned().collect();
         let split = if peers.is_empty() { 0 } else { first % peers.len() };
         let (head, tail) = peers.split_at(split);
-        let mut progress = true;
-        while progress {
-            progress = false;
+        let mut has_progress = true;
+        while has_progress {
+            has_progress = false;
             for peer in tail.iter().chain(head) {
                 if !self.allowance.is_open(now) {
                     return batches;
                 }
                 if let Some(batch) = self.take_batch(peer, &size) {
                     batches.push((peer.clone(), batch));
-                    progress = true;
+                    has_progress = true;
                 }
             }
         }
--- a/src/fleet/trial.rs
+++ b/src/fleet/trial.rs
@@ -1,4 +1,4 @@
-//! Several members on the fake network in virtual time, for tests and measurements.
+//! Simulation of several members on the fake network in virtual time.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -25,30 +25,30 @@
 use crate::fleet::Status;
 use crate::id::NodeId;
 
-/// Failure domains of a trial, as in the letter's size.
+/// Number of failure domains.
 const DOMAINS: usize = 7;
 /// Region of each failure domain.
 const REGIONS: [&str; DOMAINS] = ["r0", "r0", "r0", "r1", "r1", "r2", "r2"];
-/// Ticks of the members are spread over this many steps.
+/// Number of steps over which the ticks of the members are spread.
 const STEPS: usize = 10;
-/// IP, UDP and QUIC headers of a datagram, counted on top of its payload.
-const HEADERS: usize = 60;
+/// Bytes of the IP, UDP and QUIC headers, added to the payload of each datagram.
+const HEADER_BYTES: usize = 60;
 
-/// Members driven against each other; every accident follows from the seed.
+/// Members on a fake network. All faults follow from the seed.
 pub struct Trial {
-    /// Events other than messages: when, at whom, what.
+    /// Outputs other than messages, with their time and member.
     pub events: Vec<(Moment, NodeId, Output)>,
-    /// Members that run, by name.
+    /// Running members by name.
     pub members: BTreeMap<NodeId, Member>,
-    /// Messages sent in each second.
+    /// Number of messages sent in each second.
     pub messages: BTreeMap<u64, u64>,
-    /// Network between them.
+    /// Network between the members.
     pub net: Net,
     /// Virtual time.
     pub now: Moment,
     /// Bytes that each member sent, headers included.
     pub sent: BTreeMap<NodeId, u64>,
-    /// Longest encoded message.
+    /// Bytes of the longest encoded message.
     pub longest: usize,
     seed: u64,
     starts: u64,
@@ -56,7 +56,7 @@
 }
 
 impl Trial {
-    /// Starts `count` members at once; the first three are everybody's seeds.
+    /// Starts `count` members at once. The first three are the seeds of all.
     pub fn new(seed: u64, count: usize, weather: Weather) -> Self {
         let mut trial = Self {
             events: Vec::new(),
@@ -74,17 +74,17 @@
         trial
     }
 
-    /// Name of the member with `index`.
+    /// Returns the name of the member with `index`.
     pub fn id(index: usize) -> NodeId {
         format_compact!("vm-{index:03}")
     }
 
-    /// Members of one of the seven failure domains.
+    /// Returns the members of one of the seven failure domains.
     pub fn domain(&self, domain: usize) -> Vec<NodeId> {
         self.pick(|meta| meta.domain == format_compact!("d{domain}"))
     }
 
-    /// Members of one of the three regions.
+    /// Returns the members of one of the three regions.
     pub fn region(&self, region: &str) -> Vec<NodeId> {
         self.pick(|meta| meta.region == region)
     }
@@ -100,12 +100,12 @@
         self.members.insert(Self::id(index), member);
     }
 
-    /// Stops a member without a word.
+    /// Stops a member without notice.
     pub fn kill(&mut self, id: &NodeId) {
         self.members.remove(id);
     }
 
-    /// Cuts both directions between members and all others that run.
+    /// Partitions members from all other running members, in both directions.
     pub fn cut_off(&mut self, group: &[NodeId]) {
         let group: BTreeSet<&NodeId> = group.iter().collect();
         for other in self.members.keys().filter(|id| !group.contains(id)) {
@@ -113,19 +113,19 @@
         }
     }
 
-    /// Gives one member an input.
+    /// Passes an input to one member.
     pub fn input(&mut self, id: &NodeId, input: Input) {
         let Some(member) = self.members.get_mut(id) else { return };
         let outputs = member.handle(self.now, input);
-        self.carry(id, outputs);
+        self.dispatch(id, outputs);
     }
 
-    /// Lets `span` pass.
+    /// Advances virtual time by `span`.
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
-        let pace = Member::TICK / STEPS as u32;
+        let step = Member::TICK / STEPS as u32;
         while self.now < end {
-            let next = self.now + pace;
+            let next = self.now + step;
             self.deliver(next);
             self.now = next;
             self.step = (self.step + 1) % STEPS;
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Whether every running member holds `count` others and itself for alive.
+    /// Whether every running member sees exactly `count` members as alive, itself included.
     pub fn agrees(&self, count: usize) -> bool {
         let alive = |member: &Member| {
             member.members().filter(|(_, status)| *status == Status::Alive).count()
@@ -143,7 +143,7 @@
         self.members.values().all(|member| alive(member) == count)
     }
 
-    /// Forgets what was counted so far.
+    /// Clears the recorded events and counts.
     pub fn reset(&mut self) {
         self.events.clear();
         self.messages.clear();
@@ -159,7 +159,7 @@
         }
     }
 
-    fn carry(&mut self, from: &NodeId, outputs: Vec<Output>) {
+    fn dispatch(&mut self, from: &NodeId, outputs: Vec<Output>) {
         for output in outputs {
             let Output::Send { to, message, .. } = output else {
                 self.events.push((self.now, from.clone(), output));
@@ -167,7 +167,7 @@
             };
             let Ok(bytes) = postcard::to_allocvec(&*message) else { continue };
             *self.messages.entry(self.now.as_secs()).or_default() += 1;
-            *self.sent.entry(from.clone()).or_default() += (bytes.len() + HEADERS) as u64;
+            *self.sent.entry(from.clone()).or_default() += (bytes.len() + HEADER_BYTES) as u64;
             self.longest = self.longest.max(bytes.len());
             self.net.send(self.now, from, &to, bytes);
         }
--- a/tests/suite/fleet.rs
+++ b/tests/suite/fleet.rs
@@ -1,4 +1,4 @@
-//! Membership in virtual time.
+//! Gossip membership in virtual time.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -22,7 +22,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn settled(seed: u64, count: usize) -> Trial {
+fn converged(seed: u64, count: usize) -> Trial {
     let mut trial = Trial::new(seed, count, Weather::fair());
     trial.run(SECOND * 30);
     assert!(trial.agrees(count));
@@ -37,16 +37,15 @@
 
 #[test]
 fn member_all_start_at_once() {
-    let trial = settled(1, 44);
+    let trial = converged(1, 44);
     assert!(trial.longest <= 1100, "{}", trial.longest);
 }
 
 #[test]
-fn member_one_way_cut_convicts_nobody() {
-    // Two members: the first no longer reaches the second, everybody else does.
-    // The first asks others to ping on its behalf, they have answers, and so
-    // nobody is taken for failed although the cut lasts.
-    let mut trial = settled(2, 44);
+fn member_one_way_partition() {
+    // One member no longer reaches another, and all others still do. Its indirect pings are
+    // answered, so no member may be declared failed while the one-way partition lasts.
+    let mut trial = converged(2, 44);
     let from = Trial::id(7);
     let to = trial.members[&from].neighbours().iter().next().cloned().expect("neighbour");
     trial.net.cut(&from, &to);
@@ -56,19 +55,18 @@
 }
 
 #[test]
-fn member_deaf_process_accuses_nobody() {
-    // One process hears nobody, but everybody hears it. All its pings seem
-    // unanswered; if it accused its targets, sound members would have to refute.
-    // It alone is convicted, and comes back when it hears again.
-    let mut trial = settled(3, 44);
-    let deaf = Trial::id(9);
-    for other in trial.members.keys().filter(|id| **id != deaf).cloned().collect::<Vec<_>>() {
-        trial.net.cut(&other, &deaf);
+fn member_receives_nothing() {
+    // One process receives no messages, but its own arrive. All its pings seem unanswered. It must
+    // not suspect its targets, is alone declared failed, and rejoins when it receives again.
+    let mut trial = converged(3, 44);
+    let isolated = Trial::id(9);
+    for other in trial.members.keys().filter(|id| **id != isolated).cloned().collect::<Vec<_>>() {
+        trial.net.cut(&other, &isolated);
     }
     trial.run(SECOND * 30);
-    assert!(failures(&trial).iter().all(|output| **output == Output::Failed(deaf.clone())));
+    assert!(failures(&trial).iter().all(|output| **output == Output::Failed(isolated.clone())));
     assert_eq!(failures(&trial).len(), 43);
-    assert!(!trial.members[&deaf].in_touch(trial.now));
+    assert!(!trial.members[&isolated].in_touch(trial.now));
     trial.net.heal_all();
     trial.run(SECOND * 60);
     assert!(trial.agrees(44));
@@ -76,7 +74,7 @@
 
 #[test]
 fn member_killed_is_failed_everywhere_within_7_s() {
-    let mut trial = settled(4, 44);
+    let mut trial = converged(4, 44);
     let dead = Trial::id(11);
     trial.kill(&dead);
     trial.run(SECOND * 7);
@@ -86,7 +84,7 @@
 
 #[test]
 fn member_restart_with_new_incarnation() {
-    let mut trial = settled(5, 44);
+    let mut trial = converged(5, 44);
     trial.kill(&Trial::id(20));
     trial.run(SECOND);
     trial.start(20);
@@ -98,7 +96,7 @@
 
 #[test]
 fn member_leave_and_update_spread_within_3_s() {
-    let mut trial = settled(6, 44);
+    let mut trial = converged(6, 44);
     let mut meta = trial.members[&Trial::id(5)].me().meta.clone();
     meta.state = State::Leaving;
     trial.input(&Trial::id(5), Input::Update(meta));
@@ -121,9 +119,9 @@
 
 #[test]
 fn member_loss_of_one_message_in_twenty() {
-    // One message in twenty is lost and some come twice, for ten minutes. Repeated
-    // and indirect pings and refutations keep every member in.
-    let mut trial = settled(7, 44);
+    // For ten minutes one message in twenty is lost and some are duplicated. Repeated and indirect
+    // pings and refutations must prevent false failures.
+    let mut trial = converged(7, 44);
     trial.net.weather.loss = 0.05;
     trial.net.weather.duplication = 0.01;
     trial.run(SECOND * 600);
@@ -132,10 +130,10 @@
 }
 
 #[test]
-fn member_failure_domain_gone_and_back() {
-    // A failure domain loses its power; the rest take its VMs for failed, and only
-    // those. They start again at once, and everybody knows everybody.
-    let mut trial = settled(8, 44);
+fn member_failure_domain_restarts() {
+    // A failure domain loses power, and exactly its VMs are declared failed. They all start at
+    // once, and membership converges.
+    let mut trial = converged(8, 44);
     let domain = trial.domain(3);
     domain.iter().for_each(|id| trial.kill(id));
     trial.run(SECOND * 15);
@@ -146,10 +144,10 @@
 }
 
 #[test]
-fn member_failure_domain_back_before_the_verdict() {
-    // A failure domain's power blinks: its VMs start again while the others only
-    // suspect them. Nobody is taken for failed, and everybody knows everybody.
-    let mut trial = settled(13, 44);
+fn member_failure_domain_restarts_while_suspect() {
+    // A failure domain loses power briefly, and its VMs restart while the others only suspect
+    // them. No member may be declared failed.
+    let mut trial = converged(13, 44);
     trial.domain(3).iter().for_each(|id| trial.kill(id));
     trial.run(SECOND * 2);
     (0..44).filter(|index| index % 7 == 3).for_each(|index| trial.start(index));
@@ -159,10 +157,10 @@
 }
 
 #[test]
-fn member_region_cut_for_an_hour() {
-    // A region is cut off for an hour. Each side goes on with its own members; when
-    // the cut ends, no member is taken for failed on its own side, and all know all.
-    let mut trial = settled(9, 44);
+fn member_region_partitioned_for_an_hour() {
+    // A region is partitioned for an hour, and each side continues with its own members. After the
+    // partition heals, no member may be declared failed, and membership converges.
+    let mut trial = converged(9, 44);
     let region = trial.region("r1");
     trial.cut_off(&region);
     trial.run(SECOND * 3600);
@@ -175,10 +173,10 @@
 }
 
 #[test]
-fn member_paused_process_accuses_nobody() {
-    // A VM is paused for 10 s while its pings are under way. It finds them all
-    // overdue when it goes on, which proves nothing against their targets.
-    let mut trial = settled(10, 44);
+fn member_paused_process() {
+    // A VM is paused for 10 s while its pings are in flight. They have all timed out when it
+    // resumes, which is no evidence against their targets.
+    let mut trial = converged(10, 44);
     let paused = trial.members.remove(&Trial::id(30)).expect("member");
     trial.run(SECOND * 10);
     trial.members.insert(Trial::id(30), paused);
@@ -190,9 +188,9 @@
 
 #[test]
 fn member_520_restarts_and_a_failure_domain_lost() {
-    // All start at once and fetch their tables from the same seeds. Members that
-    // restart soon after must still get theirs, be trusted although they do not know
-    // their observers at first, and hear of a failure domain that is lost then.
+    // All start at once and fetch their tables from the same seeds. Members that restart soon after
+    // must still get their tables, must not be suspected although they do not know their observers
+    // at first, and must learn of the loss of a failure domain.
     let mut trial = Trial::new(1, 520, Weather::fair());
     trial.run(SECOND * 60);
     assert!(trial.agrees(520));
@@ -217,23 +215,23 @@
 }
 
 #[test]
-fn member_mute_process_is_convicted_alone() {
-    // One process hears everybody but nobody hears it. Its pings get no answers, and
-    // it must not take that for the failure of its targets.
-    let mut trial = settled(12, 44);
-    let mute = Trial::id(9);
-    for other in trial.members.keys().filter(|id| **id != mute).cloned().collect::<Vec<_>>() {
-        trial.net.cut(&mute, &other);
+fn member_sends_nothing() {
+    // One process receives all messages, but its own are lost. Its pings get no answers, and it
+    // must not suspect its targets for that.
+    let mut trial = converged(12, 44);
+    let isolated = Trial::id(9);
+    for other in trial.members.keys().filter(|id| **id != isolated).cloned().collect::<Vec<_>>() {
+        trial.net.cut(&isolated, &other);
     }
     trial.run(SECOND * 30);
-    assert!(failures(&trial).iter().all(|output| **output == Output::Failed(mute.clone())));
+    assert!(failures(&trial).iter().all(|output| **output == Output::Failed(isolated.clone())));
     assert_eq!(failures(&trial).len(), 43);
 }
 
 #[test]
 fn allowance_refills_at_its_rate() {
-    // A message of a kilobyte leaves every time that the allowance is open. However
-    // often that is asked, no more leaves than the rate and the burst give.
+    // A message of a kilobyte is sent whenever the allowance is open. However often that is
+    // checked, the rate and the burst must hold.
     let mut allowance = Allowance::new(1000, 50_000, 10_000);
     let mut sent = [0; 100];
     for tenth in 0..1000_u32 {
@@ -250,8 +248,8 @@
 
 #[test]
 fn spread_sends_no_more_than_the_allowance() {
-    // A thousand records wait for two neighbours. What leaves at once is bounded by
-    // the burst, one message over; what a neighbour sent itself is not sent to it.
+    // A thousand records are queued for two neighbours. The burst bounds the bytes sent at once, up
+    // to one message more. A record that a neighbour has sent itself is not sent to it.
     let mut spread = Spread::new(Allowance::new(1000, 5000, 5000));
     for index in 0..1000 {
         let key = format!("key-{index}").as_str().into();
@@ -267,8 +265,7 @@
 }
 
 proptest! {
-    /// Two nodes hold any two sets of versions: three steps find what differs and
-    /// nothing else, on both sides.
+    /// For any two sets of versions, three steps find exactly the differences on both sides.
     #[test]
     fn digest_finds_every_difference(
         left in btree_map(0_u16..200, 0_u32..3, 0..60),
@@ -306,7 +303,7 @@
     digest
 }
 
-/// Keys of `left` that `right` lacks or has in another version.
+/// Returns the keys of `left` that `right` lacks or has in another version.
 fn differing(left: &BTreeMap<u16, u32>, right: &BTreeMap<u16, u32>) -> BTreeSet<CompactString> {
     let differs = left.iter().filter(|(index, version)| right.get(index) != Some(version));
     differs.map(|(index, _)| key(*index)).collect()
