--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -19,8 +19,8 @@
 mod record;
 mod repair;
 mod rings;
-mod rumour;
 mod spread;
+mod status_update;
 mod trial;
 
 pub use allowance::Allowance;
@@ -36,6 +36,6 @@
 pub use record::State;
 pub use record::Status;
 pub use repair::Repair;
-pub use rumour::Rumour;
 pub use spread::Spread;
+pub use status_update::StatusUpdate;
 pub use trial::Trial;
--- a/src/fleet/member.rs
+++ b/src/fleet/member.rs
@@ -18,10 +18,10 @@
 use crate::fleet::Meta;
 use crate::fleet::Output;
 use crate::fleet::Record;
-use crate::fleet::Rumour;
 use crate::fleet::Seed;
 use crate::fleet::Spread;
 use crate::fleet::Status;
+use crate::fleet::StatusUpdate;
 use crate::fleet::member_table::MemberState;
 use crate::fleet::member_table::MemberTable;
 use crate::fleet::probe::Action;
@@ -92,7 +92,7 @@
         let mut rings = Rings::new(RINGS);
         rings.insert(&me.id);
         let mut member_table = MemberTable::new();
-        member_table.apply(now, &Rumour::Alive(me.clone()));
+        member_table.apply(now, &StatusUpdate::Alive(me.clone()));
         let rejoin = random.random_range(Duration::ZERO..REJOIN_PERIOD);
         let seeds = seeds.into_iter().filter(|seed| seed.id != me.id).collect();
         Self {
@@ -205,8 +205,8 @@
         let Some(entry) = self.member_table.get(&target) else { return };
         let incarnation = entry.record.incarnation;
         let by = self.me.id.clone();
-        let rumour = Rumour::Suspect { by, id: target, incarnation };
-        self.apply(now, &rumour, None, outputs);
+        let update = StatusUpdate::Suspect { by, id: target, incarnation };
+        self.apply(now, &update, None, outputs);
     }
 
     fn declare_failed(&mut self, now: Moment, id: &NodeId, outputs: &mut Vec<Output>) {
@@ -254,11 +254,11 @@
 
     fn leave(&mut self, now: Moment, outputs: &mut Vec<Output>) {
         let id = self.me.id.clone();
-        let rumour = Rumour::Left { id, incarnation: self.me.incarnation };
-        self.member_table.apply(now, &rumour);
+        let update = StatusUpdate::Left { id, incarnation: self.me.incarnation };
+        self.member_table.apply(now, &update);
         let neighbours = self.neighbours.clone();
         for neighbour in &neighbours {
-            self.send(neighbour, Message::Rumours(vec![rumour.clone()]), outputs);
+            self.send(neighbour, Message::Rumours(vec![update.clone()]), outputs);
         }
         self.left = true;
     }
@@ -271,7 +271,7 @@
     /// Publishes a new incarnation of this process above `incarnation`.
     fn bump_incarnation(&mut self, now: Moment, incarnation: u64) {
         self.me.incarnation = incarnation.max(self.me.incarnation).saturating_add(1);
-        self.member_table.apply(now, &Rumour::Alive(self.me.clone()));
+        self.member_table.apply(now, &StatusUpdate::Alive(self.me.clone()));
         self.changed_at = now;
         let me = self.me.id.clone();
         self.queue(&me, None, true);
@@ -288,12 +288,12 @@
     fn flush(&mut self, now: Moment, outputs: &mut Vec<Output>) {
         let first = self.random.random_range(0..64);
         let member_table = &self.member_table;
-        let size = |id: &NodeId| member_table.rumours(id).iter().map(size_of).sum();
+        let size = |id: &NodeId| member_table.updates(id).iter().map(size_of).sum();
         let mut batches = self.urgent.take(now, first, size);
         batches.extend(self.spread.take(now, first, size));
         for (peer, ids) in batches {
-            let rumours = ids.iter().flat_map(|id| self.member_table.rumours(id)).collect();
-            self.send(&peer, Message::Rumours(rumours), outputs);
+            let updates = ids.iter().flat_map(|id| self.member_table.updates(id)).collect();
+            self.send(&peer, Message::Rumours(updates), outputs);
         }
     }
 
@@ -301,7 +301,7 @@
         let is_doubted = |entry: &&MemberState| entry.status != Status::Alive;
         let entry = self.member_table.get(target).filter(is_doubted);
         let about =
-            entry.and_then(|entry| self.member_table.rumours(&entry.record.id).pop()).map(Box::new);
+            entry.and_then(|entry| self.member_table.updates(&entry.record.id).pop()).map(Box::new);
         let address = self.me.meta.links;
         let config = self.me.meta.config;
         let root = self.member_table.digest.root();
@@ -321,6 +321,6 @@
 }
 
 /// Encoded bytes of an update.
-fn size_of(rumour: &Rumour) -> usize {
-    postcard::to_allocvec(rumour).map_or(0, |bytes| bytes.len())
+fn size_of(update: &StatusUpdate) -> usize {
+    postcard::to_allocvec(update).map_or(0, |bytes| bytes.len())
 }
--- a/src/fleet/member/apply.rs
+++ b/src/fleet/member/apply.rs
@@ -7,8 +7,8 @@
 use crate::clock::Moment;
 use crate::fleet::Member;
 use crate::fleet::Output;
-use crate::fleet::Rumour;
 use crate::fleet::Status;
+use crate::fleet::StatusUpdate;
 use crate::fleet::member_table::Effect;
 use crate::fleet::probe::PERIOD;
 use crate::id::NodeId;
@@ -21,17 +21,17 @@
     pub(super) fn apply(
         &mut self,
         now: Moment,
-        rumour: &Rumour,
+        update: &StatusUpdate,
         from: Option<&NodeId>,
         outputs: &mut Vec<Output>,
     ) {
-        let id = rumour.id().clone();
+        let id = update.id().clone();
         if id == self.me.id {
-            self.refute(now, rumour);
+            self.refute(now, update);
             return;
         }
         let before = self.member_table.get(&id).map(|entry| entry.status);
-        let effect = self.member_table.apply(now, rumour);
+        let effect = self.member_table.apply(now, update);
         if matches!(effect, Effect::Changed | Effect::Joined) {
             let after = self.member_table.get(&id).map(|entry| entry.status);
             if after != before || after == Some(Status::Alive) {
@@ -42,30 +42,30 @@
             self.queue(&id, from, effect != Effect::Joined);
         }
         if let Some(from) = from
-            && self.is_current(rumour)
+            && self.is_current(update)
         {
             self.spread.saw(from, &id);
             self.urgent.saw(from, &id);
         }
     }
 
-    fn is_current(&self, rumour: &Rumour) -> bool {
-        self.member_table.get(rumour.id()).is_some_and(|entry| {
-            (entry.record.incarnation, entry.status) == (rumour.incarnation(), rumour.status())
+    fn is_current(&self, update: &StatusUpdate) -> bool {
+        self.member_table.get(update.id()).is_some_and(|entry| {
+            (entry.record.incarnation, entry.status) == (update.incarnation(), update.status())
                 && entry.observers.len() <= 1
         })
     }
 
-    fn refute(&mut self, now: Moment, rumour: &Rumour) {
+    fn refute(&mut self, now: Moment, update: &StatusUpdate) {
         let own = self.me.incarnation;
-        let is_harmless = match rumour {
-            Rumour::Alive(record) => record.incarnation <= own,
-            _ => rumour.incarnation() < own,
+        let is_harmless = match update {
+            StatusUpdate::Alive(record) => record.incarnation <= own,
+            _ => update.incarnation() < own,
         };
         let is_recent = self.refuted_at.is_some_and(|at| now < at + MIN_REFUTATION_INTERVAL);
         if !is_harmless && !is_recent {
             self.refuted_at = Some(now);
-            self.bump_incarnation(now, rumour.incarnation());
+            self.bump_incarnation(now, update.incarnation());
         }
     }
 
--- a/src/fleet/member/receive.rs
+++ b/src/fleet/member/receive.rs
@@ -7,8 +7,8 @@
 use crate::fleet::Message;
 use crate::fleet::Output;
 use crate::fleet::Repair;
-use crate::fleet::Rumour;
 use crate::fleet::Status;
+use crate::fleet::StatusUpdate;
 use crate::fleet::member::size_of;
 use crate::id::ConfigNumber;
 use crate::id::NodeId;
@@ -43,10 +43,10 @@
                 self.compare(now, &from, root, outputs);
             }
             Message::Join(record) => {
-                self.apply(now, &Rumour::Alive(record), None, outputs);
-                let mut rumours = self.member_table.rumours(&from);
-                rumours.push(Rumour::Alive(self.me.clone()));
-                self.send(&from, Message::Rumours(rumours), outputs);
+                self.apply(now, &StatusUpdate::Alive(record), None, outputs);
+                let mut updates = self.member_table.updates(&from);
+                updates.push(StatusUpdate::Alive(self.me.clone()));
+                self.send(&from, Message::Rumours(updates), outputs);
             }
             Message::Ping { about, address, config, root, sequence } => {
                 let message = Box::new(self.ack(sequence));
@@ -61,9 +61,9 @@
             }
             Message::Relayed { sequence, target } => self.prober.record_relayed(&target, sequence),
             Message::Repair(step) => self.repair(now, &from, &step, outputs),
-            Message::Rumours(rumours) => {
-                for rumour in &rumours {
-                    self.apply(now, rumour, Some(&from), outputs);
+            Message::Rumours(updates) => {
+                for update in &updates {
+                    self.apply(now, update, Some(&from), outputs);
                 }
                 self.sync_first_member(now, &from, outputs);
             }
@@ -97,18 +97,18 @@
         &mut self,
         now: Moment,
         from: &NodeId,
-        about: Option<Box<Rumour>>,
+        about: Option<Box<StatusUpdate>>,
         outputs: &mut Vec<Output>,
     ) {
-        if let Some(rumour) = about {
-            self.apply(now, &rumour, Some(from), outputs);
-            self.send(from, Message::Rumours(vec![Rumour::Alive(self.me.clone())]), outputs);
+        if let Some(update) = about {
+            self.apply(now, &update, Some(from), outputs);
+            self.send(from, Message::Rumours(vec![StatusUpdate::Alive(self.me.clone())]), outputs);
         }
         let is_failed =
             self.member_table.get(from).is_some_and(|entry| entry.status >= Status::Failed);
         if is_failed {
-            let rumours = self.member_table.rumours(from);
-            self.send(from, Message::Rumours(rumours), outputs);
+            let updates = self.member_table.updates(from);
+            self.send(from, Message::Rumours(updates), outputs);
         }
     }
 
@@ -154,10 +154,10 @@
             self.send(from, Message::Repair(repair), outputs);
         }
         let member_table = &self.member_table;
-        let size = |id: &NodeId| member_table.rumours(id).iter().map(size_of).sum();
+        let size = |id: &NodeId| member_table.updates(id).iter().map(size_of).sum();
         for ids in self.spread.grant(now, &answer.send, size) {
-            let rumours = ids.iter().flat_map(|id| self.member_table.rumours(id)).collect();
-            self.send(from, Message::Rumours(rumours), outputs);
+            let updates = ids.iter().flat_map(|id| self.member_table.updates(id)).collect();
+            self.send(from, Message::Rumours(updates), outputs);
         }
     }
 }
--- a/src/fleet/member_table.rs
+++ b/src/fleet/member_table.rs
@@ -9,8 +9,8 @@
 use crate::clock::Moment;
 use crate::fleet::Digest;
 use crate::fleet::Record;
-use crate::fleet::Rumour;
 use crate::fleet::Status;
+use crate::fleet::StatusUpdate;
 use crate::id::Incarnation;
 use crate::id::NodeId;
 
@@ -94,31 +94,31 @@
     }
 
     /// Applies an update, unless the known state overrides it.
-    pub(crate) fn apply(&mut self, now: Moment, rumour: &Rumour) -> Effect {
-        let Some(entry) = self.entries.get(rumour.id()) else {
-            let Rumour::Alive(record) = rumour else { return Effect::Nothing };
+    pub(crate) fn apply(&mut self, now: Moment, update: &StatusUpdate) -> Effect {
+        let Some(entry) = self.entries.get(update.id()) else {
+            let StatusUpdate::Alive(record) = update else { return Effect::Nothing };
             self.replace(now, record.clone(), Status::Alive, BTreeSet::new());
             return Effect::Joined;
         };
         let known = (entry.record.incarnation, entry.status);
-        let received = (rumour.incarnation(), rumour.status());
+        let received = (update.incarnation(), update.status());
         if known == received {
-            return self.confirm_suspicion(rumour);
+            return self.confirm_suspicion(update);
         }
         if received < known {
             return Effect::Nothing;
         }
         let record = entry.record.clone();
-        match rumour {
-            Rumour::Alive(new) => {
+        match update {
+            StatusUpdate::Alive(new) => {
                 let has_returned = entry.status >= Status::Failed;
                 self.replace(now, new.clone(), Status::Alive, BTreeSet::new());
                 if has_returned { Effect::Joined } else { Effect::Changed }
             }
-            Rumour::Failed { id, .. } if entry.status == Status::Alive => {
+            StatusUpdate::Failed { id, .. } if entry.status == Status::Alive => {
                 self.record_failure_claim(now, id)
             }
-            Rumour::Failed { incarnation, .. } => {
+            StatusUpdate::Failed { incarnation, .. } => {
                 self.replace(
                     now,
                     with_incarnation(record, *incarnation),
@@ -127,7 +127,7 @@
                 );
                 Effect::Changed
             }
-            Rumour::Left { incarnation, .. } => {
+            StatusUpdate::Left { incarnation, .. } => {
                 self.replace(
                     now,
                     with_incarnation(record, *incarnation),
@@ -136,7 +136,7 @@
                 );
                 Effect::Changed
             }
-            Rumour::Suspect { by, incarnation, .. } => {
+            StatusUpdate::Suspect { by, incarnation, .. } => {
                 let observers = BTreeSet::from([by.clone()]);
                 self.replace(
                     now,
@@ -188,27 +188,30 @@
     }
 
     /// Returns the updates that tell another process all that is known of `id`.
-    pub(crate) fn rumours(&self, id: &NodeId) -> Vec<Rumour> {
+    pub(crate) fn updates(&self, id: &NodeId) -> Vec<StatusUpdate> {
         let Some(entry) = self.entries.get(id) else { return Vec::new() };
         let id = entry.record.id.clone();
         let incarnation = entry.record.incarnation;
         match entry.status {
             Status::Alive if entry.failure_claimed_at.is_some() => {
-                vec![Rumour::Failed { id, incarnation }]
+                vec![StatusUpdate::Failed { id, incarnation }]
             }
-            Status::Alive => vec![Rumour::Alive(entry.record.clone())],
-            Status::Failed => vec![Rumour::Failed { id, incarnation }],
-            Status::Left => vec![Rumour::Left { id, incarnation }],
+            Status::Alive => vec![StatusUpdate::Alive(entry.record.clone())],
+            Status::Failed => vec![StatusUpdate::Failed { id, incarnation }],
+            Status::Left => vec![StatusUpdate::Left { id, incarnation }],
             Status::Suspect => {
-                let suspicion =
-                    |by: &NodeId| Rumour::Suspect { by: by.clone(), id: id.clone(), incarnation };
+                let suspicion = |by: &NodeId| StatusUpdate::Suspect {
+                    by: by.clone(),
+                    id: id.clone(),
+                    incarnation,
+                };
                 entry.observers.iter().map(suspicion).collect()
             }
         }
     }
 
-    fn confirm_suspicion(&mut self, rumour: &Rumour) -> Effect {
-        let Rumour::Suspect { by, id, .. } = rumour else { return Effect::Nothing };
+    fn confirm_suspicion(&mut self, update: &StatusUpdate) -> Effect {
+        let StatusUpdate::Suspect { by, id, .. } = update else { return Effect::Nothing };
         let Some(entry) = self.entries.get_mut(id) else { return Effect::Nothing };
         if entry.observers.len() >= MAX_OBSERVERS || !entry.observers.insert(by.clone()) {
             return Effect::Nothing;
--- a/src/fleet/message.rs
+++ b/src/fleet/message.rs
@@ -7,7 +7,7 @@
 
 use crate::fleet::Record;
 use crate::fleet::Repair;
-use crate::fleet::Rumour;
+use crate::fleet::StatusUpdate;
 use crate::id::ConfigNumber;
 use crate::id::NodeId;
 
@@ -28,7 +28,7 @@
     /// Probe that the receiver acknowledges.
     Ping {
         /// Suspicion or failure of the receiver as the sender knows it, for the receiver to refute.
-        about: Option<Box<Rumour>>,
+        about: Option<Box<StatusUpdate>>,
         /// Address at which the sender accepts links. A receiver that has just started may not
         /// know the sender yet, and would be suspected for not answering.
         address: SocketAddr,
@@ -56,5 +56,5 @@
     /// Step of a digest comparison (anti-entropy).
     Repair(Repair),
     /// Updates about members.
-    Rumours(Vec<Rumour>),
+    Rumours(Vec<StatusUpdate>),
 }
--- a/src/fleet/rumour.rs
+++ b/src/fleet/status_update.rs
@@ -10,7 +10,7 @@
 
 /// Update about a member, small enough that many fit one message.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Rumour {
+pub enum StatusUpdate {
     /// The member is alive, with its own description.
     Alive(Record),
     /// The member did not refute a suspicion of this incarnation.
@@ -38,7 +38,7 @@
     },
 }
 
-impl Rumour {
+impl StatusUpdate {
     /// Member that the update is about.
     pub fn id(&self) -> &NodeId {
         match self {
