--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -10,6 +10,7 @@
 
 mod allowance;
 mod digest;
+mod dissemination;
 mod input;
 mod member;
 mod member_table;
@@ -19,12 +20,12 @@
 mod record;
 mod repair;
 mod rings;
-mod spread;
 mod status_update;
 mod trial;
 
 pub use allowance::Allowance;
 pub use digest::Digest;
+pub use dissemination::Dissemination;
 pub use input::Input;
 pub use member::Member;
 pub use message::Message;
@@ -36,6 +37,5 @@
 pub use record::State;
 pub use record::Status;
 pub use repair::Repair;
-pub use spread::Spread;
 pub use status_update::StatusUpdate;
 pub use trial::Trial;
--- a/src/fleet/spread.rs
+++ b/src/fleet/dissemination.rs
@@ -15,17 +15,17 @@
 /// sent only in its latest state. A key that a peer sends itself is removed from its queue, which
 /// keeps a burst of updates, such as the return of a region, from crossing each link twice.
 #[derive(Clone, Debug)]
-pub struct Spread {
+pub struct Dissemination {
     allowance: Allowance,
     pending: BTreeMap<NodeId, BTreeSet<CompactString>>,
 }
 
-impl Spread {
+impl Dissemination {
     /// Most bytes of encoded records in one message, which with its envelope fits a datagram of
     /// 1,100 bytes.
-    pub const MESSAGE_MAX: usize = 1000;
+    pub const MESSAGE_BYTES_MAX: usize = 1000;
     /// Bytes of a message in addition to its records: IP, UDP and QUIC headers and the tag.
-    pub const OVERHEAD: usize = 60;
+    pub const MESSAGE_OVERHEAD_BYTES: usize = 60;
 
     /// Creates empty queues.
     pub fn new(allowance: Allowance) -> Self {
@@ -43,7 +43,7 @@
     }
 
     /// Records that `peer` has the current state of all records.
-    pub fn saw_all(&mut self, peer: &NodeId) {
+    pub fn mark_all_known(&mut self, peer: &NodeId) {
         self.pending.remove(peer);
     }
 
@@ -53,7 +53,7 @@
     }
 
     /// Records that `peer` has the current state of the record of `key`.
-    pub fn saw(&mut self, peer: &NodeId, key: &CompactString) {
+    pub fn mark_known(&mut self, peer: &NodeId, key: &CompactString) {
         if let Some(keys) = self.pending.get_mut(peer) {
             keys.remove(key);
         }
@@ -64,7 +64,7 @@
     /// The rest is not queued. The peer requests it again, perhaps from another member. With a
     /// queue, a seed that 500 processes ask at once would send them records for hours that they
     /// already have, and have no allowance left for a process that starts later.
-    pub fn grant(
+    pub fn batches_for(
         &mut self,
         now: Moment,
         keys: &[CompactString],
@@ -78,9 +78,9 @@
                 if !self.allowance.is_open(now) {
                     break;
                 }
-                self.allowance.take(Self::OVERHEAD);
+                self.allowance.take(Self::MESSAGE_OVERHEAD_BYTES);
                 batches.push(Vec::new());
-                remaining = Self::MESSAGE_MAX;
+                remaining = Self::MESSAGE_BYTES_MAX;
             }
             self.allowance.take(cost);
             remaining = remaining.saturating_sub(cost);
@@ -99,7 +99,7 @@
     /// Takes batches of keys to send now, one message each. `size` returns the bytes of a record.
     ///
     /// `first` selects the peer to start with, so that none is always served last.
-    pub fn take(
+    pub fn take_batches(
         &mut self,
         now: Moment,
         first: usize,
@@ -136,7 +136,7 @@
         let mut bytes = 0;
         while let Some(key) = keys.first() {
             let cost = size(key);
-            if bytes + cost > Self::MESSAGE_MAX && !batch.is_empty() {
+            if bytes + cost > Self::MESSAGE_BYTES_MAX && !batch.is_empty() {
                 break;
             }
             bytes += cost;
@@ -145,7 +145,7 @@
         if batch.is_empty() {
             return None;
         }
-        self.allowance.take(bytes + Self::OVERHEAD);
+        self.allowance.take(bytes + Self::MESSAGE_OVERHEAD_BYTES);
         Some(batch)
     }
 }
--- a/src/fleet/member.rs
+++ b/src/fleet/member.rs
@@ -13,13 +13,13 @@
 
 use crate::clock::Moment;
 use crate::fleet::Allowance;
+use crate::fleet::Dissemination;
 use crate::fleet::Input;
 use crate::fleet::Message;
 use crate::fleet::Meta;
 use crate::fleet::Output;
 use crate::fleet::Record;
 use crate::fleet::Seed;
-use crate::fleet::Spread;
 use crate::fleet::Status;
 use crate::fleet::StatusUpdate;
 use crate::fleet::member_table::MemberState;
@@ -36,13 +36,13 @@
 /// Sustained bytes per second for joins and repairs. Suspicions, refutations and failures have as
 /// much again, so that a refutation is not delayed when a failure domain joins at the same time.
 /// Probes need about 0.43 KB per second in addition.
-const SPREAD_RATE: u64 = 500;
+const DISSEMINATION_BYTES_PER_SECOND: u64 = 500;
 
 /// Burst of bytes for updates. Enough for 520 members that all start, several times over.
-const SPREAD_BURST: u64 = 1_000_000;
+const DISSEMINATION_BURST_BYTES: u64 = 1_000_000;
 
 /// Bytes per second for updates during a burst. The whole table takes four seconds.
-const SPREAD_PACE: u64 = 10_000;
+const DISSEMINATION_BURST_BYTES_PER_SECOND: u64 = 10_000;
 
 /// Interval at which a process that knows no other member asks a seed to join.
 const JOIN_PERIOD: Duration = Duration::from_secs(1);
@@ -76,10 +76,10 @@
     rings: Rings,
     member_table: MemberTable,
     seeds: Vec<Seed>,
-    spread: Spread,
+    dissemination: Dissemination,
     started_at: Moment,
     ticked_at: Moment,
-    urgent: Spread,
+    urgent: Dissemination,
 }
 
 impl Member {
@@ -88,7 +88,11 @@
 
     /// Creates member `me`, which joins through `seeds`. Itself among them is ignored.
     pub fn new(now: Moment, me: Record, seeds: Vec<Seed>, mut random: ChaCha8Rng) -> Self {
-        let allowance = Allowance::new(SPREAD_RATE, SPREAD_BURST, SPREAD_PACE);
+        let allowance = Allowance::new(
+            DISSEMINATION_BYTES_PER_SECOND,
+            DISSEMINATION_BURST_BYTES,
+            DISSEMINATION_BURST_BYTES_PER_SECOND,
+        );
         let mut rings = Rings::new(RINGS);
         rings.insert(&me.id);
         let mut member_table = MemberTable::new();
@@ -110,10 +114,10 @@
             rings,
             member_table,
             seeds,
-            spread: Spread::new(allowance.clone()),
+            dissemination: Dissemination::new(allowance.clone()),
             started_at: now,
             ticked_at: now,
-            urgent: Spread::new(allowance.clone()),
+            urgent: Dissemination::new(allowance.clone()),
         }
     }
 
@@ -279,9 +283,9 @@
 
     /// Queues updates about `id` for all neighbours, including `id` itself, which may refute them.
     fn queue(&mut self, id: &NodeId, except: Option<&NodeId>, urgent: bool) {
-        let spread = if urgent { &mut self.urgent } else { &mut self.spread };
+        let dissemination = if urgent { &mut self.urgent } else { &mut self.dissemination };
         for neighbour in self.neighbours.iter().filter(|neighbour| Some(*neighbour) != except) {
-            spread.queue(neighbour, id);
+            dissemination.queue(neighbour, id);
         }
     }
 
@@ -289,8 +293,8 @@
         let first = self.random.random_range(0..64);
         let member_table = &self.member_table;
         let size = |id: &NodeId| member_table.updates(id).iter().map(size_of).sum();
-        let mut batches = self.urgent.take(now, first, size);
-        batches.extend(self.spread.take(now, first, size));
+        let mut batches = self.urgent.take_batches(now, first, size);
+        batches.extend(self.dissemination.take_batches(now, first, size));
         for (peer, ids) in batches {
             let updates = ids.iter().flat_map(|id| self.member_table.updates(id)).collect();
             self.send(&peer, Message::Rumours(updates), outputs);
--- a/src/fleet/member/apply.rs
+++ b/src/fleet/member/apply.rs
@@ -44,8 +44,8 @@
         if let Some(from) = from
             && self.is_current(update)
         {
-            self.spread.saw(from, &id);
-            self.urgent.saw(from, &id);
+            self.dissemination.mark_known(from, &id);
+            self.urgent.mark_known(from, &id);
         }
     }
 
@@ -86,7 +86,7 @@
             Status::Failed | Status::Left => {
                 let has_left = entry.status == Status::Left;
                 self.rings.remove(&id);
-                self.spread.retain(|peer| *peer != id);
+                self.dissemination.retain(|peer| *peer != id);
                 self.urgent.retain(|peer| *peer != id);
                 if is_neighbour {
                     self.update_neighbours(now);
--- a/src/fleet/member/receive.rs
+++ b/src/fleet/member/receive.rs
@@ -146,7 +146,7 @@
     }
 
     fn repair(&mut self, now: Moment, from: &NodeId, step: &Repair, outputs: &mut Vec<Output>) {
-        if !self.spread.is_open(now) {
+        if !self.dissemination.is_open(now) {
             return;
         }
         let answer = self.member_table.digest.answer(step);
@@ -155,7 +155,7 @@
         }
         let member_table = &self.member_table;
         let size = |id: &NodeId| member_table.updates(id).iter().map(size_of).sum();
-        for ids in self.spread.grant(now, &answer.send, size) {
+        for ids in self.dissemination.batches_for(now, &answer.send, size) {
             let updates = ids.iter().flat_map(|id| self.member_table.updates(id)).collect();
             self.send(from, Message::Rumours(updates), outputs);
         }
--- a/src/registry/machine.rs
+++ b/src/registry/machine.rs
@@ -16,7 +16,7 @@
 use crate::clock::Moment;
 use crate::fleet::Allowance;
 use crate::fleet::Digest;
-use crate::fleet::Spread;
+use crate::fleet::Dissemination;
 use crate::id::NodeId;
 use crate::id::ServiceId;
 use crate::id::UpstreamId;
@@ -32,24 +32,24 @@
 const BUCKETS: usize = 160;
 
 /// Sustained bytes per second for changes.
-const SPREAD_RATE: u64 = 1000;
+const DISSEMINATION_BYTES_PER_SECOND: u64 = 1000;
 
 /// Burst of bytes for changes. 6,200 upstreams that all start need as much.
-const SPREAD_BURST: u64 = 2_000_000;
+const DISSEMINATION_BURST_BYTES: u64 = 2_000_000;
 
 /// Bytes per second for changes during a burst.
-const SPREAD_PACE: u64 = 10_000;
+const DISSEMINATION_BURST_BYTES_PER_SECOND: u64 = 10_000;
 
 /// Sustained bytes per second for drains. They have an allowance of their own, because a drain
 /// must be known within 3 s even while a thousand upstreams are announced.
-const URGENT_RATE: u64 = 500;
+const URGENT_BYTES_PER_SECOND: u64 = 500;
 
 /// Burst of bytes for drains: 6,200 drains, one copy per link.
-const URGENT_BURST: u64 = 1_500_000;
+const URGENT_BURST_BYTES: u64 = 1_500_000;
 
 /// Bytes per second for drains during a burst, and four times as many at once. A tenth of 6,200
 /// upstreams can drain within 3 s.
-const URGENT_PACE: u64 = 25_000;
+const URGENT_BURST_BYTES_PER_SECOND: u64 = 25_000;
 
 /// Encoded bytes of a [`crate::registry::StateChange`] for an upstream name of 20 letters.
 const STATE_CHANGE_BYTES: usize = 32;
@@ -82,11 +82,11 @@
     in_touch: bool,
     me: NodeId,
     random: ChaCha8Rng,
-    spread: Spread,
+    dissemination: Dissemination,
     summary_at: Moment,
     sweep_at: Moment,
     upstreams: BTreeMap<UpstreamId, Upstream>,
-    urgent: Spread,
+    urgent: Dissemination,
     watch: Option<BTreeSet<UpstreamId>>,
 }
 
@@ -106,11 +106,19 @@
             in_touch: true,
             me,
             random,
-            spread: Spread::new(Allowance::new(SPREAD_RATE, SPREAD_BURST, SPREAD_PACE)),
+            dissemination: Dissemination::new(Allowance::new(
+                DISSEMINATION_BYTES_PER_SECOND,
+                DISSEMINATION_BURST_BYTES,
+                DISSEMINATION_BURST_BYTES_PER_SECOND,
+            )),
             summary_at: now + phase,
             sweep_at: now,
             upstreams: BTreeMap::new(),
-            urgent: Spread::new(Allowance::new(URGENT_RATE, URGENT_BURST, URGENT_PACE)),
+            urgent: Dissemination::new(Allowance::new(
+                URGENT_BYTES_PER_SECOND,
+                URGENT_BURST_BYTES,
+                URGENT_BURST_BYTES_PER_SECOND,
+            )),
             watch: None,
         }
     }
@@ -182,7 +190,7 @@
     fn replace_entries(&mut self, now: Moment, entries: Vec<Entry>, outputs: &mut Vec<Output>) {
         let (added, removed) = self.placement.replace(now, entries);
         let linked: BTreeSet<NodeId> = self.placement.neighbours().cloned().collect();
-        self.spread.retain(|peer| linked.contains(peer));
+        self.dissemination.retain(|peer| linked.contains(peer));
         self.urgent.retain(|peer| linked.contains(peer));
         if added.is_empty() && removed.is_empty() {
             return;
@@ -259,13 +267,13 @@
     fn flush(&mut self, now: Moment, outputs: &mut Vec<Output>) {
         let first = self.random.random_range(0..64);
         let size = |_: &UpstreamId| STATE_CHANGE_BYTES;
-        for (to, ids) in self.urgent.take(now, first, size) {
+        for (to, ids) in self.urgent.take_batches(now, first, size) {
             let known = ids.iter().filter_map(|id| self.upstreams.get(id));
             let state_changes = known.map(Upstream::state_change).collect();
             outputs.push(Output::Send { to, message: Message::Standings(state_changes) });
         }
         let size = |id: &UpstreamId| self.upstreams.get(id).map_or(0, |known| size_of(now, known));
-        for (to, ids) in self.spread.take(now, first, size) {
+        for (to, ids) in self.dissemination.take_batches(now, first, size) {
             let known = ids.iter().filter_map(|id| self.upstreams.get(id));
             let changes = known.map(|upstream| upstream.change(now)).collect();
             outputs.push(Output::Send { to, message: Message::Changes(changes) });
--- a/src/registry/machine/apply.rs
+++ b/src/registry/machine/apply.rs
@@ -34,8 +34,8 @@
             if let Some(from) = from
                 && order == Some(change.order())
             {
-                self.spread.saw(from, &upstream);
-                self.urgent.saw(from, &upstream);
+                self.dissemination.mark_known(from, &upstream);
+                self.urgent.mark_known(from, &upstream);
             }
             return;
         }
@@ -48,8 +48,8 @@
         let peers: Vec<NodeId> = self.placement.neighbours().cloned().collect();
         for peer in peers.iter().filter(|peer| Some(*peer) != from) {
             let is_urgent = state == State::Draining;
-            let spread = if is_urgent { &mut self.urgent } else { &mut self.spread };
-            spread.queue(peer, &upstream);
+            let dissemination = if is_urgent { &mut self.urgent } else { &mut self.dissemination };
+            dissemination.queue(peer, &upstream);
         }
         if !self.in_grace.contains(&upstream) {
             outputs.push(Output::Changed { incarnation, state, upstream });
--- a/src/registry/machine/receive.rs
+++ b/src/registry/machine/receive.rs
@@ -27,7 +27,7 @@
                     self.apply(now, change, Some(&from), outputs);
                 }
             }
-            Message::Missing(upstream) => self.spread.queue(&from, &upstream),
+            Message::Missing(upstream) => self.dissemination.queue(&from, &upstream),
             Message::Renew { incarnation, upstream } => {
                 let known = self.upstreams.get_mut(&upstream);
                 let current = known.filter(|known| {
@@ -80,8 +80,8 @@
     /// changes, most of the queued ones have reached it over other links.
     fn compare(&mut self, now: Moment, with: NodeId, root: u32, outputs: &mut Vec<Output>) {
         if root == self.digest.root() {
-            self.spread.saw_all(&with);
-            self.urgent.saw_all(&with);
+            self.dissemination.mark_all_known(&with);
+            self.urgent.mark_all_known(&with);
             return;
         }
         let is_due = |period| self.compared_at.is_none_or(|at| now >= at + period);
@@ -99,7 +99,7 @@
             outputs.push(Output::Send { to: from.clone(), message: Message::Repair(repair) });
         }
         for key in &answer.send {
-            self.spread.queue(from, key);
+            self.dissemination.queue(from, key);
         }
     }
 }
--- a/tests/suite/fleet.rs
+++ b/tests/suite/fleet.rs
@@ -9,10 +9,10 @@
 use hemlockfield::fake::Weather;
 use hemlockfield::fleet::Allowance;
 use hemlockfield::fleet::Digest;
+use hemlockfield::fleet::Dissemination;
 use hemlockfield::fleet::Input;
 use hemlockfield::fleet::Member;
 use hemlockfield::fleet::Output;
-use hemlockfield::fleet::Spread;
 use hemlockfield::fleet::State;
 use hemlockfield::fleet::Status;
 use hemlockfield::fleet::Trial;
@@ -247,21 +247,27 @@
 }
 
 #[test]
-fn spread_sends_no_more_than_the_allowance() {
+fn dissemination_sends_no_more_than_the_allowance() {
     // A thousand records are queued for two neighbours. The burst bounds the bytes sent at once, up
     // to one message more. A record that a neighbour has sent itself is not sent to it.
-    let mut spread = Spread::new(Allowance::new(1000, 5000, 5000));
+    let mut dissemination = Dissemination::new(Allowance::new(1000, 5000, 5000));
     for index in 0..1000 {
         let key = format!("key-{index}").as_str().into();
-        spread.queue(&"vm-1".into(), &key);
-        spread.queue(&"vm-2".into(), &key);
-        spread.saw(&"vm-2".into(), &key);
+        dissemination.queue(&"vm-1".into(), &key);
+        dissemination.queue(&"vm-2".into(), &key);
+        dissemination.mark_known(&"vm-2".into(), &key);
     }
-    let batches = spread.take(Duration::ZERO, 0, |_| 100);
+    let batches = dissemination.take_batches(Duration::ZERO, 0, |_| 100);
     assert!(batches.iter().all(|(peer, _)| peer == "vm-1"));
-    let bytes: usize = batches.iter().map(|(_, keys)| keys.len() * 100 + Spread::OVERHEAD).sum();
-    assert!((5000..=5000 + Spread::MESSAGE_MAX + Spread::OVERHEAD).contains(&bytes));
-    assert!(spread.take(Duration::ZERO, 0, |_| 100).is_empty());
+    let bytes: usize = batches
+        .iter()
+        .map(|(_, keys)| keys.len() * 100 + Dissemination::MESSAGE_OVERHEAD_BYTES)
+        .sum();
+    assert!(
+        (5000..=5000 + Dissemination::MESSAGE_BYTES_MAX + Dissemination::MESSAGE_OVERHEAD_BYTES)
+            .contains(&bytes)
+    );
+    assert!(dissemination.take_batches(Duration::ZERO, 0, |_| 100).is_empty());
 }
 
 proptest! {
