--- a/src/bench/fleet.rs
+++ b/src/bench/fleet.rs
@@ -11,8 +11,8 @@
 use crate::fake::Weather;
 use crate::fleet::Member;
 use crate::fleet::Output;
+use crate::fleet::Simulation;
 use crate::fleet::Status;
-use crate::fleet::Trial;
 use crate::id::NodeId;
 
 /// Sizes at which the slopes are taken.
@@ -47,7 +47,7 @@
 
 fn measure(seed: u64, size: usize, report: &mut String) {
     let before = resident();
-    let mut trial = Trial::new(seed, size, Weather::fair());
+    let mut trial = Simulation::new(seed, size, Weather::fair());
     trial.run(SECOND * 60);
     let memory = resident().saturating_sub(before) / size;
     let settled = trial.agrees(size);
@@ -64,7 +64,7 @@
     loss(&mut trial, if long { 600 } else { 120 }, report);
 }
 
-fn steady(trial: &mut Trial, size: usize, report: &mut String) {
+fn steady(trial: &mut Simulation, size: usize, report: &mut String) {
     trial.reset();
     let span = 30;
     let start = Instant::now();
@@ -79,12 +79,12 @@
     );
 }
 
-fn detection(trial: &mut Trial, size: usize, report: &mut String) {
+fn detection(trial: &mut Simulation, size: usize, report: &mut String) {
     let mut suspected = Vec::new();
     let mut failed = Vec::new();
     for kill in 0..KILLS {
         let index = 3 + kill * (size - 3) / KILLS;
-        let id = Trial::id(index);
+        let id = Simulation::id(index);
         trial.reset();
         let at = trial.now;
         trial.kill(&id);
@@ -105,11 +105,11 @@
 }
 
 /// Restarts one member every 20 s; 843 failures and restarts a day are one in 102 s.
-fn churn(trial: &mut Trial, size: usize, report: &mut String) {
+fn churn(trial: &mut Simulation, size: usize, report: &mut String) {
     trial.reset();
     for restart in 0..10 {
         let index = 4 + restart * (size - 4) / 10;
-        trial.kill(&Trial::id(index));
+        trial.kill(&Simulation::id(index));
         trial.run(SECOND * 10);
         trial.start(index);
         trial.run(SECOND * 10);
@@ -122,7 +122,7 @@
     );
 }
 
-fn domain(trial: &mut Trial, report: &mut String) {
+fn domain(trial: &mut Simulation, report: &mut String) {
     let gone = trial.domain(3);
     let rest = trial.members.len() - gone.len();
     trial.reset();
@@ -145,7 +145,7 @@
     );
 }
 
-fn region(trial: &mut Trial, span: u32, report: &mut String) {
+fn region(trial: &mut Simulation, span: u32, report: &mut String) {
     let all = trial.members.len();
     let region = trial.region("r1");
     trial.reset();
@@ -164,7 +164,7 @@
     );
 }
 
-fn loss(trial: &mut Trial, span: u32, report: &mut String) {
+fn loss(trial: &mut Simulation, span: u32, report: &mut String) {
     trial.reset();
     trial.net.weather.loss = 0.05;
     trial.run(SECOND * span);
@@ -198,12 +198,12 @@
     (rate, quantile(&mut detect, 0.99), wrong)
 }
 
-fn failed(trial: &Trial, id: &NodeId) -> bool {
+fn failed(trial: &Simulation, id: &NodeId) -> bool {
     let status = |member: &Member| member.record(id).map(|(_, status)| status);
     trial.members.values().all(|member| status(member) == Some(Status::Failed))
 }
 
-fn settle(trial: &mut Trial, done: impl Fn(&Trial) -> bool) -> String {
+fn settle(trial: &mut Simulation, done: impl Fn(&Simulation) -> bool) -> String {
     let start = trial.now;
     while trial.now < start + SECOND * 300 {
         trial.run(SECOND);
@@ -214,12 +214,12 @@
     "more than 300 s".into()
 }
 
-fn times(trial: &Trial, wanted: &Output, from: Duration) -> Vec<f64> {
+fn times(trial: &Simulation, wanted: &Output, from: Duration) -> Vec<f64> {
     let found = trial.events.iter().filter(|(_, _, output)| output == wanted);
     found.map(|(at, _, _)| at.saturating_sub(from).as_secs_f64()).collect()
 }
 
-fn failures(trial: &Trial) -> usize {
+fn failures(trial: &Simulation) -> usize {
     trial.events.iter().filter(|(_, _, output)| matches!(output, Output::Failed(_))).count()
 }
 
@@ -227,15 +227,15 @@
     id.trim_start_matches("vm-").parse().ok()
 }
 
-fn worst(trial: &Trial) -> u64 {
+fn worst(trial: &Simulation) -> u64 {
     trial.messages.values().max().copied().unwrap_or(0)
 }
 
-fn total(trial: &Trial) -> u64 {
+fn total(trial: &Simulation) -> u64 {
     trial.sent.values().sum::<u64>() / trial.members.len() as u64
 }
 
-fn rate(trial: &Trial, seconds: u32) -> f64 {
+fn rate(trial: &Simulation, seconds: u32) -> f64 {
     trial.sent.values().sum::<u64>() as f64 / f64::from(seconds) / trial.members.len() as f64
 }
 
--- a/src/bench/registry.rs
+++ b/src/bench/registry.rs
@@ -6,8 +6,8 @@
 
 use crate::registry::Announcement;
 use crate::registry::Registry;
+use crate::registry::Simulation;
 use crate::registry::State;
-use crate::registry::Trial;
 
 /// Entries and upstreams at which the slopes are taken.
 pub const SIZES: [(usize, usize); 5] = [(44, 64), (44, 525), (130, 1550), (260, 3100), (44, 6200)];
@@ -29,10 +29,10 @@
 }
 
 fn measure(seed: u64, entries: usize, upstreams: usize, report: &mut String) {
-    let mut trial = Trial::new(seed, entries);
+    let mut trial = Simulation::new(seed, entries);
     let before = resident();
     for index in 0..upstreams {
-        trial.announce(index % entries, Trial::announcement(index));
+        trial.announce(index % entries, Simulation::announcement(index));
         if index % (upstreams / 60 + 1) == 0 {
             trial.run(SECOND / 2);
         }
@@ -51,7 +51,7 @@
     home(&mut trial, upstreams, report);
 }
 
-fn steady(trial: &mut Trial, entries: usize, report: &mut String) {
+fn steady(trial: &mut Simulation, entries: usize, report: &mut String) {
     trial.sent.clear();
     let span = 30;
     let start = Instant::now();
@@ -66,11 +66,11 @@
 }
 
 /// A tenth of the upstreams drain at once.
-fn drains(trial: &mut Trial, upstreams: usize, report: &mut String) {
+fn drains(trial: &mut Simulation, upstreams: usize, report: &mut String) {
     trial.sent.clear();
     let drained: Vec<usize> = (0..upstreams).step_by(10).collect();
     drained.iter().for_each(|index| drain(trial, *index));
-    let done = |trial: &Trial| {
+    let done = |trial: &Simulation| {
         let gone =
             |registry: &Registry| registry.usable(trial.now()).count() == upstreams - drained.len();
         trial.registries.values().all(gone)
@@ -84,18 +84,18 @@
     );
 }
 
-fn one_drain(trial: &mut Trial, upstreams: usize, report: &mut String) {
+fn one_drain(trial: &mut Simulation, upstreams: usize, report: &mut String) {
     trial.sent.clear();
     let index = upstreams / 10 * 10 - 1;
-    let upstream = Trial::announcement(index).upstream;
+    let upstream = Simulation::announcement(index).upstream;
     drain(trial, index);
     let span = settle(trial, |trial| trial.users(&upstream).is_empty());
     let _ = writeln!(report, "  one drains: {span} until no entry uses it");
 }
 
 /// The entry that keeps an upstream's lease dies.
-fn home(trial: &mut Trial, upstreams: usize, report: &mut String) {
-    let upstream = Trial::announcement(upstreams / 10 * 10 - 2).upstream;
+fn home(trial: &mut Simulation, upstreams: usize, report: &mut String) {
+    let upstream = Simulation::announcement(upstreams / 10 * 10 - 2).upstream;
     let home = trial.registries.values().next().and_then(|r| r.get(&upstream)?.home.clone());
     let Some(home) = home else { return };
     let kept = trial.registries.values().next().map_or(0, |registry| {
@@ -116,16 +116,16 @@
     );
 }
 
-fn drain(trial: &mut Trial, index: usize) {
-    let announcement = Announcement { state: State::Draining, ..Trial::announcement(index) };
+fn drain(trial: &mut Simulation, index: usize) {
+    let announcement = Announcement { state: State::Draining, ..Simulation::announcement(index) };
     trial.announce(index % trial.registries.len(), announcement);
 }
 
-fn agrees(trial: &Trial, upstreams: usize) -> bool {
+fn agrees(trial: &Simulation, upstreams: usize) -> bool {
     trial.registries.values().all(|registry| registry.view().count() == upstreams)
 }
 
-fn settle(trial: &mut Trial, done: impl Fn(&Trial) -> bool) -> String {
+fn settle(trial: &mut Simulation, done: impl Fn(&Simulation) -> bool) -> String {
     let start = trial.now();
     while trial.now() < start + SECOND * 120 {
         if done(trial) {
@@ -136,7 +136,7 @@
     "more than 120 s".into()
 }
 
-fn rate(trial: &Trial, seconds: u32) -> f64 {
+fn rate(trial: &Simulation, seconds: u32) -> f64 {
     let total = trial.sent.values().sum::<u64>() as f64;
     total / f64::from(seconds) / trial.registries.len() as f64
 }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -20,8 +20,8 @@
 mod record;
 mod repair;
 mod rings;
+mod simulation;
 mod status_update;
-mod trial;
 
 pub use allowance::Allowance;
 pub use digest::Digest;
@@ -37,5 +37,5 @@
 pub use record::State;
 pub use record::Status;
 pub use repair::Repair;
+pub use simulation::Simulation;
 pub use status_update::StatusUpdate;
-pub use trial::Trial;
--- a/src/fleet/trial.rs
+++ b/src/fleet/simulation.rs
@@ -35,7 +35,7 @@
 const HEADER_BYTES: usize = 60;
 
 /// Members on a fake network. All faults follow from the seed.
-pub struct Trial {
+pub struct Simulation {
     /// Outputs other than messages, with their time and member.
     pub events: Vec<(Moment, NodeId, Output)>,
     /// Running members by name.
@@ -55,10 +55,10 @@
     step: usize,
 }
 
-impl Trial {
+impl Simulation {
     /// Starts `count` members at once. The first three are the seeds of all.
     pub fn new(seed: u64, count: usize, weather: Weather) -> Self {
-        let mut trial = Self {
+        let mut simulation = Self {
             events: Vec::new(),
             members: BTreeMap::new(),
             messages: BTreeMap::new(),
@@ -70,8 +70,8 @@
             starts: 0,
             step: 0,
         };
-        (0..count).for_each(|index| trial.start(index));
-        trial
+        (0..count).for_each(|index| simulation.start(index));
+        simulation
     }
 
     /// Returns the name of the member with `index`.
--- a/src/registry.rs
+++ b/src/registry.rs
@@ -15,7 +15,7 @@
 mod message;
 mod output;
 mod placement;
-mod trial;
+mod simulation;
 mod upstream;
 
 pub use announcement::Announcement;
@@ -28,5 +28,5 @@
 pub use message::Message;
 pub use output::Output;
 pub use output::Refusal;
-pub use trial::Trial;
+pub use simulation::Simulation;
 pub use upstream::Upstream;
--- a/src/registry/trial.rs
+++ b/src/registry/simulation.rs
@@ -30,7 +30,7 @@
 const HEADER_BYTES: usize = 60;
 
 /// Registries on a simulated fleet. All faults follow from the seed.
-pub struct Trial {
+pub struct Simulation {
     /// Announcements by upstream. Each is renewed after a third of its lease.
     pub announced: BTreeMap<UpstreamId, Announcement>,
     /// Entries that are partitioned from the upstreams.
@@ -38,7 +38,7 @@
     /// Outputs other than messages, with their time and entry.
     pub events: Vec<(Moment, NodeId, Output)>,
     /// The simulated fleet, which has a network of its own.
-    pub fleet: fleet::Trial,
+    pub fleet: fleet::Simulation,
     /// Bytes of the longest encoded message.
     pub longest: usize,
     /// Network between the registries.
@@ -54,14 +54,17 @@
     step: usize,
 }
 
-impl Trial {
+impl Simulation {
     /// Creates registries on a converged fleet, without upstreams.
     pub fn new(seed: u64, count: usize) -> Self {
-        let mut fleet = fleet::Trial::new(seed, count, Weather::fair());
+        let mut fleet = fleet::Simulation::new(seed, count, Weather::fair());
         fleet.run(Duration::from_secs(if count > 100 { 60 } else { 20 }));
         let new = |index: usize| {
             let random = ChaCha8Rng::seed_from_u64(seed ^ (index as u64) << 32);
-            (fleet::Trial::id(index), Registry::new(fleet.now, fleet::Trial::id(index), random))
+            (
+                fleet::Simulation::id(index),
+                Registry::new(fleet.now, fleet::Simulation::id(index), random),
+            )
         };
         let registries = (0..count).map(new).collect();
         fleet.reset();
@@ -195,7 +198,7 @@
         let now = self.now();
         let Some(announcement) = self.announced.get(upstream).cloned() else { return };
         let Some((_, entry)) = self.renewals.get(upstream).copied() else { return };
-        let id = fleet::Trial::id(entry);
+        let id = fleet::Simulation::id(entry);
         self.renewals.insert(upstream.clone(), (now + announcement.lease / 3, entry));
         if self.registries.contains_key(&id) && !self.apart.contains(&id) {
             self.input(&id, Input::Announce(announcement));
