--- a/src/fleet/simulation.rs
+++ b/src/fleet/simulation.rs
@@ -29,7 +29,7 @@
 const DOMAINS: usize = 7;
 /// Region of each failure domain.
 const REGIONS: [&str; DOMAINS] = ["r0", "r0", "r0", "r1", "r1", "r2", "r2"];
-/// Number of steps over which the ticks of the members are dissemination.
+/// Number of steps over which the ticks of the members are spread.
 const STEPS: usize = 10;
 /// Bytes of the IP, UDP and QUIC headers, added to the payload of each datagram.
 const HEADER_BYTES: usize = 60;
--- a/src/registry/simulation.rs
+++ b/src/registry/simulation.rs
@@ -24,7 +24,7 @@
 use crate::registry::Registry;
 use crate::registry::State;
 
-/// Number of steps over which the ticks of the entries are dissemination.
+/// Number of steps over which the ticks of the entries are spread.
 const STEPS: usize = 10;
 /// Bytes of the IP, UDP and QUIC headers, added to the payload of each datagram.
 const HEADER_BYTES: usize = 60;
--- a/tests/suite/registry.rs
+++ b/tests/suite/registry.rs
@@ -167,7 +167,7 @@
 #[test]
 fn partition_heals_and_upstreams_stay_in_use() {
     // A region is partitioned for five minutes and expires the leases of the other upstreams.
-    // When the partition heals, these expiries dissemination to the other entries. The upstreams must
+    // When the partition heals, these expiries spread to the other entries. The upstreams must
     // stay in use, because they answer, until they have renewed.
     let mut simulation = converged(15);
     let region = simulation.fleet.region("r1");
