--- a/src/directory.rs
+++ b/src/directory.rs
@@ -1,16 +1,16 @@
-//! Which entries a caller should use, and for how long.
+//! Discovery of the entries that a caller should use.
 //!
-//! Load pattern: no balancer stands before the entries; 2,000 callers ask any entry
-//! which to use, keep the answer for half a minute and connect there. Were every
-//! caller given the same list, its first entry would carry all; were the first drawn
-//! by hash alone, the fullest of 44 entries would carry 1.4 times the mean.
+//! Load: there is no load balancer in front of the entries. 2,000 callers ask any entry for a list,
+//! keep it for half a minute and connect to its first entry. With the same list for all callers,
+//! that entry would carry the whole load. If a hash alone chose the first entry, the busiest of 44
+//! entries would carry 1.4 times the mean.
 //!
-//! [`Directory`] decides an answer, [`Client`] is the caller's side of it.
+//! [`Directory`] creates the answers, and [`Client`] is the caller's side.
 
 mod answer;
+mod assignments;
 mod client;
 mod entry;
-mod grants;
 mod machine;
 mod nearby;
 
--- a/src/directory/answer.rs
+++ b/src/directory/answer.rs
@@ -1,4 +1,4 @@
-//! What a caller is told.
+//! Answer to a caller.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,17 +6,17 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Entries in the order in which the caller should try them.
+/// List of entries in the order in which the caller should try them.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Answer {
-    /// Where to connect; the first is to be used until it fails.
+    /// Addresses to connect to. The first is to be used until it fails.
     pub entries: Vec<SocketAddr>,
-    /// How long the answer may be used, in milliseconds.
+    /// Time for which the answer is valid, in milliseconds.
     pub lifetime_ms: u64,
 }
 
 impl Answer {
-    /// How long the answer may be used.
+    /// Time for which the answer is valid.
     pub fn lifetime(&self) -> Duration {
         Duration::from_millis(self.lifetime_ms)
     }
--- a/src/directory/client.rs
+++ b/src/directory/client.rs
@@ -1,4 +1,4 @@
-//! The caller's side: keeps an answer and moves on when an entry fails.
+//! Caller's side of the directory: caches an answer and fails over between entries.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,54 +6,54 @@
 use crate::clock::Moment;
 use crate::directory::Answer;
 
-/// How long a caller waits before it asks again after an answer did not come.
-const RETRY: Duration = Duration::from_secs(1);
+/// Delay before the next request after one without an answer.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// What a caller remembers.
+/// Cached answer of a caller.
 ///
-/// Use: where [`Client::ask`] names an entry, get the entries resource there and give
-/// what came to [`Client::learn`] or [`Client::unanswered`]; send requests to
-/// [`Client::entry`], and tell [`Client::failed`] when it can't be connected to.
-/// An answer whose lifetime is over stays in use until another one is there: old
-/// entries that mostly work are better than none.
+/// When [`Client::ask`] returns an entry, request the entries resource there and report the
+/// outcome to [`Client::learn`] or [`Client::unanswered`]. Send requests to [`Client::entry`], and
+/// report entries that refuse connections to [`Client::failed`]. An expired answer stays in use
+/// until there is a new one, because old entries that mostly work are better than none.
 #[derive(Clone, Debug)]
 pub struct Client {
     ask_at: Moment,
     entries: Vec<SocketAddr>,
     failed: Vec<SocketAddr>,
     seeds: Vec<SocketAddr>,
-    turn: usize,
+    next_index: usize,
 }
 
 impl Client {
-    /// Caller that knows some entries' addresses to begin with.
+    /// Creates a client that knows only the addresses `seeds`.
     pub fn new(seeds: Vec<SocketAddr>) -> Self {
-        Self { ask_at: Moment::ZERO, entries: Vec::new(), failed: Vec::new(), seeds, turn: 0 }
+        Self { ask_at: Moment::ZERO, entries: Vec::new(), failed: Vec::new(), seeds, next_index: 0 }
     }
 
-    /// Entry to ask for a new answer, where that is due: one in use, else a seed.
+    /// Returns the entry to ask for a new answer, if one is due. Entries of the answer come first,
+    /// then the seeds.
     pub fn ask(&self, now: Moment) -> Option<SocketAddr> {
         if now < self.ask_at {
             return None;
         }
-        let known = self.entries().chain(self.seeds.iter().copied());
-        let known: Vec<SocketAddr> = known.collect();
-        known.get(self.turn % known.len().max(1)).copied()
+        let candidates = self.entries().chain(self.seeds.iter().copied());
+        let candidates: Vec<SocketAddr> = candidates.collect();
+        candidates.get(self.next_index % candidates.len().max(1)).copied()
     }
 
-    /// Entries of the answer that have not failed, in order. A caller that sends very
-    /// much may use the first few in turn.
+    /// Returns the entries of the answer that have not failed, in order. A caller that sends many
+    /// requests may use the first few in turn.
     pub fn entries(&self) -> impl Iterator<Item = SocketAddr> {
         self.entries.iter().copied().filter(|entry| !self.failed.contains(entry))
     }
 
-    /// Entry to send requests to.
+    /// Returns the entry to send requests to.
     pub fn entry(&self) -> Option<SocketAddr> {
         self.entries().next().or_else(|| self.seeds.first().copied())
     }
 
-    /// An entry can't be connected to: the next one is used. When all have failed, a
-    /// new answer is due at once and they may be tried again.
+    /// Records that an entry refuses connections, so that the next one is used. When all have
+    /// failed, all may be tried again and a new answer is due at once.
     pub fn failed(&mut self, now: Moment, entry: SocketAddr) {
         if !self.failed.contains(&entry) {
             self.failed.push(entry);
@@ -64,7 +64,7 @@
         }
     }
 
-    /// An answer came.
+    /// Replaces the answer.
     pub fn learn(&mut self, now: Moment, answer: Answer) {
         if answer.entries.is_empty() {
             self.unanswered(now);
@@ -73,12 +73,12 @@
         self.ask_at = now + answer.lifetime();
         self.entries = answer.entries;
         self.failed.clear();
-        self.turn = 0;
+        self.next_index = 0;
     }
 
-    /// No answer came: another entry is asked after a while.
+    /// Records a request without an answer. Another entry is asked after a delay.
     pub fn unanswered(&mut self, now: Moment) {
-        self.ask_at = now + RETRY;
-        self.turn = self.turn.wrapping_add(1);
+        self.ask_at = now + RETRY_DELAY;
+        self.next_index = self.next_index.wrapping_add(1);
     }
 }
--- a/src/directory/entry.rs
+++ b/src/directory/entry.rs
@@ -1,4 +1,4 @@
-//! Entries as the directory needs to know them.
+//! Entries from the point of view of the directory.
 
 use std::net::SocketAddr;
 
@@ -11,27 +11,27 @@
 use crate::id::NodeId;
 use crate::id::RegionId;
 
-/// A live entry, as the fleet knows it.
+/// A live entry of the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub address: SocketAddr,
     /// Failure domain of its VM.
     pub domain: DomainId,
-    /// Its name.
+    /// Name of the process.
     pub id: NodeId,
-    /// How busy it is, from 0 to 1; 0 where that is not known.
+    /// Load from 0 to 1; 0 if unknown.
     pub load: f64,
     /// Region of its VM.
     pub region: RegionId,
-    /// Whether it takes callers.
+    /// Whether it accepts callers.
     pub state: State,
-    /// Whether the fleet suspects it.
+    /// Whether the fleet suspects it to have failed.
     pub suspect: bool,
 }
 
 impl Entry {
-    /// Entries among the live members of the fleet, their load unknown.
+    /// Returns the entries among the live members of the fleet, with unknown load.
     pub fn all(fleet: &Member) -> Vec<Self> {
         let live = fleet.members().filter(|(_, status)| *status < Status::Failed);
         let entries = live.filter(|(record, _)| record.meta.roles.contains(&Role::Entry));
--- a/tests/suite/directory.rs
+++ b/tests/suite/directory.rs
@@ -1,4 +1,4 @@
-//! Which entries callers use.
+//! Directory of entries for callers.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn answer_first_places_differ_by_one_at_most() {
+fn answer_first_entries_are_balanced() {
     let entries = entries(12);
     let mut directory = directory();
     let mut counts: BTreeMap<SocketAddr, u32> = BTreeMap::new();
@@ -77,7 +77,7 @@
 #[case::leaving(State::Leaving, false)]
 #[case::starting(State::Starting, false)]
 #[case::suspect(State::Serving, true)]
-fn answer_leaves_out(#[case] state: State, #[case] suspect: bool) {
+fn answer_excludes(#[case] state: State, #[case] suspect: bool) {
     let mut entries = entries(44);
     entries[5].state = state;
     entries[5].suspect = suspect;
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn answer_names_leaving_entries_when_no_other_is_left() {
+fn answer_lists_leaving_entries_if_no_other_is_left() {
     let mut entries = entries(2);
     entries.iter_mut().for_each(|entry| entry.state = State::Leaving);
     assert_eq!(directory().answer(SECOND, "yard-1", &entries).entries.len(), 2);
@@ -97,9 +97,8 @@
 
 #[test]
 fn safe_to_stop_after_the_last_lifetime() {
-    // An entry leaves. Another, which hears of it late, names it once more just
-    // before; the caller keeps that answer for its whole lifetime, and connects.
-    // The entry must still be there then.
+    // An entry leaves, and another that learns of it late lists it once more. The caller keeps
+    // that answer for its whole lifetime and connects. The entry must still run then.
     let mut leaving = directory();
     assert!(!leaving.safe_to_stop(SECOND * 1000));
     leaving.leave(SECOND * 100);
@@ -110,7 +109,7 @@
 }
 
 #[test]
-fn client_moves_on_and_asks_again() {
+fn client_fails_over_and_asks_again() {
     let seed = entry(9).address;
     let mut client = Client::new(vec![seed]);
     assert_eq!(client.ask(SECOND), Some(seed));
@@ -130,8 +129,7 @@
 
 #[test]
 fn client_asks_another_when_no_answer_comes() {
-    // The entry that is asked swallows the question. The caller must not ask the
-    // same one for ever.
+    // The asked entry does not answer. The caller must ask another one next.
     let seeds = vec![entry(0).address, entry(1).address];
     let mut client = Client::new(seeds.clone());
     assert_eq!(client.ask(SECOND), Some(seeds[0]));
@@ -140,20 +138,20 @@
     assert_eq!(client.ask(SECOND * 2), Some(seeds[1]));
 }
 
-// A caller asks which entries to use. Where its own failure domain has enough of them it is told
-// of those alone: each request would cross a border otherwise. With two, the loss of one would
-// double the load of the other, so it is told of all.
+// A caller gets only entries in its own failure domain if there are enough, so that requests do not
+// cross failure domains. With two, the loss of one would double the load of the other, so it gets
+// all entries.
 #[rstest]
 #[case::enough(16, 4)]
 #[case::too_few(8, 8)]
-fn nearby_own_domain(#[case] count: usize, #[case] told: usize) {
+fn nearby_own_domain(#[case] count: usize, #[case] expected: usize) {
     let entries = entries(count);
-    assert_eq!(nearby("d1", &entries).len(), told);
+    assert_eq!(nearby("d1", &entries).len(), expected);
 }
 
-// Entries that leave, or that the fleet suspects, are not told.
+// Entries that leave or are suspected are left out.
 #[test]
-fn nearby_leaves_out() {
+fn nearby_excludes() {
     let mut entries = entries(16);
     entries[1].state = State::Leaving;
     entries[5].suspect = true;
