--- a/src/bench/directory.rs
+++ b/src/bench/directory.rs
@@ -87,7 +87,10 @@
             if let Some(asked) = client.ask(now).filter(|_| begins) {
                 let place = self.entries.iter().position(|entry| entry.address == asked);
                 let directory = &mut self.directories[place.unwrap_or(0)];
-                client.learn(now, directory.answer(now, &format!("caller-{index}"), &self.entries));
+                client.set_answer(
+                    now,
+                    directory.answer(now, &format!("caller-{index}"), &self.entries),
+                );
             }
             if let Some(entry) = client.entry() {
                 *load.entry(entry).or_default() += *rate;
--- a/src/directory/client.rs
+++ b/src/directory/client.rs
@@ -12,8 +12,8 @@
 /// Cached answer of a caller.
 ///
 /// When [`Client::ask`] returns an entry, request the entries resource there and report the
-/// outcome to [`Client::learn`] or [`Client::unanswered`]. Send requests to [`Client::entry`], and
-/// report entries that refuse connections to [`Client::failed`]. An expired answer stays in use
+/// outcome to [`Client::set_answer`] or [`Client::mark_unanswered`]. Send requests to [`Client::entry`], and
+/// report entries that refuse connections to [`Client::mark_failed`]. An expired answer stays in use
 /// until there is a new one, because old entries that mostly work are better than none.
 #[derive(Clone, Debug)]
 pub struct Client {
@@ -54,7 +54,7 @@
 
     /// Records that an entry refuses connections, so that the next one is used. When all have
     /// failed, all may be tried again and a new answer is due at once.
-    pub fn failed(&mut self, now: Moment, entry: SocketAddr) {
+    pub fn mark_failed(&mut self, now: Moment, entry: SocketAddr) {
         if !self.failed.contains(&entry) {
             self.failed.push(entry);
         }
@@ -65,9 +65,9 @@
     }
 
     /// Replaces the answer.
-    pub fn learn(&mut self, now: Moment, answer: Answer) {
+    pub fn set_answer(&mut self, now: Moment, answer: Answer) {
         if answer.entries.is_empty() {
-            self.unanswered(now);
+            self.mark_unanswered(now);
             return;
         }
         self.ask_at = now + answer.lifetime();
@@ -77,7 +77,7 @@
     }
 
     /// Records a request without an answer. Another entry is asked after a delay.
-    pub fn unanswered(&mut self, now: Moment) {
+    pub fn mark_unanswered(&mut self, now: Moment) {
         self.ask_at = now + RETRY_DELAY;
         self.next_index = self.next_index.wrapping_add(1);
     }
--- a/src/load/caller.rs
+++ b/src/load/caller.rs
@@ -99,7 +99,7 @@
             None => match Connection::connect(entry, CONNECT_TIMEOUT).await {
                 Ok(connection) => connection,
                 Err(_) => {
-                    self.client().failed(self.started.elapsed(), entry);
+                    self.client().mark_failed(self.started.elapsed(), entry);
                     return no_reply();
                 }
             },
@@ -112,7 +112,7 @@
         {
             Ok(reply) => reply,
             Err(_) => {
-                self.client().failed(self.started.elapsed(), entry);
+                self.client().mark_failed(self.started.elapsed(), entry);
                 no_reply()
             }
         }
@@ -130,7 +130,7 @@
             Ok(answer) => answer,
             Err(Failure::Cut(_)) => return Reply { after: Duration::ZERO, outcome: Outcome::Cut },
             Err(_) => {
-                self.client().failed(self.started.elapsed(), entry);
+                self.client().mark_failed(self.started.elapsed(), entry);
                 return no_reply();
             }
         };
@@ -179,8 +179,8 @@
         let source = if self.directory { self.client().ask(now) } else { None };
         if let Some(entry) = source {
             match self.fetch_entries(entry).await {
-                Some(answer) => self.client().learn(self.started.elapsed(), answer),
-                None => self.client().unanswered(self.started.elapsed()),
+                Some(answer) => self.client().set_answer(self.started.elapsed(), answer),
+                None => self.client().mark_unanswered(self.started.elapsed()),
             }
         }
         self.client().entry()
--- a/tests/suite/directory.rs
+++ b/tests/suite/directory.rs
@@ -114,14 +114,14 @@
     let mut client = Client::new(vec![seed]);
     assert_eq!(client.ask(SECOND), Some(seed));
     let answer = directory().answer(SECOND, "yard-1", &entries(8));
-    client.learn(SECOND, answer.clone());
+    client.set_answer(SECOND, answer.clone());
     assert_eq!(client.entry(), Some(answer.entries[0]));
-    client.failed(SECOND * 2, answer.entries[0]);
+    client.mark_failed(SECOND * 2, answer.entries[0]);
     assert_eq!(client.entry(), Some(answer.entries[1]));
     assert_eq!(client.ask(SECOND * 2), None);
     assert_eq!(client.ask(SECOND + answer.lifetime()), Some(answer.entries[1]));
     for entry in &answer.entries {
-        client.failed(SECOND * 3, *entry);
+        client.mark_failed(SECOND * 3, *entry);
     }
     assert!(client.ask(SECOND * 3).is_some());
     assert!(client.entry().is_some());
@@ -133,7 +133,7 @@
     let seeds = vec![entry(0).address, entry(1).address];
     let mut client = Client::new(seeds.clone());
     assert_eq!(client.ask(SECOND), Some(seeds[0]));
-    client.unanswered(SECOND);
+    client.mark_unanswered(SECOND);
     assert_eq!(client.ask(SECOND), None);
     assert_eq!(client.ask(SECOND * 2), Some(seeds[1]));
 }
