--- a/src/directory/client.rs
+++ b/src/directory/client.rs
@@ -12,9 +12,10 @@
 /// Cached answer of a caller.
 ///
 /// When [`Client::ask`] returns an entry, request the entries resource there and report the
-/// outcome to [`Client::set_answer`] or [`Client::mark_unanswered`]. Send requests to [`Client::entry`], and
-/// report entries that refuse connections to [`Client::mark_failed`]. An expired answer stays in use
-/// until there is a new one, because old entries that mostly work are better than none.
+/// outcome to [`Client::set_answer`] or [`Client::mark_unanswered`]. Send requests to
+/// [`Client::entry`], and report entries that refuse connections to [`Client::mark_failed`]. An
+/// expired answer stays in use until there is a new one, because old entries that mostly work are
+/// better than none.
 #[derive(Clone, Debug)]
 pub struct Client {
     ask_at: Moment,
