--- a/src/node/controller.rs
+++ b/src/node/controller.rs
@@ -48,7 +48,7 @@
     catalog: Catalog,
     /// Log index of the configuration in force.
     configuration_index: Index,
-    claim_queue: Batcher,
+    claim_batcher: Batcher,
     /// Batches of claims proposed but not committed yet.
     claim_batches: usize,
     leader_since: Moment,
@@ -148,7 +148,7 @@
             submissions: Submissions::default(),
             catalog: Catalog::default(),
             configuration_index: 0,
-            claim_queue: Batcher::default(),
+            claim_batcher: Batcher::default(),
             claim_batches: 0,
             leader_since: Moment::ZERO,
             is_leader: false,
@@ -242,7 +242,7 @@
         outputs: &mut Vec<Output>,
     ) {
         if self.is_leader {
-            self.claim_queue.push(&from, actions);
+            self.claim_batcher.push(&from, actions);
             return;
         }
         let message = claim::Message::Redirect(self.leader());
@@ -326,7 +326,7 @@
 
     fn propose_claims(&mut self, now: Moment, wall: Epoch, outputs: &mut Vec<Output>) {
         while self.is_leader && self.claim_batches < CLAIM_BATCHES_MAX {
-            let Some(command) = self.claim_queue.take() else { return };
+            let Some(command) = self.claim_batcher.take() else { return };
             self.claim_batches += 1;
             self.propose(now, wall, Proposal::Claims, Body::Claims(command), outputs);
         }
@@ -419,7 +419,7 @@
             quorum::Output::SteppedDown { term } => {
                 self.is_leader = false;
                 self.claim_batches = 0;
-                self.claim_queue.clear();
+                self.claim_batcher.clear();
                 self.quota_coordinator.clear();
                 self.quota_replies.clear();
                 outputs.push(Output::Leadership(false));
