--- a/src/boundary.rs
+++ b/src/boundary.rs
@@ -1,20 +1,20 @@
 //! How the world outside speaks to a process: which headers, paths and documents mean what.
 //!
 //! The product decides on typed calls, announcements and orders. What they look like on the
-//! wire is the business of one [`Boundary`]: [`Own`] is the product's own interface.
+//! wire is the business of one [`Boundary`]: [`Native`] is the product's own interface.
 
-mod answered;
-mod call;
-mod order;
-mod own;
-mod sending;
+mod attempt_context;
+mod classification;
+mod metadata;
+mod native;
+mod operation;
 
-pub use answered::Answered;
-pub use call::Call;
-pub use order::Done;
-pub use order::Order;
-pub use own::Own;
-pub use sending::Sending;
+pub use attempt_context::AttemptContext;
+pub use classification::Classification;
+pub use metadata::Metadata;
+pub use native::Native;
+pub use operation::Operation;
+pub use operation::Reply;
 
 use std::fmt::Debug;
 use std::net::IpAddr;
@@ -28,13 +28,13 @@
 /// One way to speak to callers, upstreams and operators.
 pub trait Boundary: Debug + Send + Sync {
     /// What a caller's request says about itself, beside host, method and path.
-    fn call(&self, request: &Request, peer: IpAddr) -> Call;
+    fn read_metadata(&self, request: &Request, peer: IpAddr) -> Metadata;
 
     /// Puts on a request what an upstream needs to know.
-    fn address(&self, request: &mut Request, sending: &Sending<'_>);
+    fn prepare(&self, request: &mut Request, context: &AttemptContext<'_>);
 
     /// What an upstream's answer is worth, by its head.
-    fn judge(&self, service: Option<&rule::Service>, response: &Response) -> Answered;
+    fn classify(&self, service: Option<&rule::Service>, response: &Response) -> Classification;
 
     /// An answer of our own.
     fn refuse(&self, refusal: &Refusal) -> Response;
@@ -44,15 +44,15 @@
     /// # Errors
     ///
     /// Says what is wrong with it.
-    fn rules(&self, document: &str) -> Result<Rules, String>;
+    fn compile_rules(&self, document: &str) -> Result<Rules, String>;
 
     /// What a request to a control or to an entry's side doors asks for.
     ///
     /// # Errors
     ///
     /// The refusal to answer with.
-    fn order(&self, request: &Request, body: &[u8]) -> Result<Order, Refusal>;
+    fn parse_operation(&self, request: &Request, body: &[u8]) -> Result<Operation, Refusal>;
 
     /// The answer to an order.
-    fn done(&self, done: Done) -> Response;
+    fn respond(&self, reply: Reply) -> Response;
 }
--- a/src/node/builder.rs
+++ b/src/node/builder.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use crate::boundary::Boundary;
-use crate::boundary::Own;
+use crate::boundary::Native;
 use crate::clock::Moment;
 use crate::config;
 use crate::feed::Room;
@@ -49,7 +49,7 @@
 /// Selects the external interface of the process.
 pub(super) fn select_boundary(settings: &Settings) -> Arc<dyn Boundary> {
     match settings.interface {
-        Interface::Own => Arc::new(Own),
+        Interface::Own => Arc::new(Native),
         Interface::Platform => Arc::new(Platform),
     }
 }
@@ -75,8 +75,8 @@
         callers: callers.unwrap_or_else(unspecified_address),
         domain: settings.node.failure_domain.clone(),
         id: settings.node.id.clone(),
-        is_control: settings.has(Role::Control),
-        is_entry: settings.has(Role::Entry),
+        is_control: settings.has_role(Role::Control),
+        is_entry: settings.has_role(Role::Entry),
         controller,
         room: Room::new(settings.limits.processor, settings.limits.link),
         retry_window: settings.retry.window,
@@ -99,14 +99,14 @@
     is_founding: bool,
     recorder: Recorder,
 ) -> Result<Components, Error> {
-    let (config_store, kept) = open_config_store(settings)?;
+    let (config_store, stored) = open_config_store(settings)?;
     let founders = is_founding.then(|| Membership::founding(controls(settings)));
     let opened = open_controller(settings, founders, is_founding)?;
     let (controller, log) =
         opened.map_or((None, None), |(controller, log)| (Some(controller), Some(log)));
     let setup = Setup {
         controls: controls(settings),
-        kept,
+        stored,
         me: own_record(settings, callers),
         controller,
         recorder,
@@ -158,7 +158,7 @@
 }
 
 fn controls(settings: &Settings) -> Vec<NodeId> {
-    let own = settings.has(Role::Control).then(|| settings.node.id.clone());
+    let own = settings.has_role(Role::Control).then(|| settings.node.id.clone());
     let peers = settings.peers.iter().filter(|peer| peer.roles.contains(&Role::Control));
     own.into_iter().chain(peers.map(|peer| peer.id.clone())).collect()
 }
@@ -173,8 +173,8 @@
     settings: &Settings,
 ) -> Result<(Option<ConfigStore>, Option<config::Version>), Error> {
     let Some(data) = &settings.data else { return Ok((None, None)) };
-    let (config_store, kept) = ConfigStore::open(&data.join("held"))?;
-    Ok((Some(config_store), kept))
+    let (config_store, stored) = ConfigStore::open(&data.join("held"))?;
+    Ok((Some(config_store), stored))
 }
 
 /// Opens a control's log; `None` on other processes. With `is_founding`, a folder that holds a log
@@ -184,7 +184,7 @@
     founders: Option<Membership>,
     is_founding: bool,
 ) -> Result<Option<(Controller, Log)>, Error> {
-    let Some(data) = settings.data.as_deref().filter(|_| settings.has(Role::Control)) else {
+    let Some(data) = settings.data.as_deref().filter(|_| settings.has_role(Role::Control)) else {
         return Ok(None);
     };
     let folder = data.join("log");
