--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -29,9 +29,9 @@
 use super::metrics::Metrics;
 use super::metrics_server;
 use super::null_recorder::NullRecorder;
+use super::operations;
 use super::operators;
 use super::operators::Operators;
-use super::orders;
 use super::thread::Thread;
 use super::thread::Tickets;
 use super::thread::wall_clock;
@@ -70,9 +70,9 @@
         let callers = bind(settings.listen.callers).await?;
         let operators = bind(settings.listen.operators).await?;
         let operator_address = operators.as_ref().map(local_address).transpose()?;
-        let mut order_listeners = Vec::new();
+        let mut operation_listeners = Vec::new();
         for address in &settings.listen.orders {
-            order_listeners.extend(bind(Some(*address)).await?);
+            operation_listeners.extend(bind(Some(*address)).await?);
         }
         let caller_address = callers.as_ref().map(local_address).transpose()?;
         let metrics = Metrics::new(settings.metrics.as_ref())?;
@@ -130,8 +130,8 @@
         if let Some(listener) = metrics_listener {
             runtime::spawn(metrics_server::serve(listener, Arc::clone(&proxy)));
         }
-        for listener in order_listeners {
-            runtime::spawn(orders::serve(listener, control.clone(), Arc::clone(&proxy)));
+        for listener in operation_listeners {
+            runtime::spawn(operations::serve(listener, control.clone(), Arc::clone(&proxy)));
         }
         if let Some(listener) = callers {
             runtime::spawn(traffic::listen(listener, Arc::clone(&proxy)));
--- a/src/node/orders.rs
+++ b/src/node/operations.rs
@@ -1,4 +1,4 @@
-//! Listeners for orders: announcements, configurations, lists of entries and readiness checks.
+//! Listeners for operations: announcements, configurations, lists of entries and readiness checks.
 //!
 //! The boundary defines what they look like on the wire.
 
@@ -30,7 +30,7 @@
 use crate::runtime;
 use crate::wire::Verdict;
 
-/// Largest body of an order, in bytes: many times the planned size of a configuration.
+/// Largest body of an operation, in bytes: many times the planned size of a configuration.
 const BODY_BYTES_MAX: u64 = 16 << 20;
 /// Longest pause within a request, and longest time for which a connection stays idle.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
@@ -39,7 +39,7 @@
 /// Backoff after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Serves the orders that arrive at `listener`.
+/// Serves the operations that arrive at `listener`.
 pub(super) async fn serve(listener: TcpListener, inbox: InputSender, proxy: Arc<Proxy>) {
     loop {
         match listener.accept().await {
@@ -62,7 +62,7 @@
 ) {
     let mut reader = RequestReader::new(stream, peer);
     while let Some((request, mut writer)) = reader.next(IDLE_TIMEOUT).await {
-        serve_order(request, &mut writer, &inbox, &proxy).await;
+        serve_operation(request, &mut writer, &inbox, &proxy).await;
         if writer.is_closing() {
             reader.linger().await;
             return;
@@ -70,7 +70,7 @@
     }
 }
 
-async fn serve_order(
+async fn serve_operation(
     mut request: Request,
     writer: &mut ResponseWriter,
     inbox: &InputSender,
@@ -87,7 +87,7 @@
         Err(failure) => return refuse(400, &failure.to_string(), writer, proxy).await,
     };
     let response = match proxy.boundary.parse_operation(&request, &body) {
-        Ok(order) => proxy.boundary.respond(carry_out(order, inbox, proxy).await),
+        Ok(operation) => proxy.boundary.respond(execute(operation, inbox, proxy).await),
         Err(refusal) => proxy.boundary.refuse(&refusal),
     };
     if let Err(error) = writer.send(response).await {
@@ -103,8 +103,8 @@
     }
 }
 
-async fn carry_out(order: Operation, inbox: &InputSender, proxy: &Proxy) -> Reply {
-    match order {
+async fn execute(operation: Operation, inbox: &InputSender, proxy: &Proxy) -> Reply {
+    match operation {
         Operation::Announce(change) => announce(Action::Announce(*change), inbox).await,
         Operation::Leave(upstream) => announce(Action::Leave(upstream), inbox).await,
         Operation::ListEntries(domain) => list(&domain, proxy),
