--- a/src/node/links/quic.rs
+++ b/src/node/links/quic.rs
@@ -9,13 +9,13 @@
 use crate::link;
 use crate::link::Endpoint;
 use crate::node::Error;
-use crate::node::Inbox;
 use crate::node::Input;
+use crate::node::InputSender;
 use crate::node::Transport;
 use crate::settings::Keys;
 use crate::settings::Settings;
 
-/// Links with keys.
+/// Links by QUIC, authenticated by keys.
 struct Quic {
     addresses: BTreeMap<NodeId, SocketAddr>,
     endpoint: Endpoint,
@@ -26,15 +26,15 @@
 pub(super) fn start(
     settings: &Settings,
     keys: &Keys,
-    control: Inbox,
+    control: InputSender,
 ) -> Result<Box<dyn Transport>, Error> {
     let paths = Paths { authority: keys.authority.clone(), identity: keys.identity.clone() };
     let links = link::Settings::new(settings.node.id.clone(), settings.listen.links, paths);
     let stop = StopSource::new();
-    // What control can't take now is dropped, as by a network: the slices send again.
+    // A frame that the control thread can't take now is dropped; slices resend what matters.
     let receive = move |from: &NodeId, bytes: Vec<u8>| {
         if control.try_send(Input::Frame(from.clone(), bytes)).is_err() {
-            tracing::warn!(target: "hemlockfield::link", peer = %from, "frame is dropped");
+            tracing::warn!(target: "hemlockfield::link", peer = %from, "control thread does not take the frame, dropped");
         }
     };
     let endpoint = Endpoint::start(links, Box::new(receive), stop.token())?;
--- /dev/null
+++ b/src/node/operations.rs
@@ -0,0 +1,167 @@
+//! Listeners for operations: announcements, configurations, lists of entries and readiness checks.
+//!
+//! The boundary defines what they look like on the wire.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+use async_std::channel::Receiver;
+use async_std::channel::bounded;
+use async_std::future::timeout;
+use async_std::net::TcpListener;
+use async_std::net::TcpStream;
+use async_std::task;
+
+use super::Input;
+use super::InputSender;
+use super::traffic::Proxy;
+use crate::boundary::Operation;
+use crate::boundary::Reply;
+use crate::catalog::Action;
+use crate::directory;
+use crate::exchange::Outcome;
+use crate::exchange::Payload;
+use crate::exchange::Refusal;
+use crate::exchange::Request;
+use crate::exchange::RequestReader;
+use crate::exchange::ResponseWriter;
+use crate::feed;
+use crate::runtime;
+use crate::wire::Verdict;
+
+/// Largest body of an operation, in bytes: many times the planned size of a configuration.
+const BODY_BYTES_MAX: u64 = 16 << 20;
+/// Longest pause within a request, and longest time for which a connection stays idle.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Longest wait for an answer of the control thread; clients give up sooner.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Backoff after a failed accept.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
+
+/// Serves the operations that arrive at `listener`.
+pub(super) async fn serve(listener: TcpListener, inbox: InputSender, proxy: Arc<Proxy>) {
+    loop {
+        match listener.accept().await {
+            Ok((stream, peer)) => {
+                runtime::spawn(serve_connection(stream, peer, inbox.clone(), Arc::clone(&proxy)));
+            }
+            Err(error) => {
+                tracing::warn!(target: "hemlockfield::node", "can't accept: {error}");
+                task::sleep(ACCEPT_BACKOFF).await;
+            }
+        }
+    }
+}
+
+async fn serve_connection(
+    stream: TcpStream,
+    peer: SocketAddr,
+    inbox: InputSender,
+    proxy: Arc<Proxy>,
+) {
+    let mut reader = RequestReader::new(stream, peer);
+    while let Some((request, mut writer)) = reader.next(IDLE_TIMEOUT).await {
+        serve_operation(request, &mut writer, &inbox, &proxy).await;
+        if writer.is_closing() {
+            reader.linger().await;
+            return;
+        }
+    }
+}
+
+async fn serve_operation(
+    mut request: Request,
+    writer: &mut ResponseWriter,
+    inbox: &InputSender,
+    proxy: &Proxy,
+) {
+    let body = match Payload::take(&mut request, BODY_BYTES_MAX, BODY_BYTES_MAX, IDLE_TIMEOUT).await
+    {
+        Ok(Payload::Buffered(body)) => body,
+        Ok(Payload::Stream(Some(mut body_reader), _)) => match body_reader.read_all().await {
+            Ok(body) => body,
+            Err(error) => return refuse(400, &error.to_string(), writer, proxy).await,
+        },
+        Ok(_) => bytes::Bytes::new(),
+        Err(failure) => return refuse(400, &failure.to_string(), writer, proxy).await,
+    };
+    let response = match proxy.boundary.parse_operation(&request, &body) {
+        Ok(operation) => proxy.boundary.respond(execute(operation, inbox, proxy).await),
+        Err(refusal) => proxy.boundary.refuse(&refusal),
+    };
+    if let Err(error) = writer.send(response).await {
+        tracing::debug!(target: "hemlockfield::node", "client is gone: {error}");
+    }
+}
+
+async fn refuse(status: u16, reason: &str, writer: &mut ResponseWriter, proxy: &Proxy) {
+    writer.close_after();
+    let refusal = Refusal::new(status, Outcome::NotRun, reason);
+    if let Err(error) = writer.send(proxy.boundary.refuse(&refusal)).await {
+        tracing::debug!(target: "hemlockfield::node", "client is gone: {error}");
+    }
+}
+
+async fn execute(operation: Operation, inbox: &InputSender, proxy: &Proxy) -> Reply {
+    match operation {
+        Operation::Announce(change) => announce(Action::Announce(*change), inbox).await,
+        Operation::Leave(upstream) => announce(Action::Leave(upstream), inbox).await,
+        Operation::ListEntries(domain) => list(&domain, proxy),
+        Operation::ReadConfiguration => read(inbox).await,
+        Operation::CheckReadiness => {
+            let view = proxy.view.load();
+            Reply::Readiness(view.serves() && !view.is_leaving)
+        }
+        Operation::SubmitConfiguration(version) => submit(version, inbox).await,
+    }
+}
+
+async fn announce(action: Action, inbox: &InputSender) -> Reply {
+    let (sender, receiver) = bounded(1);
+    match ask(inbox, Input::Catalog(action, sender), &receiver).await {
+        Some(Ok(())) => Reply::Announced(None),
+        Some(Err(reason)) => Reply::Unavailable(reason.into()),
+        None => Reply::Unavailable("control does not answer".into()),
+    }
+}
+
+fn list(domain: &str, proxy: &Proxy) -> Reply {
+    let view = proxy.view.load();
+    let entries = directory::nearby(domain, &view.entries);
+    if proxy.now() < feed::WARM_UP || entries.is_empty() {
+        return Reply::Unavailable("no entries are known yet".into());
+    }
+    Reply::Entries(entries, proxy.settings.directory.lifetime)
+}
+
+async fn read(inbox: &InputSender) -> Reply {
+    let (sender, receiver) = bounded(1);
+    match ask(inbox, Input::ReadConfiguration(sender), &receiver).await {
+        Some(Some(version)) => Reply::Configuration(version),
+        Some(None) | None => {
+            Reply::Unavailable("which configuration is the newest is not sure".into())
+        }
+    }
+}
+
+async fn submit(version: crate::config::Version, inbox: &InputSender) -> Reply {
+    let (sender, receiver) = bounded(1);
+    match ask(inbox, Input::Submit(version, sender), &receiver).await {
+        // A version that is not higher than the one in force is superseded, which is no error.
+        Some(
+            Verdict::Accepted(_)
+            | Verdict::AlreadyAccepted(_)
+            | Verdict::Refused { .. }
+            | Verdict::Reused(_),
+        ) => Reply::Submitted,
+        Some(_) | None => Reply::Unavailable("the log could not take it in time".into()),
+    }
+}
+
+async fn ask<T>(inbox: &InputSender, input: Input, receiver: &Receiver<T>) -> Option<T> {
+    if !inbox.send(input).await {
+        return None;
+    }
+    timeout(ANSWER_TIMEOUT, receiver.recv()).await.ok()?.ok()
+}
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,13 +1,12 @@
-//! Checked settings of one process.
+//! Validated settings of one process.
 //!
-//! A file is read into a tree that knows the line of every value, and is
-//! then checked field by field, so that one run reports every mistake. A
-//! derived decoder would stop at the first. Unknown fields are mistakes.
+//! A file is parsed into a tree that knows the line of every value, and then checked field
+//! by field, so that one run reports every mistake. A derived decoder would stop at the
+//! first one. Unknown fields are mistakes too.
 
 mod directory;
 mod error;
 mod fields;
-mod fraction;
 mod interface;
 mod keys;
 mod limits;
@@ -19,6 +18,7 @@
 mod node;
 mod peer;
 mod quota;
+mod ratio;
 mod record;
 mod retry;
 mod role;
@@ -28,13 +28,12 @@
 mod shutdown;
 mod size;
 mod traffic;
-mod tree;
+mod yaml;
 
 pub use directory::Directory;
 pub use error::Error;
 pub(crate) use fields::Fields;
 pub(crate) use fields::scalar;
-pub use fraction::Fraction;
 pub use interface::Interface;
 pub use keys::Keys;
 pub use limits::Limits;
@@ -46,6 +45,7 @@
 pub(crate) use mistakes::Mistakes;
 pub use node::Node;
 pub use peer::Peer;
+pub use ratio::Ratio;
 pub use record::Record;
 pub use retry::Retry;
 pub use role::Role;
@@ -54,5 +54,5 @@
 pub use shutdown::Shutdown;
 pub use size::Size;
 pub use traffic::Traffic;
-pub(crate) use tree::Content;
-pub(crate) use tree::Tree;
+pub(crate) use yaml::Content;
+pub(crate) use yaml::Yaml;
--- a/src/settings/metrics.rs
+++ b/src/settings/metrics.rs
@@ -2,20 +2,20 @@
 
 use super::Fields;
 use super::Mistakes;
-use super::Tree;
+use super::Yaml;
 
-/// Where metrics go.
+/// Targets of metrics.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Metrics {
-    /// Address at which they can be fetched as text, at `/metrics`.
+    /// Address that serves metrics as text at `/metrics`.
     pub listen: Option<SocketAddr>,
-    /// UDP address of a statsd server.
+    /// UDP address of a statsd server to send metrics to.
     pub statsd: Option<SocketAddr>,
 }
 
 impl Metrics {
-    pub(super) fn read(tree: &Tree, mistakes: &Mistakes) -> Option<Self> {
-        let fields = Fields::open(tree, mistakes, &["listen", "statsd"])?;
+    pub(super) fn read(yaml: &Yaml, mistakes: &Mistakes) -> Option<Self> {
+        let fields = Fields::open(yaml, mistakes, &["listen", "statsd"])?;
         Some(Self { listen: fields.optional("listen"), statsd: fields.optional("statsd") })
     }
 }
