--- a/src/feed.rs
+++ b/src/feed.rs
@@ -1,37 +1,36 @@
-//! What controls tell entries: configuration, upstreams, evidence on them.
+//! Distribution of the configuration, upstreams and their health from controls to entries.
 //!
-//! An entry asks one control twice a second for what changed since the index of the log
-//! that it knows; a control also tells at once what was committed. The entry's own count
-//! decides what is new, so that nothing that a control forgets or a network loses is missed
-//! for longer than one round. A control that has lost the leader says so, and the entry asks
-//! another.
+//! An entry polls one control twice a second for changes since the log index that it knows.
+//! Controls also push committed changes at once. The index in the entry's own poll decides what
+//! is new, so a change that a control forgets or the network loses is late by at most one poll.
+//! A control that has lost the leader says so, and the entry polls another one.
 
+mod capacity;
 mod control;
 mod entry;
 mod input;
 mod message;
-mod news;
 mod poll;
 mod publisher;
 mod rate;
-mod ready;
-mod room;
+mod report;
 mod subscriber;
 mod tallies;
+mod update;
 
+pub use capacity::Capacity;
+pub use capacity::Load;
 pub use control::Control;
 pub use entry::Entry;
 pub use input::Input;
 pub use input::Output;
 pub use message::Message;
-pub use news::News;
 pub use poll::Poll;
-pub use publisher::Ledger;
 pub use publisher::Publisher;
+pub use publisher::Snapshot;
 pub use publisher::WARM_UP;
 pub use rate::Rate;
-pub use ready::Ready;
-pub use room::Load;
-pub use room::Room;
+pub use report::Report;
 pub use subscriber::Subscriber;
 pub use tallies::Tallies;
+pub use update::Update;
