--- a/src/boundary/own.rs
+++ b/src/boundary/native.rs
@@ -5,12 +5,12 @@
 use compact_str::ToCompactString;
 use http::HeaderName;
 
-use super::Answered;
+use super::AttemptContext;
 use super::Boundary;
-use super::Call;
-use super::Done;
-use super::Order;
-use super::Sending;
+use super::Classification;
+use super::Metadata;
+use super::Operation;
+use super::Reply;
 use crate::exchange;
 use crate::exchange::Outcome;
 use crate::exchange::Refusal;
@@ -29,12 +29,12 @@
 
 /// The product's own interface: `x-` headers, rules in YAML, operators under `/v1`.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Own;
+pub struct Native;
 
-impl Boundary for Own {
-    fn call(&self, request: &Request, peer: IpAddr) -> Call {
+impl Boundary for Native {
+    fn read_metadata(&self, request: &Request, peer: IpAddr) -> Metadata {
         let named = request.header(exchange::CALLER_HEADER);
-        Call {
+        Metadata {
             budget: exchange::request_timeout(request),
             caller: named.map_or_else(|| peer.to_compact_string(), Into::into),
             id: None,
@@ -42,24 +42,24 @@
         }
     }
 
-    fn address(&self, request: &mut Request, sending: &Sending<'_>) {
-        request.set_header(REQUEST_HEADER, sending.id);
-        request.set_header(TIMEOUT_HEADER, sending.left.as_millis().to_string());
+    fn prepare(&self, request: &mut Request, context: &AttemptContext<'_>) {
+        request.set_header(REQUEST_HEADER, context.id);
+        request.set_header(TIMEOUT_HEADER, context.remaining.as_millis().to_string());
         request.headers.remove(KEY_HEADER);
         request.headers.remove(TEAM_HEADER);
-        if let Some(team) = sending.team {
+        if let Some(team) = context.team {
             request.set_header(TEAM_HEADER, team);
         }
     }
 
-    fn judge(&self, service: Option<&rule::Service>, response: &Response) -> Answered {
+    fn classify(&self, service: Option<&rule::Service>, response: &Response) -> Classification {
         let not_run = service.map(|service| &service.not_run).is_some_and(|refusal| {
             refusal.proves(response.status, response.header(refusal.header.as_str()))
         });
         match response.status {
-            _ if not_run => Answered::NotRun,
-            500.. => Answered::Failed,
-            _ => Answered::Served,
+            _ if not_run => Classification::NotRun,
+            500.. => Classification::Failed,
+            _ => Classification::Served,
         }
     }
 
@@ -68,16 +68,16 @@
         exchange::refuse(*status, *outcome, reason, *retry_after)
     }
 
-    fn rules(&self, document: &str) -> Result<Rules, String> {
+    fn compile_rules(&self, document: &str) -> Result<Rules, String> {
         Rules::parse(document).map_err(|error| error.to_string())
     }
 
-    fn order(&self, request: &Request, _: &[u8]) -> Result<Order, Refusal> {
+    fn parse_operation(&self, request: &Request, _: &[u8]) -> Result<Operation, Refusal> {
         let text = format!("`{}` is not served here", request.path());
         Err(Refusal::new(404, Outcome::NotRun, text))
     }
 
-    fn done(&self, _: Done) -> Response {
+    fn respond(&self, _: Reply) -> Response {
         Response::new(204)
     }
 }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,32 +1,31 @@
-//! Membership between our processes: failure detection, dissemination and anti-entropy.
+//! Gossip membership of the processes: failure detection, dissemination and anti-entropy.
 //!
-//! Load pattern: up to 520 processes, of which 33 fail and 810 restart on a day, a
-//! failure domain is lost at once, and regions lose each other for an hour. With
-//! all-to-all heartbeats each process would spend more on them than its whole
-//! allowance; see `docs/design/fleet.md` for the figures.
+//! Load: up to 520 processes, of which 33 fail and 810 restart per day. A whole failure domain
+//! may fail, and regions may be partitioned for an hour. All-to-all heartbeats would cost each
+//! process more than its whole allowance. `docs/design/fleet.md` has the figures.
 //!
-//! [`Member`] probes only its successors on a few hashed rings, so that each process
-//! needs few long-lived links and is watched by a fixed number of observers. News
-//! floods along the same links within a byte [`Allowance`], and [`Digest`]s repair
-//! what was lost.
+//! [`Member`] probes only its successors on a few hashed rings, so that each process needs few
+//! long-lived links and has a fixed number of observers. Updates are flooded along the same links
+//! within a byte [`Allowance`], and [`Digest`]s repair losses.
 
 mod allowance;
 mod digest;
+mod dissemination;
 mod input;
 mod member;
+mod member_table;
 mod message;
 mod output;
 mod probe;
 mod record;
 mod repair;
 mod rings;
-mod roster;
-mod rumour;
-mod spread;
-mod trial;
+mod simulation;
+mod status_update;
 
 pub use allowance::Allowance;
 pub use digest::Digest;
+pub use dissemination::Dissemination;
 pub use input::Input;
 pub use member::Member;
 pub use message::Message;
@@ -38,6 +37,5 @@
 pub use record::State;
 pub use record::Status;
 pub use repair::Repair;
-pub use rumour::Rumour;
-pub use spread::Spread;
-pub use trial::Trial;
+pub use simulation::Simulation;
+pub use status_update::StatusUpdate;
--- a/src/node/feed_core/setup.rs
+++ b/src/node/feed_core/setup.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crate::boundary::Boundary;
-use crate::feed::Room;
+use crate::feed::Capacity;
 use crate::id::DomainId;
 use crate::id::NodeId;
 use crate::node::Controller;
@@ -28,7 +28,7 @@
     /// Replicated state machine, at a control.
     pub(in crate::node) controller: Option<Controller>,
     /// Load that an entry is sized for.
-    pub(in crate::node) room: Room,
+    pub(in crate::node) room: Capacity,
     /// Window over which an entry counts retries.
     pub(in crate::node) retry_window: Duration,
     /// Seed of all random numbers.
--- a/src/node/traffic/attempt.rs
+++ b/src/node/traffic/attempt.rs
@@ -1,8 +1,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::boundary::Answered;
 use crate::boundary::Boundary;
+use crate::boundary::Classification;
 use crate::exchange::Answer;
 use crate::exchange::Failure;
 use crate::exchange::Request;
@@ -55,7 +55,9 @@
     /// Whether the upstream sent an answer to pass on to the caller.
     pub(super) fn is_success(&self, boundary: &dyn Boundary) -> bool {
         let answer = self.round_trip.result.as_ref().ok();
-        answer.is_some_and(|answer| boundary.judge(None, &answer.response) == Answered::Served)
+        answer.is_some_and(|answer| {
+            boundary.classify(None, &answer.response) == Classification::Served
+        })
     }
 
     /// Whether any byte of the request may have reached the upstream.
@@ -84,13 +86,17 @@
             Ok(answer) => answer,
             Err(failure) => return Some(outcome_of(failure)),
         };
-        let answered = boundary.judge(service, &answer.response);
-        self.is_misdirected = answered == Answered::Misdirected;
-        match answered {
-            Answered::Failed => Some(retry::Outcome::Failed { status: answer.response.status }),
-            Answered::Misdirected | Answered::NotRun => Some(retry::Outcome::RefusedNotRun),
-            Answered::Served => None,
-            Answered::Spoiled => Some(retry::Outcome::Cut),
+        let classification = boundary.classify(service, &answer.response);
+        self.is_misdirected = classification == Classification::Misdirected;
+        match classification {
+            Classification::Failed => {
+                Some(retry::Outcome::Failed { status: answer.response.status })
+            }
+            Classification::Misdirected | Classification::NotRun => {
+                Some(retry::Outcome::RefusedNotRun)
+            }
+            Classification::Served => None,
+            Classification::Untrusted => Some(retry::Outcome::Cut),
         }
     }
 
--- a/tests/suite/platform/calls.rs
+++ b/tests/suite/platform/requests.rs
@@ -4,8 +4,8 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
+use hemlockfield::boundary::AttemptContext;
 use hemlockfield::boundary::Boundary;
-use hemlockfield::boundary::Sending;
 use hemlockfield::exchange::Request;
 use hemlockfield::platform::Platform;
 use hemlockfield::team::Secret;
@@ -33,7 +33,7 @@
 #[case::one(&[(KEY, "k1")], Some("k1"))]
 #[case::two(&[(KEY, "k1"), (KEY, "k2")], Some("k1,k2"))]
 fn call_key(#[case] headers: &[(HeaderName, &'static str)], #[case] key: Option<&str>) {
-    assert_eq!(Platform.call(&request(headers), PEER).key, key.map(Secret::new));
+    assert_eq!(Platform.read_metadata(&request(headers), PEER).key, key.map(Secret::new));
 }
 
 // The upstream is told the team that the key proved, and never the key; what the caller says of
@@ -43,8 +43,8 @@
 #[case::not_proved(None)]
 fn address_team(#[case] team: Option<&str>) {
     let mut request = request(&[(KEY, "k1"), (KEY, "k2"), (TEAM, "yard"), (TEAM, "dock")]);
-    let left = Duration::from_secs(1);
-    Platform.address(&mut request, &Sending { id: "r1", left, team, upstream: "i-1" });
+    let remaining = Duration::from_secs(1);
+    Platform.prepare(&mut request, &AttemptContext { id: "r1", remaining, team, upstream: "i-1" });
     assert!(!request.headers.contains_key(KEY));
     let told: Vec<&str> =
         request.headers.get_all(TEAM).iter().map(|value| value.to_str().unwrap()).collect();
