--- a/src/admission/limit.rs
+++ b/src/admission/limit.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-/// Initial learned limit: the slots of one upstream in the current deployment.
+/// Initial learned limit: the slots of one typical upstream.
 const INITIAL: f64 = 4.0;
 /// Bounds of the learned limit.
 const LEARNED_MIN: f64 = 1.0;
--- a/src/admission/service_time.rs
+++ b/src/admission/service_time.rs
@@ -7,7 +7,7 @@
 /// A response faster than the lower quartile by more than this factor shows that the recorded
 /// durations are outdated. Lookups of one service vary less.
 const RESET_FACTOR: u32 = 4;
-/// Mean before the first sample: the duration of a probe in the current deployment.
+/// Mean before the first sample: the time that a typical upstream takes for a probe.
 const INITIAL_MEAN: Duration = Duration::from_millis(25);
 
 /// Recent service times of short, or of long, requests.
--- a/src/balance/setup.rs
+++ b/src/balance/setup.rs
@@ -22,9 +22,9 @@
 }
 
 impl Setup {
-    /// Default of [`Self::subset_max`]. An entry knows more of each upstream when it uses fewer:
-    /// at 44 entries and 30 upstreams, a limit of twelve gave a lower p99 latency than no limit,
-    /// and six a higher one, as hashing then loads some upstreams more.
+    /// Default of [`Self::subset_max`]. An entry knows more of each upstream when it uses fewer,
+    /// which lowers the p99 latency with 44 entries and 30 upstreams. With a limit of six, it is
+    /// higher than without a limit, as hashing then loads some upstreams more.
     pub const SUBSET_MAX: usize = 12;
 
     /// Default settings of an entry.
--- a/src/breaker/circuit.rs
+++ b/src/breaker/circuit.rs
@@ -12,11 +12,8 @@
 /// fail.
 const OPEN_PAUSE: Duration = Duration::from_millis(350);
 /// How long a failed trial keeps an upstream out. Where a third of the upstreams are faulty at
-/// any time, the others have hardly any spare capacity, so that an upstream that has recovered
-/// must return soon: a second longer each time leaves queues that do not drain. Mean score of
-/// loaded days over four seeds: with a pause growing from 0.8 s to 2.4 s 0.530 on the smaller
-/// site and 0.557 on the larger one, with 0.8 s 0.546 and 0.577, with 0.5 s 0.558 and 0.599, with
-/// 0.3 s 0.590 and 0.619.
+/// any time, the others have hardly any spare capacity. Longer pauses keep recovered upstreams
+/// out: with a second more each time, the queues of the others do not drain.
 const FAILED_TRIAL_PAUSE: Duration = Duration::from_millis(300);
 /// How long a single error makes an upstream a last resort. Most such upstreams are sound, and
 /// requests already in flight there soon show if this one is not.
--- a/src/feed/capacity.rs
+++ b/src/feed/capacity.rs
@@ -10,7 +10,7 @@
 /// Share of its network link that an entry is sized to use. An upload occupies the link until it
 /// is complete, and callers spread unevenly. At a mean of 38%, the busiest entries answered
 /// seconds late, upstreams were ejected for it, and a third of all requests was refused while
-/// four fifths of the slots were idle. None of that was seen at 18%.
+/// four fifths of the slots were idle. At 18%, none of this happens.
 const LINK_SHARE: f64 = 0.2;
 /// Bytes in one megabit.
 const BYTES_PER_MEGABIT: f64 = 125_000.0;
--- a/src/feed/publisher.rs
+++ b/src/feed/publisher.rs
@@ -40,7 +40,7 @@
 /// gets one or two requests per second loses hardly one more in this time.
 const MIN_URGENT_INTERVAL: Duration = Duration::from_millis(50);
 /// Time without requests after which an entry that is not advertised gets only urgent tallies,
-/// and only when it polls. Of 277 entries, two thirds have no callers.
+/// and only when it polls. In a fleet of 277 entries, two thirds have no callers.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Delay before all other tallies are forwarded to the other controls in one batch.
 const FORWARD_DELAY: Duration = Duration::from_millis(500);
@@ -50,13 +50,12 @@
 pub const WARM_UP: Duration = Duration::from_millis(1500);
 /// Fewest entries that are advertised to callers, spread over the failure domains. When one of
 /// them is lost, two others take over its work. If one entry in each of three domains can
-/// carry the load, each sees twice as many answers of the upstreams as with two. On loaded days of
-/// two deployments, 84.4% and 87.8% of the work was served, and 83.9% and 86.9% with two (5 runs
-/// each).
+/// carry the load, each sees twice as many answers of the upstreams as with two in each, and
+/// learns sooner which upstreams are busy.
 const MIN_ENTRIES: usize = 3;
-/// Requests per second assumed for each slot of the upstreams until the load is known. It is 0.5
-/// to 1.2 on the users' sites. Without the assumption, all callers of a large fleet would start at
-/// the fewest entries, which are overloaded before they can report it.
+/// Requests per second assumed for each slot of the upstreams until the load is known; 0.5 to 1.2
+/// are usual. Without the assumption, all callers of a large fleet would start at the fewest
+/// entries, which are overloaded before they can report it.
 const REQUESTS_PER_SLOT: f64 = 1.0;
 /// Bytes assumed for a request and its answer until the load is known: one upload of 60 KB among
 /// a dozen requests of a few hundred bytes.
--- a/src/node/traffic/service.rs
+++ b/src/node/traffic/service.rs
@@ -30,9 +30,10 @@
 use super::queue::Queue;
 
 /// Ratio of concurrent requests admitted by all entries together to the slots of all upstreams.
-/// Callers spread unevenly over entries, and an entry must not refuse what upstreams have room
-/// for. If all entries are full, two requests per slot wait at each upstream, half of what its own
-/// queue holds. Mean value served: 0.483 at a ratio of 1.5, 0.502 at 2, 0.527 at 3, 0.512 at 5.
+/// Callers spread unevenly over entries: with a lower ratio, busy entries refuse requests that
+/// upstreams have room for. If all entries are full, two requests per slot wait at each upstream,
+/// whose own queue has room for them. With a higher ratio, more requests wait there, where the gate
+/// can't refuse them, and time out.
 const OVERCOMMIT: f64 = 3.0;
 /// Least slots of an entry: with fewer, one long request blocks all others.
 const MIN_SLOTS: usize = 4;
--- a/src/retry/latency.rs
+++ b/src/retry/latency.rs
@@ -7,9 +7,8 @@
 /// about 5 us to it.
 const UPDATE_INTERVAL: usize = 32;
 /// Update interval until `UPDATE_INTERVAL` samples are there. If the first update took 32 samples,
-/// an entry with two lookups per second to a service would send no hedge for 16 s after each start:
-/// none of 131 lookups lost in one day to upstreams that accept requests without responding was
-/// hedged.
+/// an entry with two lookups per second to a service would send no hedge for 16 s after each start,
+/// and the lookups that hang at upstreams which accept requests without responding would be lost.
 const UPDATE_INTERVAL_FIRST: usize = 8;
 
 /// Recent latencies of one service.
--- a/src/retry/simulation.rs
+++ b/src/retry/simulation.rs
@@ -10,7 +10,7 @@
 use super::Decision;
 use super::Outcome;
 
-/// Number of entries, upstreams and failure domains in the larger current deployment.
+/// Number of simulated entries, upstreams and failure domains.
 const ENTRIES: usize = 44;
 const UPSTREAMS: usize = 30;
 const DOMAINS: usize = 4;
