--- a/src/boundary.rs
+++ b/src/boundary.rs
@@ -1,7 +1,7 @@
-//! How the world outside speaks to a process: which headers, paths and documents mean what.
+//! External protocols of a process: the headers, paths and documents that it understands.
 //!
-//! The product decides on typed calls, announcements and orders. What they look like on the
-//! wire is the business of one [`Boundary`]: [`Native`] is the product's own interface.
+//! The other modules work with typed metadata, operations and replies. A [`Boundary`] converts
+//! them from and to their form on the wire; [`Native`] implements this product's own protocol.
 
 mod attempt_context;
 mod classification;
@@ -25,34 +25,34 @@
 use crate::rule;
 use crate::rule::Rules;
 
-/// One way to speak to callers, upstreams and operators.
+/// A protocol towards callers, upstreams and operators.
 pub trait Boundary: Debug + Send + Sync {
-    /// What a caller's request says about itself, beside host, method and path.
+    /// Reads what a caller's request states about itself, apart from host, method and path.
     fn read_metadata(&self, request: &Request, peer: IpAddr) -> Metadata;
 
-    /// Puts on a request what an upstream needs to know.
+    /// Sets the headers that an upstream needs and removes those that it must not see.
     fn prepare(&self, request: &mut Request, context: &AttemptContext<'_>);
 
-    /// What an upstream's answer is worth, by its head.
+    /// Classifies an upstream's response by its head.
     fn classify(&self, service: Option<&rule::Service>, response: &Response) -> Classification;
 
-    /// An answer of our own.
+    /// Builds the response for a refused request.
     fn refuse(&self, refusal: &Refusal) -> Response;
 
     /// Compiles a configuration.
     ///
     /// # Errors
     ///
-    /// Says what is wrong with it.
+    /// Returns what is wrong with it.
     fn compile_rules(&self, document: &str) -> Result<Rules, String>;
 
-    /// What a request to a control or to an entry's side doors asks for.
+    /// Parses a request for an operation, as opposed to proxied traffic.
     ///
     /// # Errors
     ///
-    /// The refusal to answer with.
+    /// Returns the refusal to respond with.
     fn parse_operation(&self, request: &Request, body: &[u8]) -> Result<Operation, Refusal>;
 
-    /// The answer to an order.
+    /// Builds the response to an operation.
     fn respond(&self, reply: Reply) -> Response;
 }
--- a/src/boundary/attempt_context.rs
+++ b/src/boundary/attempt_context.rs
@@ -1,16 +1,16 @@
-//! What an upstream is told with a request.
+//! Context of one attempt to send a request to an upstream.
 
 use std::time::Duration;
 
-/// One sending of a request to an upstream.
+/// Context of one attempt to send a request to an upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptContext<'a> {
-    /// The request's name.
+    /// Id of the request.
     pub id: &'a str,
-    /// Time that the upstream has.
+    /// Time left for the upstream to answer.
     pub remaining: Duration,
-    /// The caller's team, where its key proved one.
+    /// The caller's team, if its API key proves one.
     pub team: Option<&'a str>,
-    /// The upstream that is meant.
+    /// Id of the selected upstream.
     pub upstream: &'a str,
 }
--- a/src/boundary/classification.rs
+++ b/src/boundary/classification.rs
@@ -1,16 +1,17 @@
-//! What an upstream's answer is worth.
+//! Classification of upstreams' responses.
 
-/// What an upstream's answer is worth, by its head.
+/// Class of an upstream's response, by its head.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Classification {
-    /// A failure that is the upstream's own answer.
+    /// A failure that the upstream itself reports.
     Failed,
-    /// Another process answers at the upstream's address, and has not run the request.
+    /// Another process answered at the upstream's address and did not run the request.
     Misdirected,
-    /// The upstream documents that it has not run the request.
+    /// The upstream states that it did not run the request.
     NotRun,
-    /// The answer to pass on.
+    /// A response to pass on to the caller.
     Served,
-    /// Not the upstream's own whole answer, and no proof that the request did not run.
+    /// A response that must not reach the caller: it may not be the upstream's own unmodified one,
+    /// or promises without proof that the request did not run.
     Untrusted,
 }
--- a/src/boundary/metadata.rs
+++ b/src/boundary/metadata.rs
@@ -1,4 +1,4 @@
-//! What a caller's request says about itself.
+//! Metadata of a caller's request.
 
 use std::time::Duration;
 
@@ -6,15 +6,15 @@
 use crate::id::RequestId;
 use crate::team::Secret;
 
-/// What a caller's request says about itself, beside host, method and path.
+/// What a caller's request states about itself, apart from host, method and path.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Metadata {
-    /// How long the caller is prepared to wait, where it says so.
+    /// How long the caller waits for the answer, if it says so.
     pub budget: Option<Duration>,
-    /// Who asks.
+    /// Caller that sent the request, by its name or address.
     pub caller: CallerId,
-    /// The caller's own name for the request, where it has one.
+    /// Id that the caller gave to the request, if any.
     pub id: Option<RequestId>,
-    /// The API key that came with it.
+    /// API key sent with the request.
     pub key: Option<Secret>,
 }
--- a/src/boundary/native.rs
+++ b/src/boundary/native.rs
@@ -1,4 +1,4 @@
-//! The product's own interface.
+//! This product's own protocol.
 
 use std::net::IpAddr;
 
@@ -20,32 +20,32 @@
 use crate::rule::Rules;
 use crate::team::Secret;
 
-const REQUEST_HEADER: HeaderName = HeaderName::from_static("x-request-id");
-/// The caller's API key; upstreams never see it.
-const KEY_HEADER: HeaderName = HeaderName::from_static("x-api-key");
-/// Tells an upstream the team that the key proved; what a caller says under it is dropped.
+const REQUEST_ID_HEADER: HeaderName = HeaderName::from_static("x-request-id");
+/// The caller's API key, which is not passed on to upstreams.
+const API_KEY_HEADER: HeaderName = HeaderName::from_static("x-api-key");
+/// The team that the API key proves, sent to the upstream. A value from the caller is dropped.
 const TEAM_HEADER: HeaderName = HeaderName::from_static("x-team");
 const TIMEOUT_HEADER: HeaderName = HeaderName::from_static(exchange::TIMEOUT_HEADER);
 
-/// The product's own interface: `x-` headers, rules in YAML, operators under `/v1`.
+/// This product's own protocol, with `x-` headers and rules in YAML.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Native;
 
 impl Boundary for Native {
     fn read_metadata(&self, request: &Request, peer: IpAddr) -> Metadata {
-        let named = request.header(exchange::CALLER_HEADER);
+        let header = request.header(exchange::CALLER_HEADER);
         Metadata {
             budget: exchange::request_timeout(request),
-            caller: named.map_or_else(|| peer.to_compact_string(), Into::into),
+            caller: header.map_or_else(|| peer.to_compact_string(), Into::into),
             id: None,
-            key: exchange::joined_value(request, &KEY_HEADER).map(|key| Secret::new(&key)),
+            key: exchange::joined_value(request, &API_KEY_HEADER).map(|key| Secret::new(&key)),
         }
     }
 
     fn prepare(&self, request: &mut Request, context: &AttemptContext<'_>) {
-        request.set_header(REQUEST_HEADER, context.id);
+        request.set_header(REQUEST_ID_HEADER, context.id);
         request.set_header(TIMEOUT_HEADER, context.remaining.as_millis().to_string());
-        request.headers.remove(KEY_HEADER);
+        request.headers.remove(API_KEY_HEADER);
         request.headers.remove(TEAM_HEADER);
         if let Some(team) = context.team {
             request.set_header(TEAM_HEADER, team);
@@ -53,8 +53,8 @@
     }
 
     fn classify(&self, service: Option<&rule::Service>, response: &Response) -> Classification {
-        let not_run = service.map(|service| &service.not_run).is_some_and(|refusal| {
-            refusal.proves(response.status, response.header(refusal.header.as_str()))
+        let not_run = service.map(|service| &service.not_run).is_some_and(|signal| {
+            signal.proves(response.status, response.header(signal.header.as_str()))
         });
         match response.status {
             _ if not_run => Classification::NotRun,
--- a/src/boundary/operation.rs
+++ b/src/boundary/operation.rs
@@ -1,4 +1,4 @@
-//! What a process is asked for beside traffic, and what came of it.
+//! Operations that a process carries out besides proxying traffic, and their replies.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,36 +10,36 @@
 use crate::id::DomainId;
 use crate::id::UpstreamId;
 
-/// What somebody outside asks of a process, beside traffic.
+/// A request to the process itself, as opposed to proxied traffic.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Operation {
-    /// An upstream says how it is.
+    /// An upstream announces itself.
     Announce(Box<catalog::Change>),
-    /// A caller in a failure domain asks which entries to use.
+    /// A caller in the failure domain asks which entries to use.
     ListEntries(DomainId),
-    /// An upstream says that it is gone.
+    /// An upstream reports that it has left.
     Leave(UpstreamId),
-    /// An operator asks for the newest configuration.
+    /// An operator reads the newest configuration.
     ReadConfiguration,
-    /// Somebody asks whether this process takes traffic.
+    /// A probe asks whether this process accepts traffic.
     CheckReadiness,
     /// An operator submits a configuration.
     SubmitConfiguration(Version),
 }
 
-/// What came of an order.
+/// Result of an operation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// The announcement counts; later ones may go to the address, if there is one.
+    /// The announcement was accepted. Later ones may be sent to the address, if there is one.
     Announced(Option<SocketAddr>),
-    /// It could not be confirmed in time; ask again, perhaps elsewhere.
+    /// The operation could not be confirmed in time and should be retried, perhaps elsewhere.
     Unavailable(CompactString),
-    /// The newest configuration; `None` where there is none yet.
+    /// The newest configuration; `None` if there is none yet.
     Configuration(Option<Version>),
-    /// Entries to use, and for how long.
+    /// Entries to use, and the time for which the list is valid.
     Entries(Vec<SocketAddr>, Duration),
-    /// Whether this process takes traffic.
+    /// Whether this process accepts traffic.
     Readiness(bool),
-    /// The configuration was accepted, or overtaken by a higher one.
+    /// The configuration was accepted, or superseded by a higher version.
     Submitted,
 }
