--- a/tests/suite/platform.rs
+++ b/tests/suite/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's interface, both ways.
+//! The platform's protocol.
 
 mod configuration;
 mod operations;
--- a/tests/suite/platform/configuration.rs
+++ b/tests/suite/platform/configuration.rs
@@ -1,4 +1,4 @@
-//! Configurations of the platform's operators.
+//! Configurations in the platform's format.
 
 use std::time::Duration;
 
@@ -36,21 +36,21 @@
 }
 
 fn rules(document: &str) -> Rules {
-    Platform.compile_rules(document).expect("a sound configuration")
+    Platform.compile_rules(document).expect("the configuration is valid")
 }
 
-// The longest prefix decides on the platform and the first rule here: the order must follow
-// from the lengths, whatever order the operator wrote.
+// On the platform the longest prefix applies, here the first matching rule. Rules must therefore
+// be ordered by length of prefix, in whatever order the operator wrote the routes.
 #[test]
-fn rules_longest_prefix_first() {
+fn compile_rules_longest_prefix_first() {
     let rules = rules(DOCUMENT);
     let names: Vec<&str> = rules.rules().iter().map(|rule| rule.name.as_str()).collect();
     assert_eq!(names, ["look", "all"]);
 }
 
-// Terms of a route that may be repeated, and of one that may not.
+// Terms of an idempotent route and of one that is not idempotent.
 #[test]
-fn rules_terms() {
+fn compile_rules_terms() {
     let rules = rules(DOCUMENT);
     let terms = |at: usize| match &rules.rules()[at].then {
         Action::Route { terms, split } => (terms.clone(), split.clone()),
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn order_version() {
+fn parse_operation_version() {
     let Ok(Operation::SubmitConfiguration(version)) = submit(DOCUMENT) else {
         panic!("not accepted")
     };
@@ -79,10 +79,10 @@
     assert_eq!(&*version.document, DOCUMENT);
 }
 
-// Two operators send different contents under one number: they are told apart, so that one
-// is not taken for a repeat of the other.
+// Different contents under one number are distinct submissions, so that one is not taken for a
+// retry of the other.
 #[test]
-fn order_same_number() {
+fn parse_operation_same_number() {
     let other = DOCUMENT.replace("\"timeoutS\": 3", "\"timeoutS\": 4");
     let (Ok(Operation::SubmitConfiguration(one)), Ok(Operation::SubmitConfiguration(two))) =
         (submit(DOCUMENT), submit(&other))
@@ -93,38 +93,39 @@
     assert_ne!(one.submission, two.submission);
 }
 
-// A configuration with any mistake is refused whole; the one in force stays.
+// A configuration with any mistake is rejected as a whole, and the current one stays in force.
 #[rstest]
 #[case::no_json("hosts")]
-#[case::cut(&DOCUMENT[..200])]
+#[case::truncated(&DOCUMENT[..200])]
 #[case::number("{\"version\": \"1g\", \"hosts\": [], \"services\": []}")]
 #[case::unknown_service(&DOCUMENT.replace("\"service\": \"hull\", \"timeoutS\"", "\"service\": \"hal\", \"timeoutS\""))]
 #[case::no_service(&DOCUMENT.replace("\"service\": \"hull\", \"timeoutS\"", "\"timeoutS\""))]
 #[case::no_time(&DOCUMENT.replace("\"timeoutS\": 3", "\"timeoutS\": 0"))]
 #[case::negative_time(&DOCUMENT.replace("\"timeoutS\": 3", "\"timeoutS\": -3"))]
-#[case::endless(&DOCUMENT.replace("\"timeoutS\": 3", "\"timeoutS\": 1e300"))]
+#[case::huge_time(&DOCUMENT.replace("\"timeoutS\": 3", "\"timeoutS\": 1e300"))]
 #[case::no_weight(&DOCUMENT.replace("\"weight\": 9", "\"weight\": 0").replace("\"weight\": 1}", "\"weight\": 0}"))]
 #[case::negative_weight(&DOCUMENT.replace("\"weight\": 9", "\"weight\": -9"))]
-#[case::same_place(&DOCUMENT.replace("/look/", "/"))]
+#[case::same_location(&DOCUMENT.replace("/look/", "/"))]
 #[case::over_ten_minutes(&DOCUMENT.replace("\"timeoutS\": 3", "\"timeoutS\": 600.1"))]
 #[case::shared_key(&with_teams(r#"{"name": "a", "apiKeys": ["k1", "k2"]}, {"name": "b", "apiKeys": ["k2"]}"#))]
 #[case::negative_limit(&with_teams(r#"{"name": "a", "apiKeys": ["k1"], "ratePerS": -1}"#))]
 #[case::no_team_name(&with_teams(r#"{"apiKeys": ["k1"]}"#))]
-fn order_version_wrong(#[case] document: &str) {
+fn parse_operation_version_invalid(#[case] document: &str) {
     assert_eq!(submit(document), Err(400));
 }
 
-// A kind of route that is not known here may run once only: a repeat could do harm.
+// Requests of an unknown kind of route are not idempotent, since running one twice could do harm.
 #[test]
-fn rules_unknown_kind() {
+fn compile_rules_unknown_kind() {
     let rules = rules(&DOCUMENT.replace("\"safe\"", "\"newer\""));
     let Action::Route { terms, .. } = &rules.rules()[0].then else { panic!() };
     assert!(!terms.idempotent);
 }
 
-// Teams with keys, ranks and limits; a limit of 0 is none, and a route may need no key.
+// Teams with keys, priorities and limits. A rate of 0 means no limit, and a public route needs no
+// key.
 #[test]
-fn rules_teams() {
+fn compile_rules_teams() {
     let teams = r#"
         {"name": "port", "apiKeys": ["k1", "k2"], "priority": 0, "ratePerS": 12.5, "burst": 5},
         {"name": "yard", "apiKeys": ["k3"], "ratePerS": 0, "burst": 9},
@@ -132,21 +133,21 @@
     let document =
         with_teams(teams).replace("\"priority\": 1,", "\"priority\": 1, \"public\": true,");
     let rules = rules(&document);
-    let asked = |key: &str| rules.teams().identify(Some(&Secret::new(key))).team().cloned();
-    let port = asked("k2").expect("a team");
+    let identify = |key: &str| rules.teams().identify(Some(&Secret::new(key))).team().cloned();
+    let port = identify("k2").expect("the key identifies a team");
     assert_eq!(port.name, "port");
     assert_eq!(port.limit, Some(Limit { burst: 5.0, rate: 12.5 }));
     let classes: Vec<&str> = rules.classes().iter().map(|class| class.name.as_str()).collect();
     assert_eq!(port.class.as_deref(), Some(classes[0]));
-    assert_eq!(asked("k3").map(|team| (team.class, team.limit)), Some((None, None)));
-    assert_eq!(asked("k4"), None);
-    let needs = |at: usize| rules.needs_key(Some(&rules.rules()[at]));
-    assert_eq!((needs(0), needs(1)), (false, true));
+    assert_eq!(identify("k3").map(|team| (team.class, team.limit)), Some((None, None)));
+    assert_eq!(identify("k4"), None);
+    let rule_needs_key = |at: usize| rules.needs_key(Some(&rules.rules()[at]));
+    assert_eq!((rule_needs_key(0), rule_needs_key(1)), (false, true));
 }
 
-// Without teams nobody needs a key.
+// Without teams no request needs a key.
 #[test]
-fn rules_no_teams() {
+fn compile_rules_no_teams() {
     let rules = rules(DOCUMENT);
     assert!(!rules.needs_key(None));
     assert!(!rules.needs_key(Some(&rules.rules()[1])));
--- a/tests/suite/platform/requests.rs
+++ b/tests/suite/platform/requests.rs
@@ -1,4 +1,4 @@
-//! What callers' requests say, and what upstreams are told with them.
+//! Metadata of callers' requests, and headers of requests to upstreams.
 
 use std::net::IpAddr;
 use std::net::Ipv4Addr;
@@ -26,27 +26,27 @@
     request
 }
 
-// A key that comes twice is none: whoever read the first and whoever read the last would take the
-// request for that of two teams.
+// A repeated key header is joined to a single value, which identifies no team. Readers of the first
+// and of the last value would otherwise identify two different teams.
 #[rstest]
 #[case::none(&[], None)]
 #[case::one(&[(KEY, "k1")], Some("k1"))]
 #[case::two(&[(KEY, "k1"), (KEY, "k2")], Some("k1,k2"))]
-fn call_key(#[case] headers: &[(HeaderName, &'static str)], #[case] key: Option<&str>) {
+fn read_metadata_key(#[case] headers: &[(HeaderName, &'static str)], #[case] key: Option<&str>) {
     assert_eq!(Platform.read_metadata(&request(headers), PEER).key, key.map(Secret::new));
 }
 
-// The upstream is told the team that the key proved, and never the key; what the caller says of
-// its team is dropped, also where no key proved one.
+// The upstream receives the team that the key proves, and not the key. A team header from the
+// caller is dropped even if no key proves a team.
 #[rstest]
-#[case::proved(Some("port"))]
-#[case::not_proved(None)]
-fn address_team(#[case] team: Option<&str>) {
+#[case::proven(Some("port"))]
+#[case::unproven(None)]
+fn prepare_team(#[case] team: Option<&str>) {
     let mut request = request(&[(KEY, "k1"), (KEY, "k2"), (TEAM, "yard"), (TEAM, "dock")]);
     let remaining = Duration::from_secs(1);
     Platform.prepare(&mut request, &AttemptContext { id: "r1", remaining, team, upstream: "i-1" });
     assert!(!request.headers.contains_key(KEY));
-    let told: Vec<&str> =
+    let sent: Vec<&str> =
         request.headers.get_all(TEAM).iter().map(|value| value.to_str().unwrap()).collect();
-    assert_eq!(told, team.into_iter().collect::<Vec<_>>());
+    assert_eq!(sent, team.into_iter().collect::<Vec<_>>());
 }
--- a/tests/suite/platform/responses.rs
+++ b/tests/suite/platform/responses.rs
@@ -1,4 +1,4 @@
-//! What upstreams' answers mean, and what ours say.
+//! Classification of upstreams' responses, and responses generated here.
 
 use std::time::Duration;
 
@@ -15,41 +15,45 @@
 const DIGEST: &str = "hemlockfield-response-signature";
 const NOT_RUN: &str = "hemlockfield-not-executed";
 
-// A caller may take only an upstream's own whole answer for one. Whatever else stands at its
-// address answers without the digest, and a status that promises that nothing ran is believed
-// only where the upstream's header says so: the request would be sent, and run, twice.
+// Only an upstream's own unmodified response may reach the caller; another process at its address
+// responds without the digest. A status that promises that the request did not run counts only
+// with the upstream's header: otherwise the request would be sent again and run twice.
 #[rstest]
 #[case::served(200, &[DIGEST], Classification::Served)]
-#[case::not_found_is_an_answer(404, &[DIGEST], Classification::Served)]
+#[case::not_found(404, &[DIGEST], Classification::Served)]
 #[case::failed(500, &[DIGEST], Classification::Failed)]
 #[case::no_digest(200, &[], Classification::Untrusted)]
 #[case::gateway_page(502, &[], Classification::Untrusted)]
-#[case::busy_unproven(503, &[DIGEST], Classification::Untrusted)]
-#[case::busy_proven(503, &[NOT_RUN], Classification::NotRun)]
-#[case::limit_unproven(429, &[DIGEST], Classification::Untrusted)]
+#[case::unavailable_unproven(503, &[DIGEST], Classification::Untrusted)]
+#[case::unavailable_proven(503, &[NOT_RUN], Classification::NotRun)]
+#[case::too_many_requests_unproven(429, &[DIGEST], Classification::Untrusted)]
 #[case::another_process(421, &[], Classification::Misdirected)]
-#[case::compressed_unasked(200, &[DIGEST, "content-encoding"], Classification::Untrusted)]
-fn classify(#[case] status: u16, #[case] headers: &[&'static str], #[case] meant: Classification) {
+#[case::compressed_unrequested(200, &[DIGEST, "content-encoding"], Classification::Untrusted)]
+fn classify(
+    #[case] status: u16,
+    #[case] headers: &[&'static str],
+    #[case] expected: Classification,
+) {
     let mut response = Response::new(status);
     for name in headers {
         response.set_header(HeaderName::from_static(name), "1");
     }
-    assert_eq!(Platform.classify(None, &response), meant);
+    assert_eq!(Platform.classify(None, &response), expected);
 }
 
-// The operator of a caller reads the reason, and the caller when to come back, in fractions
-// of a second too: whole ones would keep it away four times as long as needed.
+// The retry time keeps fractions of a second. Rounded up to whole seconds it would make the caller
+// wait four times as long as needed.
 #[test]
-fn refuse_with_time() {
+fn refuse_retry_after() {
     let refusal = Refusal::not_run(503, "no room", Duration::from_millis(250));
     let response = Platform.refuse(&refusal);
     assert_eq!(response.status, 503);
     assert_eq!(response.header("retry-after"), Some("0.250"));
 }
 
-// What may have run is never answered with a status that promises that it has not.
+// A request that may have run must not get a status that promises that it did not run.
 #[test]
-fn refuse_perhaps_run() {
+fn refuse_unknown_outcome() {
     let refusal = Refusal::new(502, Outcome::Unknown, "connection closed");
     let response = Platform.refuse(&refusal);
     assert_eq!(response.status, 502);
@@ -57,7 +61,7 @@
 }
 
 #[test]
-fn done_entries() {
+fn respond_entries() {
     let entries = vec!["10.0.0.1:80".parse().unwrap(), "10.0.0.2:80".parse().unwrap()];
     let mut response = Platform.respond(Reply::Entries(entries, Duration::from_millis(2500)));
     let text = async_std::task::block_on(response.body_text()).unwrap();
@@ -66,9 +70,9 @@
     assert_eq!(list["ttlS"], 2.5);
 }
 
-// A process without a configuration says so with a time to ask again, not with an empty one.
+// A process without a configuration responds with a retry time and not with an empty document.
 #[test]
-fn done_no_configuration() {
+fn respond_no_configuration() {
     let response = Platform.respond(Reply::Configuration(None));
     assert_eq!(response.status, 503);
     assert!(response.header("retry-after").is_some());
