--- a/src/feed/input.rs
+++ b/src/feed/input.rs
@@ -1,29 +1,29 @@
-//! Inputs and outputs of an entry's side.
+//! Inputs and outputs of a subscriber.
 
 use super::Entry;
 use super::Message;
-use super::News;
 use super::Tallies;
+use super::Update;
 use crate::id::NodeId;
 
-/// What an entry's side is told.
+/// Event that a subscriber handles.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A control's answer.
-    News(NodeId, Box<News>),
+    /// Update from a control, polled or pushed.
+    Update(NodeId, Box<Update>),
     /// Time has passed.
     Tick,
 }
 
-/// What an entry's side wants done.
+/// Action that a subscriber requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Tell callers of these entries.
-    Name(Vec<Entry>),
-    /// Callers of other entries received this.
-    Note(Tallies),
-    /// Send this.
+    /// Advertise these entries to callers.
+    Advertise(Vec<Entry>),
+    /// Record the results that callers of other entries received.
+    Record(Tallies),
+    /// Send a message to a control.
     Send(NodeId, Message),
-    /// Take these news: they are newer than all before.
-    Take(Box<News>),
+    /// Apply an update, which is at least as new as all before it.
+    Apply(Box<Update>),
 }
--- /dev/null
+++ b/src/feed/update.rs
@@ -0,0 +1,39 @@
+//! Update from a control.
+
+use serde::Deserialize;
+use serde::Serialize;
+
+use super::Control;
+use super::Entry;
+use super::Tallies;
+use crate::catalog::Delta;
+use crate::config::Version;
+use crate::id::Index;
+
+/// Changes since the log index that an entry knows.
+#[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
+pub struct Update {
+    /// Log index that the changes start from. For an entry that knows less, changes are missing.
+    pub base: Index,
+    /// The configuration in force, if it changed.
+    pub configuration: Option<Version>,
+    /// All controls.
+    pub controls: Vec<Control>,
+    /// Number of entries that are advertised to callers.
+    pub entries: usize,
+    /// Whether the control has heard from a leader recently. If so, no change that this update
+    /// lacks has been acknowledged to anybody.
+    pub fresh: bool,
+    /// Log index up to which the entry knows everything once it has applied this update.
+    pub known: Index,
+    /// Entries to advertise to callers, if the list differs from the one that the entry knows.
+    pub named: Option<Vec<Entry>>,
+    /// Number of all serving entries. Those that are not advertised may get requests as well.
+    pub serving: usize,
+    /// Sequence number of the poll; 0 in a push.
+    pub sequence: u64,
+    /// Results that callers of other entries received since the last update to this entry.
+    pub tallies: Tallies,
+    /// Changes to upstreams.
+    pub upstreams: Delta,
+}
