--- a/src/upstream/setup.rs
+++ b/src/upstream/setup.rs
@@ -40,7 +40,7 @@
 }
 
 impl Setup {
-    /// A sound upstream at the brief's sizes: four slots, 25 ms.
+    /// A sound upstream with four slots that takes 25 ms for each request.
     pub fn new(name: &str, service: &str, domain: &str, listen: SocketAddr) -> Self {
         Self {
             cold: 1.0,
