--- a/src/exchange/request.rs
+++ b/src/exchange/request.rs
@@ -14,17 +14,17 @@
 /// One request, received or to be sent.
 #[derive(Debug)]
 pub struct Request {
-    /// Body; it can be taken once.
+    /// Body; a streamed one can be read once.
     pub body: Body,
-    /// A header that the upstream repeats in its answer. An answer with another value is a late
-    /// answer to another request and is skipped.
+    /// Header that the upstream may repeat in its answer. An answer that has it with another value
+    /// belongs to an earlier request and is skipped.
     pub echo: Option<HeaderName>,
-    /// Headers. A received request has those that frame the body until
+    /// Headers. A received request also has those of its connection and its body's framing until
     /// [`super::clean_request`] removes them.
     pub headers: HeaderMap,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path and query, unchanged from what was received.
+    /// Path and query, not decoded; an absolute target is reduced to these.
     pub target: CompactString,
 }
 
@@ -39,7 +39,8 @@
     ///
     /// # Errors
     ///
-    /// If it is not a complete HTTP/1.1 head, or could be interpreted in two ways.
+    /// If it is not a complete HTTP/1.1 head, has too many headers, or is refused by
+    /// [`super::check_request`].
     pub fn parse(bytes: &[u8]) -> Result<Self, Error> {
         let mut headers = [httparse::EMPTY_HEADER; head::MAX_HEADERS];
         let mut parsed = httparse::Request::new(&mut headers);
@@ -64,7 +65,8 @@
         self.target.split('?').next().unwrap_or_default()
     }
 
-    /// First value of the query parameter `name`, percent-decoded.
+    /// First value of the query parameter `name`, percent-decoded; the key is compared as sent, and
+    /// `+` is kept.
     pub fn query(&self, name: &str) -> Option<CompactString> {
         let (_, query) = self.target.split_once('?')?;
         let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -77,19 +79,21 @@
         head::last(&self.headers, name)
     }
 
-    /// Sets a header; a value that is not valid in a header is logged and left out.
+    /// Sets a header. If the value is not valid, this logs the name and changes nothing.
     pub fn set_header(&mut self, name: HeaderName, value: impl AsRef<str>) {
         head::set(&mut self.headers, name, value.as_ref());
     }
 
-    /// Requested host in lower case, without the port.
+    /// Requested host in lower case, without the port; empty if there is none. Not correct for an
+    /// IPv6 literal without a port.
     pub fn host(&self) -> CompactString {
         let host = self.header("host").unwrap_or_default();
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         CompactString::from(name).to_ascii_lowercase()
     }
 
-    /// Encodes the head, with capacity for a body that is sent in the same write.
+    /// Encodes the head, with capacity for a body of known length up to 64 KiB, as a buffered body
+    /// is appended.
     pub(super) fn encode(&self) -> Vec<u8> {
         let mut bytes =
             Vec::with_capacity(512 + self.body.len().unwrap_or_default().min(65_536) as usize);
@@ -106,7 +110,8 @@
         bytes
     }
 
-    /// The header that the answer has to repeat, with its value.
+    /// The echo header with its value in this request. An answer with another value is not
+    /// accepted; one without the header is.
     pub(super) fn expected_echo(&self) -> Option<(HeaderName, HeaderValue)> {
         let name = self.echo.clone()?;
         let value = self.headers.get(&name)?.clone();
--- a/src/exchange/socket.rs
+++ b/src/exchange/socket.rs
@@ -17,13 +17,14 @@
 
 use super::Error;
 
-/// Most bytes read at once; a head of the default limit fits.
+/// Most bytes read at once; as large as `DEFAULT_MAX_HEAD_BYTES`, so that such a head fits in one
+/// read.
 const MAX_READ_BYTES: usize = 16 * 1024;
-/// Empty line at the end of a head.
+/// End of the last line of a head, and the empty line after it.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
 /// A TCP socket with a read buffer. Bytes that follow a message stay in the buffer for the next
-/// one; if they were lost, the next message would be incomplete.
+/// one; if they were lost, the next message would be incomplete. Clones share the buffer.
 #[derive(Clone, Debug)]
 pub struct Socket {
     state: Arc<Mutex<State>>,
@@ -37,7 +38,8 @@
 }
 
 impl State {
-    /// Removes and returns the first `count` bytes. A buffer that becomes empty is freed.
+    /// Removes and returns the first `count` bytes. A buffer that becomes empty is freed;
+    /// `take_line` splits the buffer itself and doesn't free it.
     fn split_to(&mut self, count: usize) -> Bytes {
         if count == self.buffer.len() {
             return std::mem::take(&mut self.buffer).freeze();
@@ -52,12 +54,13 @@
         Self { state: Arc::default(), stream }
     }
 
-    /// Reads the next head including its empty line; `None` if the connection ends before its
-    /// first byte.
+    /// Reads the next head including its empty line; `None` if the connection ends or fails before
+    /// the first byte of the head.
     ///
     /// # Errors
     ///
-    /// If it is longer than `limit` bytes, contains a byte that is not allowed, or is incomplete.
+    /// If it is longer than `limit` bytes, contains a zero byte or one that is not ASCII, or the
+    /// connection ends or fails within it.
     pub async fn read_head(&self, limit: usize) -> Result<Option<Bytes>, Error> {
         let mut scanned = 0;
         loop {
@@ -103,7 +106,8 @@
         self.buffered_len() > 0
     }
 
-    /// Reads more bytes into the buffer and returns their number; 0 if the peer has closed.
+    /// Reads more bytes into the buffer and returns their number; 0 if the peer has closed its
+    /// sending direction.
     pub(super) async fn fill(&self) -> io::Result<usize> {
         futures::future::poll_fn(|context| self.poll_fill(context)).await
     }
@@ -124,7 +128,8 @@
         futures::poll!(peek).is_pending()
     }
 
-    /// Waits until the peer has closed the connection; never returns if there are bytes to read.
+    /// Waits until the peer has closed the connection or it fails; never returns if bytes are
+    /// buffered or arrive first.
     pub async fn closed(&self) {
         if self.has_buffered() {
             return futures::future::pending().await;
@@ -136,7 +141,7 @@
         }
     }
 
-    /// Waits until there are bytes to read or the peer has closed the connection.
+    /// Waits until there are bytes to read, or the peer has closed the connection or it fails.
     pub async fn readable(&self) {
         if !self.has_buffered() {
             let mut byte = [0];
@@ -154,7 +159,7 @@
         self.stream.shutdown(std::net::Shutdown::Write).ok();
     }
 
-    /// The wrapped TCP stream.
+    /// The TCP stream; reading from it bypasses the buffer.
     pub fn stream(&self) -> &TcpStream {
         &self.stream
     }
--- a/src/node/core/configuration.rs
+++ b/src/node/core/configuration.rs
@@ -1,3 +1,6 @@
+//! Steps the controller and replicator, and puts configurations in force. `step_x` passes one input
+//! to x and handles its outputs.
+
 use std::sync::Arc;
 
 use crate::clock::Moment;
@@ -92,11 +95,13 @@
     }
 
     /// Puts a configuration in force. It was validated before it was proposed; if this build
-    /// can't parse it, the rules stay as they are and an error is logged.
+    /// can't parse it, an error is logged and the rules stay as they are, but the version still
+    /// counts as applied.
     ///
-    /// Announces to the fleet if this process can serve now. Otherwise an entry that was
-    /// confirmed before the first configuration arrived would stay off the callers' lists,
-    /// and be home of no upstream, until its next restart.
+    /// Announces this process's state to the fleet if it has changed. Otherwise an entry whose
+    /// standing became serving before its first configuration arrived would stay in state
+    /// `Starting`: callers would not be given it, and it would be home of no upstream, until its
+    /// next restart.
     fn apply(&mut self, now: Moment, version: Version, outputs: &mut Vec<Output>) {
         let event = self.new_event(Kind::ConfigurationApplied).configuration(version.number);
         outputs.push(Output::Event(event));
@@ -110,7 +115,8 @@
 
     /// Restores the configuration recovered from disk. Creates the health monitors as well:
     /// without them a restarted entry would pick failing upstreams until the next change of
-    /// configuration, possibly for hours. Outputs are dropped, as there is no peer yet.
+    /// configuration, possibly for hours. Outputs are dropped: there is no peer to send to yet, and
+    /// events of a restore are not recorded.
     pub(super) fn restore(&mut self, now: Moment, version: &Version) {
         let mut dropped = Vec::new();
         self.load_rules(version);
--- a/src/node/core/upstreams.rs
+++ b/src/node/core/upstreams.rs
@@ -1,3 +1,5 @@
+//! Steps the registry of upstreams, probes upstreams and tells the health monitors of changes.
+
 use std::collections::BTreeSet;
 
 use crate::clock::Moment;
@@ -71,7 +73,7 @@
         }
     }
 
-    /// Passes the entries of the fleet to the registry.
+    /// Passes the live members of the fleet, entries or not, to the registry.
     pub(super) fn publish_entries(&mut self, now: Moment, outputs: &mut Vec<Output>) {
         let entries = registry::Entry::all(&self.member);
         self.step_registry(now, registry::Input::Entries(entries), outputs);
@@ -82,7 +84,8 @@
         self.step_registry(now, registry::Input::Tick { in_touch }, outputs);
     }
 
-    /// Probes the upstreams that this process is home of, each at its service's interval.
+    /// Probes each upstream whose home is this process, if its service has rules and its probe
+    /// interval has passed.
     pub(super) fn probe_homed_upstreams(&mut self, now: Moment, outputs: &mut Vec<Output>) {
         let own: Vec<UpstreamId> = self
             .registry
@@ -121,7 +124,8 @@
         service.map_or(rule::Probe::default().interval, |service| service.probe.interval)
     }
 
-    /// Adds an upstream that is ready to its service's health monitor, or removes it.
+    /// Adds the upstream to its service's health monitor if it is ready; otherwise removes it from
+    /// all monitors.
     fn upstream_changed(&mut self, now: Moment, upstream: &UpstreamId, outputs: &mut Vec<Output>) {
         self.is_view_stale = true;
         let ready = self.registry.get(upstream).filter(|found| found.is_ready()).map(|found| {
@@ -143,7 +147,7 @@
         self.handle_monitor_outputs(now, monitor_outputs, outputs);
     }
 
-    /// Adds the upstreams already registered to a new health monitor.
+    /// Adds a service's listed upstreams that are ready to its new health monitor.
     pub(super) fn add_known_upstreams(
         &mut self,
         now: Moment,
--- a/src/storage/log.rs
+++ b/src/storage/log.rs
@@ -22,10 +22,11 @@
 
 /// Log of one replica in a data folder.
 ///
-/// A snapshot starts a new log file with the records that are still needed. It is
-/// written and synced under a temporary name, and then the old file is removed. After an
-/// error the log is closed: it is unknown what a failed sync has written, and a second
-/// sync may wrongly succeed. Opening the folder again reads what is on disk.
+/// Saving a snapshot starts a new log file with the records that are still needed. The
+/// snapshot and then the new log file are each written and synced under a temporary name
+/// and renamed; only then are the old files removed. After an error the log is closed: it
+/// is unknown what a failed sync has written, and a second sync may wrongly succeed.
+/// Opening the folder again reads what is on disk.
 #[derive(Debug)]
 pub struct Log {
     is_closed: bool,
@@ -39,7 +40,8 @@
 }
 
 impl Log {
-    /// Opens the log, truncates a torn tail and returns the recovered state.
+    /// Opens the log, truncates a torn tail, removes obsolete files and returns the
+    /// recovered state.
     ///
     /// # Errors
     ///
@@ -86,8 +88,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Closed`] after an earlier error; otherwise an error of the file system, or
-    /// of the log file that is read again for a snapshot.
+    /// [`Error::Closed`] after an earlier error; otherwise an error of the file system, or,
+    /// if a snapshot is queued, one of reading the current log file.
     pub fn sync(&mut self) -> Result<(), Error> {
         if self.is_closed {
             return Err(Error::Closed { file: self.file.clone() });
@@ -108,7 +110,7 @@
         Ok(())
     }
 
-    /// Size of the log file, in bytes, without the snapshot.
+    /// Size of the current log file in bytes; a snapshot is a separate file.
     pub fn length(&self) -> u64 {
         self.length
     }
@@ -140,8 +142,9 @@
         self.seal()
     }
 
-    /// Writes an empty frame, which needs no sync of its own. Once the system has written
-    /// it back, damage to the last records of an idle log can be told from a torn tail.
+    /// Writes an empty frame, unsynced, that states how much of the file is synced. Once
+    /// the operating system has written it to disk, [`Self::open`] can tell damage to the
+    /// records before it from a torn tail, also in an idle log.
     fn seal(&mut self) -> Result<(), Error> {
         self.write(Vec::new())
     }
@@ -159,8 +162,9 @@
         Ok(())
     }
 
-    /// Saves the snapshot, then starts a log file that follows it. A crash at any point
-    /// leaves either the old log file with its snapshot or the new one with its own.
+    /// Saves the snapshot, then starts a log file that follows it. Needs an existing log
+    /// file: a crash at any point then leaves the old log file with its snapshot, if it has
+    /// one, or the new one with its own; unused files may remain.
     fn save_snapshot(&mut self, snapshot: Arc<Snapshot>) -> Result<(), Error> {
         let snapshot_id = (snapshot.index, snapshot.term);
         let file = snapshot_name(snapshot_id);
@@ -191,7 +195,7 @@
         Ok(replay(frame::scan(&self.file, &bytes)?.frames))
     }
 
-    /// Writes a file atomically: after a crash it is either complete or absent.
+    /// Writes a file atomically: after a crash it is complete, or as it was before.
     fn write_atomically(&mut self, file: &str, bytes: &[u8]) -> Result<(), Error> {
         let disk = &mut self.disk;
         let written = disk
@@ -201,7 +205,7 @@
             .and_then(|()| disk.rename(TEMPORARY_FILE, file))
             .and_then(|()| disk.sync_names());
         if written.is_err() {
-            // Frees space on a full disk; opening the folder removes the file too.
+            // Frees space on a full disk; `reopen` would remove the file too.
             let _ = disk.remove(TEMPORARY_FILE);
         }
         written.map_err(|source| Error::from_io(file, source))
