--- a/src/upstream.rs
+++ b/src/upstream.rs
@@ -1,16 +1,16 @@
-//! Stand-in for an upstream, gray on demand.
+//! Simulated upstream with failures that can be switched on and off.
 //!
-//! It announces itself, drains, starts cold, sheds load with a documented refusal that
-//! says the request was not run, honours deadlines and cancellation, and counts what it
-//! ran for each idempotency key, so that a doubled run is seen where it happens.
+//! It announces itself, drains, starts cold, honours deadlines and cancellation, and sheds
+//! load with a header that says the request was not run. It counts the runs of each
+//! idempotency key, so that duplicate runs are detected at the upstream.
 
 mod announcer;
 mod answer;
 mod error;
 mod gray;
+mod limiter;
 mod setup;
 mod stand;
-mod work;
 
 pub use answer::IDENTITY_HEADER;
 pub use answer::SIZE_HEADER;
@@ -20,11 +20,11 @@
 pub use setup::Setup;
 pub use stand::Stand;
 
-/// On a refusal: documents that the request was not run.
+/// Header of a refusal that states that the request was not run.
 pub const NOT_RUN_HEADER: &str = "x-not-run";
-/// On any answer: says that the upstream is leaving.
+/// Header of any answer that states that the upstream is draining.
 pub const DRAINING_HEADER: &str = "x-draining";
-/// Caller's key of a non-idempotent request.
+/// Request header with the caller's idempotency key for a non-idempotent request.
 pub const KEY_HEADER: &str = "idempotency-key";
-/// Load reported on answers: requests in work or waiting, per slot.
+/// Header of an answer with the upstream's load: running and queued requests per slot.
 pub const LOAD_HEADER: &str = "x-load";
--- a/src/upstream/announcer.rs
+++ b/src/upstream/announcer.rs
@@ -1,4 +1,5 @@
-//! Announces a stand-in to the entries it was told of, one at a time.
+//! Announces a simulated upstream to one of its configured entries, and to the next one after
+//! a failure.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,34 +17,38 @@
 
 use super::stand::Inner;
 
-/// Parts of a lease after which it is renewed, so that two renewals may be lost.
-const RENEWALS: u32 = 3;
-/// How often a stand-in looks whether it is to drain.
-const LOOK: Duration = Duration::from_millis(100);
-/// Path of announcements at an entry's operators' address.
-const PATH: &str = "/v1/upstreams";
+/// Renewals per lease duration, so that two renewals may be lost.
+const RENEWALS_PER_LEASE: u32 = 3;
+/// Interval at which the announcer checks for a change of the draining state and for a due
+/// renewal.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Path of announcements at an entry's operator address.
+const ANNOUNCEMENT_PATH: &str = "/v1/upstreams";
 
 pub(super) async fn run(inner: Arc<Inner>, address: SocketAddr) {
-    let mut turn = 0;
-    let mut told = None;
-    let mut due = std::time::Instant::now();
+    let mut entry_index = 0;
+    let mut announced_state = None;
+    let mut next_renewal = std::time::Instant::now();
     loop {
-        let draining = inner.is_draining();
-        let changed = told != Some(draining);
-        if !inner.setup.entries.is_empty() && (changed || due <= std::time::Instant::now()) {
-            let entry = inner.setup.entries[turn % inner.setup.entries.len()];
-            match announce(&inner, address, entry, draining).await {
+        let is_draining = inner.is_draining();
+        let has_changed = announced_state != Some(is_draining);
+        if !inner.setup.entries.is_empty()
+            && (has_changed || next_renewal <= std::time::Instant::now())
+        {
+            let entry = inner.setup.entries[entry_index % inner.setup.entries.len()];
+            match announce(&inner, address, entry, is_draining).await {
                 Ok(()) => {
-                    told = Some(draining);
-                    due = std::time::Instant::now() + inner.setup.lease / RENEWALS;
+                    announced_state = Some(is_draining);
+                    next_renewal =
+                        std::time::Instant::now() + inner.setup.lease / RENEWALS_PER_LEASE;
                 }
                 Err(error) => {
-                    turn += 1;
-                    tracing::debug!(target: "upstream", "can't announce to `{entry}`: {error}");
+                    entry_index += 1;
+                    tracing::debug!(target: "upstream", "could not announce to `{entry}`: {error}");
                 }
             }
         }
-        task::sleep(LOOK).await;
+        task::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -51,7 +56,7 @@
     inner: &Inner,
     address: SocketAddr,
     entry: SocketAddr,
-    draining: bool,
+    is_draining: bool,
 ) -> Result<(), String> {
     let setup = &inner.setup;
     let announcement = Announcement {
@@ -62,21 +67,21 @@
         lease: setup.lease,
         service: setup.service.clone(),
         slots: setup.slots as u32,
-        state: if draining { State::Draining } else { State::Ready },
+        state: if is_draining { State::Draining } else { State::Ready },
         upstream: setup.name.clone(),
         warm_up: setup.warm_up,
     };
-    let mut request = Request::new(Method::POST, PATH);
+    let mut request = Request::new(Method::POST, ANNOUNCEMENT_PATH);
     request.set_header(header::HOST, entry.to_string());
     let text = serde_json::to_string(&announcement).map_err(|error| error.to_string())?;
     request.body = text.into();
-    let limit = Duration::from_secs(1);
-    let timeouts = Timeouts { connect: limit, first_byte: limit, idle: limit };
+    let timeout = Duration::from_secs(1);
+    let timeouts = Timeouts { connect: timeout, first_byte: timeout, idle: timeout };
     let connection =
-        Connection::connect(entry, limit).await.map_err(|failure| failure.to_string())?;
+        Connection::connect(entry, timeout).await.map_err(|failure| failure.to_string())?;
     let answer = connection.send(request, timeouts).await.map_err(|failure| failure.to_string())?;
     let status = answer.response.status;
-    let taken = answer.response.is_success();
+    let is_accepted = answer.response.is_success();
     answer.release();
-    if taken { Ok(()) } else { Err(format!("status {status}")) }
+    if is_accepted { Ok(()) } else { Err(format!("status {status}")) }
 }
--- a/src/upstream/error.rs
+++ b/src/upstream/error.rs
@@ -1,20 +1,20 @@
 use thiserror::Error as ThisError;
 
-/// Why a stand-in can't do what it was asked.
+/// Errors of a simulated upstream.
 #[derive(Debug, ThisError)]
 pub enum Error {
-    /// Gray mode that isn't known.
+    /// The text is not a valid failure mode.
     #[error(
         "`{0}` is not a gray mode; allowed are `none`, `slow:FACTOR`, `error:SHARE`, `cut:SHARE`, \
          `silent:SHARE` and `flap:SECONDS:MODE`"
     )]
-    Gray(String),
-    /// Address that can't be listened on.
+    FailureMode(String),
+    /// The listener could not be bound.
     #[error("can't listen on `{address}`: {source}")]
     Listen {
-        /// Address asked for.
+        /// Requested address.
         address: std::net::SocketAddr,
-        /// What the system said.
+        /// Cause.
         source: std::io::Error,
     },
 }
--- a/src/upstream/setup.rs
+++ b/src/upstream/setup.rs
@@ -8,39 +8,41 @@
 
 use super::Gray;
 
-/// What a stand-in is.
+/// Parameters of a simulated upstream.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// How much longer work takes in a cold start, falling to nothing over `warm_up`.
+    /// Factor on the processing time at the start, which falls linearly to 1 over `warm_up`;
+    /// a factor below 1 has no effect.
     pub cold: f64,
-    /// Failure domain it says it is in.
+    /// Failure domain that it announces.
     pub domain: DomainId,
-    /// Operators' addresses of entries to announce itself to.
+    /// Operator addresses of the entries that it announces itself to.
     pub entries: Vec<SocketAddr>,
-    /// How it fails at the start.
+    /// Initial failure mode.
     pub gray: Gray,
-    /// Restart counter; higher is newer.
+    /// Identifies this start of the upstream; a higher incarnation is newer.
     pub incarnation: Incarnation,
-    /// For how long an announcement counts.
+    /// Lease duration of an announcement.
     pub lease: Duration,
-    /// Where it listens; port 0 for any.
+    /// Address to listen on; port 0 picks a free port.
     pub listen: SocketAddr,
-    /// Its name.
+    /// Name of the upstream.
     pub name: UpstreamId,
-    /// Requests that may wait for a slot before it sheds.
+    /// Requests that may wait for a slot; further ones are shed.
     pub queue: usize,
-    /// Service it belongs to.
+    /// Service that it belongs to.
     pub service: ServiceId,
-    /// Requests it works on at once.
+    /// Maximum number of requests processed at once.
     pub slots: usize,
-    /// Cold start.
+    /// Duration of the cold start.
     pub warm_up: Duration,
-    /// Time that a request takes.
+    /// Processing time of a request.
     pub work: Duration,
 }
 
 impl Setup {
-    /// A sound upstream at the brief's sizes: four slots, 25 ms.
+    /// Creates the parameters of an upstream without failures, with four slots and a processing
+    /// time of 25 ms.
     pub fn new(name: &str, service: &str, domain: &str, listen: SocketAddr) -> Self {
         Self {
             cold: 1.0,
--- a/src/upstream/stand.rs
+++ b/src/upstream/stand.rs
@@ -36,14 +36,15 @@
 use super::Setup;
 use super::announcer;
 use super::body_for;
-use super::work::Work;
+use super::limiter::Limiter;
 
-/// Longest that a caller's connection may lie idle.
-const IDLE_MAX: Duration = Duration::from_secs(60);
-/// Longest that a silent request is held open.
-const SILENCE: Duration = Duration::from_secs(60);
+/// Idle timeout of a caller's connection.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time after which the connection of an unanswered request is closed in mode
+/// [`Gray::Silent`].
+const SILENT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A running stand-in.
+/// Running simulated upstream.
 pub struct Stand {
     address: SocketAddr,
     inner: Arc<Inner>,
@@ -55,21 +56,24 @@
     gray: Mutex<Gray>,
     pub(super) setup: Setup,
     started: Instant,
-    work: Work,
+    limiter: Limiter,
 }
 
 impl Stand {
-    /// Listens and announces itself.
+    /// Starts to listen and to announce the upstream.
+    ///
+    /// # Errors
+    /// When the address can't be bound.
     pub async fn start(setup: Setup) -> Result<Self, Error> {
-        let asked = setup.listen;
-        let listen = |source| Error::Listen { address: asked, source };
-        let listener = TcpListener::bind(asked).await.map_err(listen)?;
-        let address = listener.local_addr().map_err(listen)?;
+        let requested = setup.listen;
+        let listen_error = |source| Error::Listen { address: requested, source };
+        let listener = TcpListener::bind(requested).await.map_err(listen_error)?;
+        let address = listener.local_addr().map_err(listen_error)?;
         let inner = Arc::new(Inner {
             draining: AtomicBool::new(false),
             gray: Mutex::new(setup.gray.clone()),
             started: Instant::now(),
-            work: Work::new(setup.slots, setup.queue),
+            limiter: Limiter::new(setup.slots, setup.queue),
             setup,
         });
         let accept = task::spawn(accept(listener, Arc::clone(&inner)));
@@ -77,42 +81,42 @@
         Ok(Self { address, inner, tasks: vec![accept, announce] })
     }
 
-    /// Where it listens.
+    /// Address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes how it fails.
+    /// Sets the failure mode.
     pub fn set_gray(&self, gray: Gray) {
         self.inner.set_gray(gray);
     }
 
-    /// Announces that it is leaving; requests in work are finished.
+    /// Announces that it is draining. It still serves requests.
     pub fn drain(&self) {
         self.inner.draining.store(true, Ordering::Release);
     }
 
-    /// Requests that began to run.
-    pub fn begun(&self) -> u64 {
-        self.inner.work.counts().begun
+    /// Number of requests that started to run.
+    pub fn started_requests(&self) -> u64 {
+        self.inner.limiter.counts().begun
     }
 
-    /// How often the request with `key` ran.
+    /// Number of times that the request with `key` ran.
     pub fn runs(&self, key: &str) -> u32 {
-        self.inner.work.counts().runs.get(key).copied().unwrap_or_default()
+        self.inner.limiter.counts().runs.get(key).copied().unwrap_or_default()
     }
 
-    /// Keys that ran more than once.
-    pub fn doubled(&self) -> usize {
-        self.inner.work.counts().runs.values().filter(|count| **count > 1).count()
+    /// Number of keys that ran more than once.
+    pub fn duplicate_keys(&self) -> usize {
+        self.inner.limiter.counts().runs.values().filter(|count| **count > 1).count()
     }
 
-    /// All keys that ran, with their counts.
+    /// All keys that ran, each with its number of runs.
     pub fn all_runs(&self) -> Vec<(compact_str::CompactString, u32)> {
-        self.inner.work.counts().runs.iter().map(|(key, count)| (key.clone(), *count)).collect()
+        self.inner.limiter.counts().runs.iter().map(|(key, count)| (key.clone(), *count)).collect()
     }
 
-    /// Stops at once, as a crash does.
+    /// Stops accepting connections and announcing at once, without draining.
     pub async fn stop(self) {
         for task in self.tasks {
             task.cancel().await;
@@ -134,18 +138,19 @@
         gray.at(self.started.elapsed()).clone()
     }
 
-    /// Time that a request takes now: longer while cold, and while slow.
-    fn each(&self, gray: &Gray) -> Duration {
-        let since = self.started.elapsed().as_secs_f64();
+    /// Current processing time of a request: longer during the cold start and in mode
+    /// [`Gray::Slow`].
+    fn processing_time(&self, gray: &Gray) -> Duration {
+        let uptime = self.started.elapsed().as_secs_f64();
         let warm_up = self.setup.warm_up.as_secs_f64();
-        let cold = if since < warm_up { 1.0 - since / warm_up } else { 0.0 };
+        let cold = if uptime < warm_up { 1.0 - uptime / warm_up } else { 0.0 };
         let slow = if let Gray::Slow(factor) = gray { *factor } else { 1.0 };
         self.setup.work.mul_f64((1.0 + cold * (self.setup.cold - 1.0).max(0.0)) * slow)
     }
 
-    async fn connection(self: Arc<Self>, stream: TcpStream, peer: SocketAddr) {
+    async fn serve_connection(self: Arc<Self>, stream: TcpStream, peer: SocketAddr) {
         let mut reader = RequestReader::new(stream.clone(), peer);
-        while let Some((request, writer)) = reader.next(IDLE_MAX).await {
+        while let Some((request, writer)) = reader.next(IDLE_TIMEOUT).await {
             if !self.serve(request, writer, &stream).await {
                 reader.linger().await;
                 return;
@@ -153,7 +158,7 @@
         }
     }
 
-    /// Serves one request; tells whether the connection goes on.
+    /// Serves one request and returns whether the connection stays open.
     async fn serve(
         &self,
         mut request: Request,
@@ -161,19 +166,21 @@
         stream: &TcpStream,
     ) -> bool {
         let path = request.path().to_owned();
-        if let Some(response) = self.own(&path, &mut request).await {
-            let response = self.sign(response);
+        if let Some(response) = self.control(&path, &mut request).await {
+            let response = self.mark_draining(response);
             return writer.send(response).await.is_ok() && !writer.is_closing();
         }
         let gray = self.gray();
-        let hit = |share: f64| rand::rng().random_bool(share);
-        if matches!(&gray, Gray::Silent(share) if hit(*share)) {
-            task::sleep(SILENCE).await;
+        let is_hit = |share: f64| rand::rng().random_bool(share);
+        if matches!(&gray, Gray::Silent(share) if is_hit(*share)) {
+            task::sleep(SILENT_TIMEOUT).await;
             return false;
         }
-        let each = self.each(&gray);
-        let Some(mut place) = self.work.enter(each, exchange::request_timeout(&request)) else {
-            return writer.send(shed()).await.is_ok() && !writer.is_closing();
+        let processing_time = self.processing_time(&gray);
+        let Some(mut permit) =
+            self.limiter.admit(processing_time, exchange::request_timeout(&request))
+        else {
+            return writer.send(shed_response()).await.is_ok() && !writer.is_closing();
         };
         let Ok(upload) = std::mem::take(&mut request.body).read_all().await else {
             return false;
@@ -181,15 +188,15 @@
         let text = |name| request.header(name).map(ToOwned::to_owned);
         let key = text(KEY_HEADER).map(Into::into);
         {
-            let run = place.run(each, key).fuse();
-            let gone = writer.caller_gone().fuse();
-            pin_mut!(run, gone);
+            let run = permit.run(processing_time, key).fuse();
+            let caller_gone = writer.caller_gone().fuse();
+            pin_mut!(run, caller_gone);
             select! {
                 () = run => (),
-                () = gone => return false,
+                () = caller_gone => return false,
             }
         }
-        if matches!(&gray, Gray::Error(share) if hit(*share)) {
+        if matches!(&gray, Gray::Error(share) if is_hit(*share)) {
             let mut response = Response::new(500);
             response.body = "failed\n".into();
             return writer.send(response).await.is_ok() && !writer.is_closing();
@@ -197,36 +204,39 @@
         let identity = text(IDENTITY_HEADER).unwrap_or_default();
         let size = text(SIZE_HEADER).and_then(|size| size.parse().ok()).unwrap_or(0);
         let body = body_for(&identity, &upload, size);
-        if matches!(&gray, Gray::Cut(share) if hit(*share)) {
+        if matches!(&gray, Gray::Cut(share) if is_hit(*share)) {
             send_cut(stream, &body).await;
             return false;
         }
         let mut response = Response::new(200);
-        response
-            .set_header(HeaderName::from_static(LOAD_HEADER), format!("{:.2}", self.work.load()));
+        response.set_header(
+            HeaderName::from_static(LOAD_HEADER),
+            format!("{:.2}", self.limiter.load()),
+        );
         response.set_header(HeaderName::from_static("x-upstream"), &self.setup.name);
-        let mut response = self.sign(response);
+        let mut response = self.mark_draining(response);
         response.body = body.into();
         writer.send(response).await.is_ok() && !writer.is_closing()
     }
 
-    /// Says on an answer whether the stand-in is leaving.
-    fn sign(&self, mut response: Response) -> Response {
+    /// Adds [`DRAINING_HEADER`] while the upstream is draining.
+    fn mark_draining(&self, mut response: Response) -> Response {
         if self.is_draining() {
             response.set_header(HeaderName::from_static(DRAINING_HEADER), "true");
         }
         response
     }
 
-    /// Answers what is about the stand-in itself. The health report lies: it says `ok`
-    /// whatever the gray mode is.
-    async fn own(&self, path: &str, request: &mut Request) -> Option<Response> {
+    /// Answers requests about the upstream itself. The health check answers `ok` in every
+    /// failure mode, because the simulated failures are gray.
+    async fn control(&self, path: &str, request: &mut Request) -> Option<Response> {
         let mut response = Response::new(200);
         match path {
             "/health" => response.body = "ok\n".into(),
-            "/_load" => response.body = format!("{:.2}\n", self.work.load()).into(),
+            "/_load" => response.body = format!("{:.2}\n", self.limiter.load()).into(),
             "/_runs" => {
-                response = Response::json(200, serde_json::to_string(&*self.work.counts()).ok()?);
+                response =
+                    Response::json(200, serde_json::to_string(&*self.limiter.counts()).ok()?);
             }
             "/_drain" => self.draining.store(true, Ordering::Release),
             "/_gray" => {
@@ -249,16 +259,18 @@
 async fn accept(listener: TcpListener, inner: Arc<Inner>) {
     loop {
         match listener.accept().await {
-            Ok((stream, peer)) => drop(task::spawn(Arc::clone(&inner).connection(stream, peer))),
+            Ok((stream, peer)) => {
+                drop(task::spawn(Arc::clone(&inner).serve_connection(stream, peer)))
+            }
             Err(error) => {
-                tracing::warn!(target: "upstream", "can't accept: {error}");
+                tracing::warn!(target: "upstream", "could not accept a connection: {error}");
                 task::sleep(Duration::from_millis(50)).await;
             }
         }
     }
 }
 
-fn shed() -> Response {
+fn shed_response() -> Response {
     let mut response = Response::new(503);
     response.set_header(HeaderName::from_static(NOT_RUN_HEADER), "true");
     response.set_header(header::RETRY_AFTER, "1");
@@ -266,7 +278,7 @@
     response
 }
 
-/// Declares the whole length and sends half.
+/// Sends a head with the length of the whole body, then half of the body.
 async fn send_cut(mut stream: &TcpStream, body: &[u8]) {
     let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", body.len());
     stream.write_all(head.as_bytes()).await.ok();
