--- a/src/cli/upstream.rs
+++ b/src/cli/upstream.rs
@@ -1,12 +1,12 @@
-//! `hemlockfield upstream`: a stand-in for an upstream.
+//! `hemlockfield upstream`: a server-in for an upstream.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
 use std::time::Duration;
 
 use crate::upstream::Gray;
+use crate::upstream::Server;
 use crate::upstream::Setup;
-use crate::upstream::Stand;
 
 use super::Error;
 use super::run::listen_for_signals;
@@ -75,12 +75,12 @@
     setup.lease = Duration::from_secs(options.lease.max(1));
     async_std::task::block_on(async {
         let mut signals = listen_for_signals();
-        let stand = Stand::start(setup).await?;
-        println!("listening on {}", stand.address());
+        let server = Server::start(setup).await?;
+        println!("listening on {}", server.address());
         next_signal(&mut signals).await;
-        stand.drain();
+        server.drain();
         next_signal(&mut signals).await;
-        stand.stop().await;
+        server.stop().await;
         Ok(ExitCode::SUCCESS)
     })
 }
--- a/src/demo/run.rs
+++ b/src/demo/run.rs
@@ -12,7 +12,7 @@
 use crate::load::Report;
 use crate::timeline;
 use crate::upstream::Gray;
-use crate::upstream::Stand;
+use crate::upstream::Server;
 
 use super::Error;
 use super::baseline::Baseline;
@@ -50,7 +50,7 @@
     site.stop().await;
     let timeline = tell(&events);
     let stands = site::stands(UPSTREAMS, &[]).await?;
-    let addresses = stands.iter().map(Stand::address).collect();
+    let addresses = stands.iter().map(Server::address).collect();
     let proxy = Baseline::start(addresses).await?;
     let baseline = measure(&stands, vec![proxy.address()], false, "turns", progress).await?;
     proxy.stop().await;
@@ -61,7 +61,7 @@
 
 /// One load, in the middle of which two upstreams turn gray in two ways.
 async fn measure(
-    stands: &[Stand],
+    stands: &[Server],
     entries: Vec<SocketAddr>,
     directory: bool,
     tag: &str,
@@ -89,7 +89,7 @@
     let (report, ()) = futures::join!(load::run(&plan, tag, progress), failure);
     let mut report = report?;
     let mut runs = BTreeMap::new();
-    for (key, count) in stands.iter().flat_map(Stand::all_runs) {
+    for (key, count) in stands.iter().flat_map(Server::all_runs) {
         *runs.entry(key).or_default() += count;
     }
     report.reconcile(&runs);
@@ -102,9 +102,9 @@
     Ok(vec![lookup, sign_off])
 }
 
-async fn stop(stands: Vec<Stand>) {
-    for stand in stands {
-        stand.stop().await;
+async fn stop(stands: Vec<Server>) {
+    for server in stands {
+        server.stop().await;
     }
 }
 
--- a/src/demo/site.rs
+++ b/src/demo/site.rs
@@ -17,8 +17,8 @@
 use crate::keys::Authority;
 use crate::node::Node;
 use crate::settings::Settings;
+use crate::upstream::Server;
 use crate::upstream::Setup;
-use crate::upstream::Stand;
 
 use super::Error;
 
@@ -116,8 +116,8 @@
         Ok(())
     }
 
-    /// Stand-ins that announce themselves to the entries of this site.
-    pub(super) async fn stands(&self, count: usize) -> Result<Vec<Stand>, Error> {
+    /// Server-ins that announce themselves to the entries of this site.
+    pub(super) async fn stands(&self, count: usize) -> Result<Vec<Server>, Error> {
         let entries: Vec<SocketAddr> = self.entries.iter().map(Node::operator_address).collect();
         stands(count, &entries).await
     }
@@ -135,8 +135,8 @@
     }
 }
 
-/// Stand-ins, of which one is old: three times slower, and sound.
-pub(super) async fn stands(count: usize, entries: &[SocketAddr]) -> Result<Vec<Stand>, Error> {
+/// Server-ins, of which one is old: three times slower, and sound.
+pub(super) async fn stands(count: usize, entries: &[SocketAddr]) -> Result<Vec<Server>, Error> {
     let mut stands = Vec::new();
     for at in 0..count {
         let domain = DOMAINS[at % DOMAINS.len()];
@@ -144,7 +144,7 @@
         let mut setup = Setup::new(&format!("hull-{}", at + 1), "hull-register", domain, listen);
         setup.entries = entries.to_vec();
         setup.work = Duration::from_millis(if at == 0 { 30 } else { 10 });
-        stands.push(Stand::start(setup).await?);
+        stands.push(Server::start(setup).await?);
     }
     Ok(stands)
 }
--- a/src/upstream.rs
+++ b/src/upstream.rs
@@ -9,16 +9,16 @@
 mod error;
 mod gray;
 mod limiter;
+mod server;
 mod setup;
-mod stand;
 
 pub use answer::IDENTITY_HEADER;
 pub use answer::SIZE_HEADER;
 pub use answer::body_for;
 pub use error::Error;
 pub use gray::Gray;
+pub use server::Server;
 pub use setup::Setup;
-pub use stand::Stand;
 
 /// Header of a refusal that states that the request was not run.
 pub const NOT_RUN_HEADER: &str = "x-not-run";
--- a/src/upstream/announcer.rs
+++ b/src/upstream/announcer.rs
@@ -15,7 +15,7 @@
 use crate::registry::Announcement;
 use crate::registry::State;
 
-use super::stand::Inner;
+use super::server::Inner;
 
 /// Renewals per lease duration, so that two renewals may be lost.
 const RENEWALS_PER_LEASE: u32 = 3;
--- a/src/upstream/stand.rs
+++ b/src/upstream/server.rs
@@ -45,7 +45,7 @@
 const SILENT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Running simulated upstream.
-pub struct Stand {
+pub struct Server {
     address: SocketAddr,
     inner: Arc<Inner>,
     tasks: Vec<JoinHandle<()>>,
@@ -59,7 +59,7 @@
     limiter: Limiter,
 }
 
-impl Stand {
+impl Server {
     /// Starts to listen and to announce the upstream.
     ///
     /// # Errors
