--- a/src/cli/upstream.rs
+++ b/src/cli/upstream.rs
@@ -1,10 +1,10 @@
-//! `hemlockfield upstream`: a server-in for an upstream.
+//! `hemlockfield upstream`: a stand-in for an upstream.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
 use std::time::Duration;
 
-use crate::upstream::Gray;
+use crate::upstream::FailureMode;
 use crate::upstream::Server;
 use crate::upstream::Setup;
 
@@ -43,7 +43,7 @@
     pub queue: usize,
     /// gray mode: none, slow:8, error:0.5, cut:0.5, silent:0.5, flap:2:error:1
     #[options(no_short, default = "none")]
-    pub gray: Gray,
+    pub gray: FailureMode,
     /// seconds of cold start
     #[options(no_short, default = "0")]
     pub warm_up: u64,
@@ -69,7 +69,7 @@
     setup.slots = options.slots.max(1);
     setup.work = Duration::from_millis(options.work);
     setup.queue = options.queue;
-    setup.gray = options.gray;
+    setup.failure_mode = options.gray;
     setup.warm_up = Duration::from_secs(options.warm_up);
     setup.cold = options.cold;
     setup.lease = Duration::from_secs(options.lease.max(1));
--- a/src/demo/run.rs
+++ b/src/demo/run.rs
@@ -11,7 +11,7 @@
 use crate::load::Plan;
 use crate::load::Report;
 use crate::timeline;
-use crate::upstream::Gray;
+use crate::upstream::FailureMode;
 use crate::upstream::Server;
 
 use super::Error;
@@ -80,11 +80,11 @@
     };
     let failure = async {
         task::sleep(GRAY_FROM).await;
-        stands[2].set_gray(Gray::Silent(1.0));
-        stands[5].set_gray(Gray::Cut(0.5));
+        stands[2].set_failure_mode(FailureMode::Silent(1.0));
+        stands[5].set_failure_mode(FailureMode::Cut(0.5));
         task::sleep(GRAY_FOR).await;
-        stands[2].set_gray(Gray::None);
-        stands[5].set_gray(Gray::None);
+        stands[2].set_failure_mode(FailureMode::None);
+        stands[5].set_failure_mode(FailureMode::None);
     };
     let (report, ()) = futures::join!(load::run(&plan, tag, progress), failure);
     let mut report = report?;
--- a/src/demo/site.rs
+++ b/src/demo/site.rs
@@ -116,7 +116,7 @@
         Ok(())
     }
 
-    /// Server-ins that announce themselves to the entries of this site.
+    /// Stand-ins that announce themselves to the entries of this site.
     pub(super) async fn stands(&self, count: usize) -> Result<Vec<Server>, Error> {
         let entries: Vec<SocketAddr> = self.entries.iter().map(Node::operator_address).collect();
         stands(count, &entries).await
@@ -135,7 +135,7 @@
     }
 }
 
-/// Server-ins, of which one is old: three times slower, and sound.
+/// Stand-ins, of which one is old: three times slower, and sound.
 pub(super) async fn stands(count: usize, entries: &[SocketAddr]) -> Result<Vec<Server>, Error> {
     let mut stands = Vec::new();
     for at in 0..count {
--- a/src/upstream.rs
+++ b/src/upstream.rs
@@ -7,7 +7,7 @@
 mod announcer;
 mod answer;
 mod error;
-mod gray;
+mod failure_mode;
 mod limiter;
 mod server;
 mod setup;
@@ -16,7 +16,7 @@
 pub use answer::SIZE_HEADER;
 pub use answer::body_for;
 pub use error::Error;
-pub use gray::Gray;
+pub use failure_mode::FailureMode;
 pub use server::Server;
 pub use setup::Setup;
 
--- a/src/upstream/gray.rs
+++ b/src/upstream/failure_mode.rs
@@ -3,15 +3,15 @@
 
 use super::Error;
 
-/// Gray failure of a simulated upstream: it fails requests while its health check succeeds.
+/// Gray failure of a simulated upstream, which fails requests while its health check succeeds.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Gray {
+pub enum FailureMode {
     /// Closes the connection in the middle of the body in this share of its answers.
     Cut(f64),
     /// Answers this share of its requests with status 500.
     Error(f64),
     /// Alternates between no failure and the inner mode, each for this period.
-    Flap(Duration, Box<Gray>),
+    Flap(Duration, Box<FailureMode>),
     /// No failure.
     None,
     /// Accepts this share of its requests and never answers them.
@@ -20,20 +20,20 @@
     Slow(f64),
 }
 
-impl Gray {
+impl FailureMode {
     /// Mode in effect at `uptime`, with [`Self::Flap`] resolved.
-    pub fn at(&self, uptime: Duration) -> &Gray {
+    pub fn at(&self, uptime: Duration) -> &FailureMode {
         match self {
             Self::Flap(period, inner) => {
                 let phase = uptime.as_millis() / period.as_millis().max(1);
-                if phase.is_multiple_of(2) { &Gray::None } else { inner.at(uptime) }
+                if phase.is_multiple_of(2) { &FailureMode::None } else { inner.at(uptime) }
             }
             other => other,
         }
     }
 }
 
-impl FromStr for Gray {
+impl FromStr for FailureMode {
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
--- a/src/upstream/server.rs
+++ b/src/upstream/server.rs
@@ -27,7 +27,7 @@
 
 use super::DRAINING_HEADER;
 use super::Error;
-use super::Gray;
+use super::FailureMode;
 use super::IDENTITY_HEADER;
 use super::KEY_HEADER;
 use super::LOAD_HEADER;
@@ -41,7 +41,7 @@
 /// Idle timeout of a caller's connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// Time after which the connection of an unanswered request is closed in mode
-/// [`Gray::Silent`].
+/// [`FailureMode::Silent`].
 const SILENT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Running simulated upstream.
@@ -53,7 +53,7 @@
 
 pub(super) struct Inner {
     draining: AtomicBool,
-    gray: Mutex<Gray>,
+    failure_mode: Mutex<FailureMode>,
     pub(super) setup: Setup,
     started: Instant,
     limiter: Limiter,
@@ -71,7 +71,7 @@
         let address = listener.local_addr().map_err(listen_error)?;
         let inner = Arc::new(Inner {
             draining: AtomicBool::new(false),
-            gray: Mutex::new(setup.gray.clone()),
+            failure_mode: Mutex::new(setup.failure_mode.clone()),
             started: Instant::now(),
             limiter: Limiter::new(setup.slots, setup.queue),
             setup,
@@ -87,8 +87,8 @@
     }
 
     /// Sets the failure mode.
-    pub fn set_gray(&self, gray: Gray) {
-        self.inner.set_gray(gray);
+    pub fn set_failure_mode(&self, failure_mode: FailureMode) {
+        self.inner.set_failure_mode(failure_mode);
     }
 
     /// Announces that it is draining. It still serves requests.
@@ -129,22 +129,22 @@
         self.draining.load(Ordering::Acquire)
     }
 
-    fn set_gray(&self, gray: Gray) {
-        *self.gray.lock().unwrap_or_else(PoisonError::into_inner) = gray;
+    fn set_failure_mode(&self, failure_mode: FailureMode) {
+        *self.failure_mode.lock().unwrap_or_else(PoisonError::into_inner) = failure_mode;
     }
 
-    fn gray(&self) -> Gray {
-        let gray = self.gray.lock().unwrap_or_else(PoisonError::into_inner);
-        gray.at(self.started.elapsed()).clone()
+    fn failure_mode(&self) -> FailureMode {
+        let failure_mode = self.failure_mode.lock().unwrap_or_else(PoisonError::into_inner);
+        failure_mode.at(self.started.elapsed()).clone()
     }
 
     /// Current processing time of a request: longer during the cold start and in mode
-    /// [`Gray::Slow`].
-    fn processing_time(&self, gray: &Gray) -> Duration {
+    /// [`FailureMode::Slow`].
+    fn processing_time(&self, failure_mode: &FailureMode) -> Duration {
         let uptime = self.started.elapsed().as_secs_f64();
         let warm_up = self.setup.warm_up.as_secs_f64();
         let cold = if uptime < warm_up { 1.0 - uptime / warm_up } else { 0.0 };
-        let slow = if let Gray::Slow(factor) = gray { *factor } else { 1.0 };
+        let slow = if let FailureMode::Slow(factor) = failure_mode { *factor } else { 1.0 };
         self.setup.work.mul_f64((1.0 + cold * (self.setup.cold - 1.0).max(0.0)) * slow)
     }
 
@@ -170,13 +170,13 @@
             let response = self.mark_draining(response);
             return writer.send(response).await.is_ok() && !writer.is_closing();
         }
-        let gray = self.gray();
+        let failure_mode = self.failure_mode();
         let is_hit = |share: f64| rand::rng().random_bool(share);
-        if matches!(&gray, Gray::Silent(share) if is_hit(*share)) {
+        if matches!(&failure_mode, FailureMode::Silent(share) if is_hit(*share)) {
             task::sleep(SILENT_TIMEOUT).await;
             return false;
         }
-        let processing_time = self.processing_time(&gray);
+        let processing_time = self.processing_time(&failure_mode);
         let Some(mut permit) =
             self.limiter.admit(processing_time, exchange::request_timeout(&request))
         else {
@@ -196,7 +196,7 @@
                 () = caller_gone => return false,
             }
         }
-        if matches!(&gray, Gray::Error(share) if is_hit(*share)) {
+        if matches!(&failure_mode, FailureMode::Error(share) if is_hit(*share)) {
             let mut response = Response::new(500);
             response.body = "failed\n".into();
             return writer.send(response).await.is_ok() && !writer.is_closing();
@@ -204,7 +204,7 @@
         let identity = text(IDENTITY_HEADER).unwrap_or_default();
         let size = text(SIZE_HEADER).and_then(|size| size.parse().ok()).unwrap_or(0);
         let body = body_for(&identity, &upload, size);
-        if matches!(&gray, Gray::Cut(share) if is_hit(*share)) {
+        if matches!(&failure_mode, FailureMode::Cut(share) if is_hit(*share)) {
             send_cut(stream, &body).await;
             return false;
         }
@@ -243,7 +243,7 @@
                 let body = std::mem::take(&mut request.body).read_all().await.unwrap_or_default();
                 let text = String::from_utf8_lossy(&body);
                 match text.trim().parse() {
-                    Ok(gray) => self.set_gray(gray),
+                    Ok(failure_mode) => self.set_failure_mode(failure_mode),
                     Err(error) => {
                         response.status = 400;
                         response.body = format!("{error}\n").into();
--- a/src/upstream/setup.rs
+++ b/src/upstream/setup.rs
@@ -6,7 +6,7 @@
 use crate::id::ServiceId;
 use crate::id::UpstreamId;
 
-use super::Gray;
+use super::FailureMode;
 
 /// Parameters of a simulated upstream.
 #[derive(Clone, Debug)]
@@ -19,7 +19,7 @@
     /// Operator addresses of the entries that it announces itself to.
     pub entries: Vec<SocketAddr>,
     /// Initial failure mode.
-    pub gray: Gray,
+    pub failure_mode: FailureMode,
     /// Identifies this start of the upstream; a higher incarnation is newer.
     pub incarnation: Incarnation,
     /// Lease duration of an announcement.
@@ -48,7 +48,7 @@
             cold: 1.0,
             domain: domain.into(),
             entries: Vec::new(),
-            gray: Gray::None,
+            failure_mode: FailureMode::None,
             incarnation: crate::node::incarnation(),
             lease: Duration::from_secs(6),
             listen,
