--- a/src/cli/upstream.rs
+++ b/src/cli/upstream.rs
@@ -67,11 +67,11 @@
     let mut setup = Setup::new(&name, &service, &options.domain, listen);
     setup.entries = options.entry;
     setup.slots = options.slots.max(1);
-    setup.work = Duration::from_millis(options.work);
+    setup.processing_time = Duration::from_millis(options.work);
     setup.queue = options.queue;
     setup.failure_mode = options.gray;
     setup.warm_up = Duration::from_secs(options.warm_up);
-    setup.cold = options.cold;
+    setup.cold_start_factor = options.cold;
     setup.lease = Duration::from_secs(options.lease.max(1));
     async_std::task::block_on(async {
         let mut signals = listen_for_signals();
--- a/src/demo/site.rs
+++ b/src/demo/site.rs
@@ -143,7 +143,7 @@
         let listen = SocketAddr::from(([127, 0, 0, 1], 0));
         let mut setup = Setup::new(&format!("hull-{}", at + 1), "hull-register", domain, listen);
         setup.entries = entries.to_vec();
-        setup.work = Duration::from_millis(if at == 0 { 30 } else { 10 });
+        setup.processing_time = Duration::from_millis(if at == 0 { 30 } else { 10 });
         stands.push(Server::start(setup).await?);
     }
     Ok(stands)
--- a/src/upstream/server.rs
+++ b/src/upstream/server.rs
@@ -145,7 +145,9 @@
         let warm_up = self.setup.warm_up.as_secs_f64();
         let cold = if uptime < warm_up { 1.0 - uptime / warm_up } else { 0.0 };
         let slow = if let FailureMode::Slow(factor) = failure_mode { *factor } else { 1.0 };
-        self.setup.work.mul_f64((1.0 + cold * (self.setup.cold - 1.0).max(0.0)) * slow)
+        self.setup
+            .processing_time
+            .mul_f64((1.0 + cold * (self.setup.cold_start_factor - 1.0).max(0.0)) * slow)
     }
 
     async fn serve_connection(self: Arc<Self>, stream: TcpStream, peer: SocketAddr) {
--- a/src/upstream/setup.rs
+++ b/src/upstream/setup.rs
@@ -13,7 +13,7 @@
 pub struct Setup {
     /// Factor on the processing time at the start, which falls linearly to 1 over `warm_up`;
     /// a factor below 1 has no effect.
-    pub cold: f64,
+    pub cold_start_factor: f64,
     /// Failure domain that it announces.
     pub domain: DomainId,
     /// Operator addresses of the entries that it announces itself to.
@@ -37,7 +37,7 @@
     /// Duration of the cold start.
     pub warm_up: Duration,
     /// Processing time of a request.
-    pub work: Duration,
+    pub processing_time: Duration,
 }
 
 impl Setup {
@@ -45,7 +45,7 @@
     /// time of 25 ms.
     pub fn new(name: &str, service: &str, domain: &str, listen: SocketAddr) -> Self {
         Self {
-            cold: 1.0,
+            cold_start_factor: 1.0,
             domain: domain.into(),
             entries: Vec::new(),
             failure_mode: FailureMode::None,
@@ -57,7 +57,7 @@
             service: service.into(),
             slots: 4,
             warm_up: Duration::ZERO,
-            work: Duration::from_millis(25),
+            processing_time: Duration::from_millis(25),
         }
     }
 }
