--- a/src/demo/run.rs
+++ b/src/demo/run.rs
@@ -89,7 +89,7 @@
     let (report, ()) = futures::join!(load::run(&plan, tag, progress), failure);
     let mut report = report?;
     let mut runs = BTreeMap::new();
-    for (key, count) in stands.iter().flat_map(Server::all_runs) {
+    for (key, count) in stands.iter().flat_map(Server::runs_by_key) {
         *runs.entry(key).or_default() += count;
     }
     report.reconcile(&runs);
--- a/src/upstream/server.rs
+++ b/src/upstream/server.rs
@@ -112,7 +112,7 @@
     }
 
     /// All keys that ran, each with its number of runs.
-    pub fn all_runs(&self) -> Vec<(compact_str::CompactString, u32)> {
+    pub fn runs_by_key(&self) -> Vec<(compact_str::CompactString, u32)> {
         self.inner.limiter.counts().runs.iter().map(|(key, count)| (key.clone(), *count)).collect()
     }
 
