--- a/src/load/caller.rs
+++ b/src/load/caller.rs
@@ -165,7 +165,7 @@
         request.set_header(name(upstream::IDENTITY_HEADER), &spec.identity);
         request.set_header(name(upstream::SIZE_HEADER), size);
         if spec.kind.keyed {
-            request.set_header(name(upstream::KEY_HEADER), &spec.identity);
+            request.set_header(name(upstream::IDEMPOTENCY_KEY_HEADER), &spec.identity);
         }
         if !spec.upload.is_empty() {
             request.body = spec.upload.clone().into();
--- a/src/upstream.rs
+++ b/src/upstream.rs
@@ -25,6 +25,6 @@
 /// Header of any answer that states that the upstream is draining.
 pub const DRAINING_HEADER: &str = "x-draining";
 /// Request header with the caller's idempotency key for a non-idempotent request.
-pub const KEY_HEADER: &str = "idempotency-key";
+pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 /// Header of an answer with the upstream's load: running and queued requests per slot.
 pub const LOAD_HEADER: &str = "x-load";
--- a/src/upstream/server.rs
+++ b/src/upstream/server.rs
@@ -28,8 +28,8 @@
 use super::DRAINING_HEADER;
 use super::Error;
 use super::FailureMode;
+use super::IDEMPOTENCY_KEY_HEADER;
 use super::IDENTITY_HEADER;
-use super::KEY_HEADER;
 use super::LOAD_HEADER;
 use super::NOT_RUN_HEADER;
 use super::SIZE_HEADER;
@@ -188,7 +188,7 @@
             return false;
         };
         let text = |name| request.header(name).map(ToOwned::to_owned);
-        let key = text(KEY_HEADER).map(Into::into);
+        let key = text(IDEMPOTENCY_KEY_HEADER).map(Into::into);
         {
             let run = permit.run(processing_time, key).fuse();
             let caller_gone = writer.caller_gone().fuse();
