--- a/src/timeline.rs
+++ b/src/timeline.rs
@@ -1,9 +1,9 @@
 //! Events of all processes, merged in causal order.
 //!
-//! Each process stamps its events with a hybrid logical [`Clock`] and writes them
-//! as JSON lines through a [`Recorder`]. Messages between processes carry the
-//! sender's [`Stamp`], which the receiver observes; so an effect always has a
-//! higher stamp than its cause, although the VMs' clocks differ by seconds.
+//! Each process stamps its events with a hybrid logical [`Clock`] and passes them to a
+//! [`Recorder`], which normally writes them to a file as JSON lines. Messages between processes
+//! carry the sender's [`Stamp`], which the receiver observes. An effect therefore has a higher
+//! stamp than its cause, even though the VMs' wall clocks differ by seconds.
 
 mod calendar;
 mod clock;
--- a/src/timeline/error.rs
+++ b/src/timeline/error.rs
@@ -1,16 +1,16 @@
-//! Errors of the time line.
+//! Errors of event files.
 
 use std::path::PathBuf;
 
 use thiserror::Error;
 
-/// What went wrong with a file of events.
+/// Errors of opening, reading and writing event files.
 #[derive(Debug, Error)]
 pub enum Error {
     /// The file could not be opened or created.
     #[error("could not open event file `{path}`")]
     Open {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// Cause.
         source: std::io::Error,
@@ -18,15 +18,15 @@
     /// The file could not be read.
     #[error("could not read event file `{path}`")]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// Cause.
         source: std::io::Error,
     },
-    /// The writer's thread could not be started.
+    /// The writer thread could not be started.
     #[error("could not start the writer of event file `{path}`")]
     Thread {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// Cause.
         source: std::io::Error,
--- a/src/timeline/event.rs
+++ b/src/timeline/event.rs
@@ -1,4 +1,4 @@
-//! One line of a file of events.
+//! Events as they are written to event files, one JSON object a line.
 
 use std::collections::BTreeMap;
 
@@ -16,16 +16,16 @@
 use crate::timeline::Kind;
 use crate::timeline::Stamp;
 
-/// What happened in one process, with the ids that tie it to other events.
+/// Event in one process, with the ids that relate it to other events.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Event {
-    /// Place in the causal order.
+    /// Position in the causal order.
     pub stamp: Stamp,
-    /// Process that recorded it.
+    /// Process that recorded the event.
     pub vm: NodeId,
-    /// What it tells.
+    /// Kind of the event.
     pub kind: Kind,
-    /// Configuration concerned.
+    /// Number of the configuration concerned.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub configuration: Option<ConfigNumber>,
     /// Incarnation of the member or upstream concerned.
@@ -46,13 +46,13 @@
     /// Upstream concerned.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub upstream: Option<UpstreamId>,
-    /// Short texts besides.
+    /// Additional short texts by name.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub detail: BTreeMap<CompactString, CompactString>,
 }
 
 impl Event {
-    /// Event without ids or details.
+    /// Creates an event without ids and details.
     pub fn new(stamp: Stamp, vm: NodeId, kind: Kind) -> Self {
         Self {
             stamp,
@@ -75,7 +75,7 @@
         self
     }
 
-    /// Adds a short text.
+    /// Adds a short text under `name`.
     pub fn detail(mut self, name: &str, text: impl AsRef<str>) -> Self {
         self.detail.insert(name.into(), CompactString::new(text));
         self
--- a/src/timeline/file_recorder.rs
+++ b/src/timeline/file_recorder.rs
@@ -1,4 +1,4 @@
-//! Events as JSON lines in a file.
+//! Writes events to a file as JSON lines.
 
 use std::fs::File;
 use std::fs::OpenOptions;
@@ -21,14 +21,14 @@
 use crate::timeline::Recorder;
 use crate::timeline::Stamp;
 
-/// Bytes at the end of a file in which a whole event is looked for; events are
-/// some hundred bytes long.
-const TAIL: u64 = 65_536;
+/// Number of bytes at the end of a file that are searched for the last complete event. An event
+/// takes a few hundred bytes.
+const TAIL_BYTES: u64 = 65_536;
 
-/// Appends each event as one line, from a thread of its own.
+/// Appends each event to a file as one line, from a dedicated thread.
 ///
-/// A disk that stalls must not stall traffic: when the queue is full an event is
-/// dropped and counted, and the next line written says how many were lost.
+/// A stalled disk must not block requests: when the queue is full, events are dropped and
+/// counted, and a [`Kind::EventsLost`] event with the count precedes the next event written.
 #[derive(Debug)]
 pub struct FileRecorder {
     last: Option<Stamp>,
@@ -38,31 +38,31 @@
 }
 
 impl FileRecorder {
-    /// Events that may wait for the disk: about 2 MB at 250 bytes each.
-    pub const QUEUE_MAX: usize = 8192;
+    /// Maximum number of events that wait to be written: about 2 MB at 250 bytes each.
+    pub const QUEUE_CAPACITY: usize = 8192;
 
-    /// Appends to the file at `path`, which is created where it is missing.
+    /// Opens the file at `path` for appending and creates it if it does not exist.
     ///
     /// # Errors
-    /// When the file can't be opened or the writer's thread can't be started.
+    /// When the file can't be opened or read, or the writer thread can't be started.
     pub fn open(path: &Path) -> Result<Self, Error> {
-        let wrong = |source| Error::Open { path: path.into(), source };
-        let mut file = open(path).map_err(wrong)?;
-        let last = last_stamp(&mut file).map_err(wrong)?;
-        let (sender, receiver) = sync_channel(Self::QUEUE_MAX);
+        let open_error = |source| Error::Open { path: path.into(), source };
+        let mut file = open(path).map_err(open_error)?;
+        let last = last_stamp(&mut file).map_err(open_error)?;
+        let (sender, receiver) = sync_channel(Self::QUEUE_CAPACITY);
         let lost = Arc::new(AtomicU64::new(0));
-        let counter = Arc::clone(&lost);
+        let writer_lost = Arc::clone(&lost);
         let writer = std::thread::Builder::new()
             .name("timeline".into())
-            .spawn(move || write_all(file, &receiver, &counter))
+            .spawn(move || write_all(file, &receiver, &writer_lost))
             .map_err(|source| Error::Thread { path: path.into(), source })?;
         Ok(Self { last, lost, sender: Some(sender), writer: Some(writer) })
     }
 
-    /// Stamp of the last event that an earlier run wrote.
+    /// Stamp of the last event that an earlier run of the process wrote.
     ///
-    /// The clock has to observe it before it hands out stamps: where the VM's clock
-    /// was set back between two runs, the later run would else sort before the earlier.
+    /// The clock has to observe it before it issues stamps. Otherwise, if the VM's wall clock was
+    /// set back between two runs, events of the later run would sort before those of the earlier.
     pub fn last(&self) -> Option<Stamp> {
         self.last
     }
@@ -86,8 +86,8 @@
     }
 }
 
-/// Opens for appending; ends a line that a crash left unfinished, which would
-/// otherwise swallow the first event of this run.
+/// Opens the file for appending and terminates a line that a crash left incomplete. Otherwise
+/// the first event of this run would continue that line and be unreadable.
 fn open(path: &Path) -> std::io::Result<File> {
     let mut file = OpenOptions::new().read(true).append(true).create(true).open(path)?;
     if file.metadata()?.len() > 0 {
@@ -101,10 +101,10 @@
     Ok(file)
 }
 
-/// Reads the stamp of the last whole event, searching the last [`TAIL`] bytes.
+/// Returns the stamp of the last complete event in the last [`TAIL_BYTES`] bytes of the file.
 fn last_stamp(file: &mut File) -> std::io::Result<Option<Stamp>> {
     let length = file.metadata()?.len();
-    file.seek(SeekFrom::Start(length.saturating_sub(TAIL)))?;
+    file.seek(SeekFrom::Start(length.saturating_sub(TAIL_BYTES)))?;
     let mut tail = Vec::new();
     file.read_to_end(&mut tail)?;
     let text = String::from_utf8_lossy(&tail);
@@ -116,8 +116,8 @@
     for event in events {
         let count = lost.swap(0, Ordering::Relaxed);
         if count > 0 {
-            let notice = Event::new(event.stamp, event.vm.clone(), Kind::EventsLost);
-            write_line(&mut file, &notice.detail("count", count.to_string()), lost);
+            let lost_event = Event::new(event.stamp, event.vm.clone(), Kind::EventsLost);
+            write_line(&mut file, &lost_event.detail("count", count.to_string()), lost);
         }
         write_line(&mut file, &event, lost);
     }
--- a/src/timeline/filter.rs
+++ b/src/timeline/filter.rs
@@ -1,4 +1,4 @@
-//! Which events a reader wants to see.
+//! Selects events by the ids that they concern.
 
 use crate::id::ConfigNumber;
 use crate::id::NodeId;
@@ -6,7 +6,7 @@
 use crate::id::UpstreamId;
 use crate::timeline::Event;
 
-/// Conditions on events; those given must all hold.
+/// Conditions on events. An event must meet all that are set.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Filter {
     /// Configuration concerned.
@@ -15,21 +15,21 @@
     pub request: Option<RequestId>,
     /// Upstream concerned.
     pub upstream: Option<UpstreamId>,
-    /// Process that recorded the event, or that it names as the other one.
+    /// Process that recorded the event or that is its peer.
     pub vm: Option<NodeId>,
 }
 
 impl Filter {
-    /// Whether `event` meets the conditions.
-    pub fn admits(&self, event: &Event) -> bool {
-        let vm = |vm: &NodeId| event.vm == *vm || event.peer.as_ref() == Some(vm);
-        meets(&self.configuration, &event.configuration)
-            && meets(&self.request, &event.request)
-            && meets(&self.upstream, &event.upstream)
-            && self.vm.as_ref().is_none_or(vm)
+    /// Returns whether `event` meets all conditions that are set.
+    pub fn matches(&self, event: &Event) -> bool {
+        let is_concerned = |vm: &NodeId| event.vm == *vm || event.peer.as_ref() == Some(vm);
+        is_unset_or_equal(&self.configuration, &event.configuration)
+            && is_unset_or_equal(&self.request, &event.request)
+            && is_unset_or_equal(&self.upstream, &event.upstream)
+            && self.vm.as_ref().is_none_or(is_concerned)
     }
 }
 
-fn meets<T: PartialEq>(wanted: &Option<T>, found: &Option<T>) -> bool {
+fn is_unset_or_equal<T: PartialEq>(wanted: &Option<T>, found: &Option<T>) -> bool {
     wanted.is_none() || wanted == found
 }
--- a/src/timeline/journal.rs
+++ b/src/timeline/journal.rs
@@ -1,4 +1,4 @@
-//! One process's clock and recorder in one place.
+//! Combines the clock and the recorder of one process.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -12,9 +12,10 @@
 use crate::timeline::Recorder;
 use crate::timeline::Stamp;
 
-/// Stamps and records the events of one process, from any of its threads.
+/// Stamps and records the events of one process. It can be shared between threads.
 ///
-/// The lock is held for a comparison and an addition, never over a write.
+/// The lock on the clock is held for a comparison and an addition only, never while an event is
+/// recorded.
 pub struct Journal {
     clock: Mutex<Clock>,
     recorder: Arc<dyn Recorder>,
@@ -22,23 +23,23 @@
 }
 
 impl Journal {
-    /// Journal of process `vm`.
+    /// Creates the journal of process `vm`.
     pub fn new(vm: NodeId, recorder: Arc<dyn Recorder>) -> Self {
         Self { clock: Mutex::new(Clock::new()), recorder, vm }
     }
 
-    /// Takes note of the stamp on a received message.
+    /// Observes the stamp of a received message, as [`Clock::observe`] does.
     pub fn observe(&self, stamp: Stamp, wall: Epoch) -> bool {
         self.clock.lock().unwrap_or_else(PoisonError::into_inner).observe(stamp, wall)
     }
 
-    /// Records an event of `kind`, to which `fill` adds ids and details.
-    pub fn record(&self, wall: Epoch, kind: Kind, fill: impl FnOnce(Event) -> Event) {
+    /// Records an event of `kind`, to which `build` adds ids and details.
+    pub fn record(&self, wall: Epoch, kind: Kind, build: impl FnOnce(Event) -> Event) {
         let event = Event::new(self.stamp(wall), self.vm.clone(), kind);
-        self.recorder.record(fill(event));
+        self.recorder.record(build(event));
     }
 
-    /// Stamp for a message about to be sent.
+    /// Issues the stamp of an event, or of a message that is about to be sent.
     pub fn stamp(&self, wall: Epoch) -> Stamp {
         self.clock.lock().unwrap_or_else(PoisonError::into_inner).tick(wall)
     }
--- a/src/timeline/kind.rs
+++ b/src/timeline/kind.rs
@@ -1,10 +1,10 @@
-//! What an event tells.
+//! Kinds of events.
 
 use compact_str::CompactString;
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Kind of an event; written in kebab case.
+/// Kind of an event, serialised in kebab case.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
@@ -12,13 +12,13 @@
     Claim,
     /// A configuration was accepted by the quorum.
     ConfigurationAccepted,
-    /// A configuration is in force in this process.
+    /// A configuration took effect in this process.
     ConfigurationApplied,
     /// A submitted configuration was refused.
     ConfigurationRefused,
     /// An election was started, won or lost.
     Election,
-    /// The recorder could not keep up; `detail` has the `count`.
+    /// The recorder dropped events or could not write them; `detail` has the `count`.
     EventsLost,
     /// An upstream was ejected.
     Ejected,
@@ -30,11 +30,11 @@
     LinkRefused,
     /// A member's own record changed.
     MemberChanged,
-    /// A member is taken for failed.
+    /// A member is considered failed.
     MemberFailed,
     /// A member joined or came back.
     MemberJoined,
-    /// A member left by its own will.
+    /// A member left voluntarily.
     MemberLeft,
     /// A member is suspected.
     MemberSuspected,
@@ -42,17 +42,17 @@
     ProcessStarted,
     /// The process is stopping.
     ProcessStopping,
-    /// An ejected upstream was taken back.
+    /// An ejected upstream was readmitted.
     Readmitted,
     /// A request was accepted from a caller.
     RequestAccepted,
     /// A request was sent to an upstream.
     RequestDispatched,
-    /// A request was finished; `detail` says how.
+    /// A request was finished; `detail` has the outcome.
     RequestFinished,
-    /// A request was refused as not run.
+    /// A request was refused without being run.
     RequestRefused,
-    /// A request waits for its turn.
+    /// A request is waiting in a queue.
     RequestWaiting,
     /// An upstream was announced.
     UpstreamAnnounced,
@@ -60,15 +60,15 @@
     UpstreamDraining,
     /// An upstream's lease ran out.
     UpstreamExpired,
-    /// An upstream got another home entry.
+    /// An upstream was assigned to another home entry.
     UpstreamMoved,
-    /// A kind that this version has no name for.
+    /// A kind that this version does not know, such as one of a later version.
     #[serde(untagged)]
     Other(CompactString),
 }
 
 impl Kind {
-    /// Name as written in the file.
+    /// Name of the kind as written in event files.
     pub fn name(&self) -> String {
         match serde_json::to_value(self) {
             Ok(serde_json::Value::String(name)) => name,
--- a/src/timeline/merge.rs
+++ b/src/timeline/merge.rs
@@ -1,4 +1,4 @@
-//! Events of many files in causal order.
+//! Merges the events of several files in causal order.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -12,19 +12,18 @@
 use crate::timeline::Report;
 use crate::timeline::Stamp;
 
-/// Reads files of events and puts them in one order.
+/// Merge of several event files.
 ///
-/// The order is that of the stamps, which respects cause and effect between
-/// processes, and that of the lines within a file, which respects it within a
-/// process even where its stamps went back.
+/// Events are sorted by stamp, which keeps effects after their causes across processes. Events
+/// of one file keep the order of their lines, also where the stamps in the file decrease.
 #[derive(Debug, Default)]
 pub struct Merge {
-    events: Vec<Placed>,
+    events: Vec<SourceEvent>,
     notes: Vec<Note>,
 }
 
 #[derive(Debug)]
-struct Placed {
+struct SourceEvent {
     event: Event,
     file: usize,
     line: usize,
@@ -32,12 +31,13 @@
 }
 
 impl Merge {
-    /// Merges the files at `paths`. What can't be read is left out and noted.
+    /// Merges the files at `paths` and keeps the events that match `filter`. Files and lines that
+    /// can't be read are left out and reported as notes.
     pub fn read(paths: &[PathBuf], filter: &Filter) -> Report {
         let mut merge = Self::default();
         for (file, path) in paths.iter().enumerate() {
             match std::fs::read(path) {
-                Ok(bytes) => merge.take(file, path, &String::from_utf8_lossy(&bytes)),
+                Ok(bytes) => merge.add_file(file, path, &String::from_utf8_lossy(&bytes)),
                 Err(error) => {
                     let reason = error.to_string();
                     merge.notes.push(Note::Unreadable { path: path.clone(), reason });
@@ -47,15 +47,15 @@
         merge.finish(filter)
     }
 
-    fn take(&mut self, file: usize, path: &Path, text: &str) {
-        let complete = text.ends_with('\n');
-        let count = text.lines().count();
-        let mut highest = Stamp::default();
+    fn add_file(&mut self, file: usize, path: &Path, text: &str) {
+        let is_complete = text.ends_with('\n');
+        let line_count = text.lines().count();
+        let mut max_stamp = Stamp::default();
         let mut previous = Stamp::default();
         for (index, text) in text.lines().enumerate() {
             let line = index + 1;
             let Ok(event) = serde_json::from_str::<Event>(text) else {
-                self.reject(path, line, line == count && !complete);
+                self.note_invalid_line(path, line, line == line_count && !is_complete);
                 continue;
             };
             if event.stamp < previous {
@@ -63,39 +63,41 @@
                 self.notes.push(Note::Backwards { by, line, path: path.into() });
             }
             previous = event.stamp;
-            highest = highest.max(event.stamp);
-            self.events.push(Placed { event, file, line, stamp: highest });
+            max_stamp = max_stamp.max(event.stamp);
+            self.events.push(SourceEvent { event, file, line, stamp: max_stamp });
         }
     }
 
-    fn reject(&mut self, path: &Path, line: usize, truncated: bool) {
+    fn note_invalid_line(&mut self, path: &Path, line: usize, is_truncated: bool) {
         let path = path.into();
-        let note = if truncated { Note::Truncated { path } } else { Note::Damaged { line, path } };
+        let note =
+            if is_truncated { Note::Truncated { path } } else { Note::Damaged { line, path } };
         self.notes.push(note);
     }
 
     fn finish(mut self, filter: &Filter) -> Report {
-        self.note_missing();
-        self.events.retain(|placed| filter.admits(&placed.event));
+        self.note_missing_processes();
+        self.events.retain(|source| filter.matches(&source.event));
         self.events.sort_by(|a, b| {
-            let place = |placed: &Placed| (placed.stamp, placed.file, placed.line);
-            place(a).cmp(&place(b))
+            let position = |source: &SourceEvent| (source.stamp, source.file, source.line);
+            position(a).cmp(&position(b))
         });
-        let events = self.events.into_iter().map(|placed| placed.event).collect();
+        let events = self.events.into_iter().map(|source| source.event).collect();
         Report::new(events, self.notes)
     }
 
-    fn note_missing(&mut self) {
+    fn note_missing_processes(&mut self) {
         let present: BTreeSet<&NodeId> =
-            self.events.iter().map(|placed| &placed.event.vm).collect();
-        let mut named: BTreeMap<&NodeId, usize> = BTreeMap::new();
-        for peer in self.events.iter().filter_map(|placed| placed.event.peer.as_ref()) {
+            self.events.iter().map(|source| &source.event.vm).collect();
+        let mut reference_counts: BTreeMap<&NodeId, usize> = BTreeMap::new();
+        for peer in self.events.iter().filter_map(|source| source.event.peer.as_ref()) {
             if !present.contains(peer) {
-                *named.entry(peer).or_default() += 1;
+                *reference_counts.entry(peer).or_default() += 1;
             }
         }
-        let missing = |(vm, events): (&NodeId, usize)| Note::Missing { events, vm: vm.clone() };
-        let notes: Vec<Note> = named.into_iter().map(missing).collect();
+        let missing_note =
+            |(vm, events): (&NodeId, usize)| Note::Missing { events, vm: vm.clone() };
+        let notes: Vec<Note> = reference_counts.into_iter().map(missing_note).collect();
         self.notes.extend(notes);
     }
 }
--- a/src/timeline/note.rs
+++ b/src/timeline/note.rs
@@ -1,4 +1,4 @@
-//! What a merge could not take in, or can't vouch for.
+//! Notes about missing input and uncertain order in a merge.
 
 use std::fmt::Display;
 use std::fmt::Formatter;
@@ -7,42 +7,43 @@
 
 use crate::id::NodeId;
 
-/// One thing that a reader of merged events has to know.
+/// Limitation of a merge that a reader of its events has to know.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Note {
-    /// Stamps in a file went back; order against other processes is uncertain there.
+    /// A stamp in a file is lower than the one before, so the order relative to other processes
+    /// is uncertain there.
     Backwards {
-        /// By how much.
+        /// Difference of the wall-clock times of the two stamps.
         by: Duration,
-        /// Line, from 1.
+        /// Line number, starting at 1.
         line: usize,
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
     },
-    /// A line is no event, and not the last.
+    /// A line is not a valid event. An incomplete last line is [`Self::Truncated`] instead.
     Damaged {
-        /// Line, from 1.
+        /// Line number, starting at 1.
         line: usize,
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
     },
-    /// Events name a process whose own events are not there.
+    /// Events name a process as peer of which there are no events.
     Missing {
-        /// Events that name it.
+        /// Number of events that name the process.
         events: usize,
-        /// The process.
+        /// Process without events.
         vm: NodeId,
     },
-    /// The last line is cut short: the process died or still writes.
+    /// The last line is incomplete, because the process crashed or is still writing.
     Truncated {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
     },
     /// A file could not be read.
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// Error of the operating system.
         reason: String,
     },
 }
--- a/src/timeline/recorder.rs
+++ b/src/timeline/recorder.rs
@@ -1,13 +1,13 @@
-//! Where events go.
+//! Destinations of events.
 
 use std::sync::Mutex;
 use std::sync::PoisonError;
 
 use crate::timeline::Event;
 
-/// Takes events; never waits for a disk.
+/// Records events without blocking on a disk.
 pub trait Recorder: Send + Sync {
-    /// Takes one event.
+    /// Records one event.
     fn record(&self, event: Event);
 }
 
--- a/src/timeline/report.rs
+++ b/src/timeline/report.rs
@@ -1,4 +1,4 @@
-//! Merged events, as text and as a page.
+//! Formats merged events as text and as an HTML page.
 
 use std::collections::BTreeSet;
 use std::fmt::Write;
@@ -10,22 +10,22 @@
 use crate::timeline::Note;
 use crate::timeline::calendar;
 
-/// Page without its data.
-const PAGE: &str = include_str!("page.html");
+/// HTML page with a placeholder for the data.
+const PAGE_TEMPLATE: &str = include_str!("page.html");
 
-/// Place of the data in [`PAGE`].
-const DATA: &str = "\"@DATA@\"";
+/// Placeholder for the data in [`PAGE_TEMPLATE`].
+const DATA_PLACEHOLDER: &str = "\"@DATA@\"";
 
-/// Events in causal order and what is to be known about them.
+/// Events in causal order, with notes about missing input and uncertain order.
 #[derive(Clone, Debug)]
 pub struct Report {
     events: Vec<Event>,
     notes: Vec<Note>,
 }
 
-/// What the page's script works on.
+/// PageData that the page's script displays.
 #[derive(Serialize)]
-struct Data<'a> {
+struct PageData<'a> {
     absent: Vec<NodeId>,
     events: Vec<Row<'a>>,
     lanes: Vec<NodeId>,
@@ -55,18 +55,18 @@
         &self.events
     }
 
-    /// What could not be taken in or is uncertain.
+    /// Notes about missing input and uncertain order.
     pub fn notes(&self) -> &[Note] {
         &self.notes
     }
 
-    /// Processes that have events, one lane each.
+    /// Processes that recorded events, in the order of their ids. Each has a lane on the page.
     pub fn lanes(&self) -> Vec<NodeId> {
         let lanes: BTreeSet<&NodeId> = self.events.iter().map(|event| &event.vm).collect();
         lanes.into_iter().cloned().collect()
     }
 
-    /// One line for each note and each event.
+    /// Formats the report as text, with one line for each note and each event.
     pub fn text(&self) -> String {
         let mut text = String::new();
         for note in &self.notes {
@@ -86,24 +86,24 @@
         text
     }
 
-    /// A page that needs no other file, with a lane for each process, those included
-    /// that are only named.
+    /// Formats the report as a self-contained HTML page, with a lane for each process, including
+    /// processes that only occur as peers.
     pub fn html(&self) -> String {
-        let own = self.lanes();
+        let recording = self.lanes();
         let peers = self.events.iter().filter_map(|event| event.peer.clone());
-        let lanes: BTreeSet<NodeId> = own.iter().cloned().chain(peers).collect();
-        let data = Data {
-            absent: lanes.iter().filter(|lane| !own.contains(lane)).cloned().collect(),
+        let lanes: BTreeSet<NodeId> = recording.iter().cloned().chain(peers).collect();
+        let data = PageData {
+            absent: lanes.iter().filter(|lane| !recording.contains(lane)).cloned().collect(),
             events: self.events.iter().map(Row::new).collect(),
             lanes: lanes.into_iter().collect(),
             notes: self.notes.iter().map(Note::to_string).collect(),
         };
         let json = serde_json::to_string(&data).unwrap_or_else(|_| "null".into());
-        PAGE.replace(DATA, &escape(&json))
+        PAGE_TEMPLATE.replace(DATA_PLACEHOLDER, &escape(&json))
     }
 }
 
-/// Keeps a `</script>` in an event's text from ending the page's data.
+/// Escapes `<`, so that a `</script>` in an event's text does not end the page's data.
 fn escape(json: &str) -> String {
     json.replace('<', "\\u003c")
 }
@@ -120,11 +120,12 @@
         number("term", event.term),
         text("upstream", &event.upstream),
     ];
-    let detail = event.detail.iter().map(|(name, value)| (name.as_str(), quoted(value)));
+    let detail = event.detail.iter().map(|(name, value)| (name.as_str(), quote_if_needed(value)));
     ids.into_iter().flatten().chain(detail).collect()
 }
 
-fn quoted(value: &str) -> String {
-    let plain = !value.is_empty() && !value.contains(|c: char| c.is_whitespace() || c.is_control());
-    if plain { value.into() } else { format!("{value:?}") }
+fn quote_if_needed(value: &str) -> String {
+    let is_plain =
+        !value.is_empty() && !value.contains(|c: char| c.is_whitespace() || c.is_control());
+    if is_plain { value.into() } else { format!("{value:?}") }
 }
--- a/tests/suite/timeline.rs
+++ b/tests/suite/timeline.rs
@@ -1,4 +1,4 @@
-//! Time line: clock, files and merge.
+//! Tests of the time line: clock, event files, merge and report.
 
 use std::path::Path;
 use std::path::PathBuf;
@@ -23,8 +23,8 @@
 
 #[test]
 fn clock_receiver_behind_sender() {
-    // The receiver's clock is 5 s behind the sender's. What it does after the
-    // message must still sort after the message, or effects precede causes.
+    // The receiver's wall clock is 5 s behind the sender's. Events after the receipt must still
+    // sort after the sending.
     let mut sender = Clock::new();
     let mut receiver = Clock::new();
     let sent = sender.tick(Duration::from_secs(105));
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn clock_stamp_of_next_year() {
+fn clock_ignores_stamp_far_ahead() {
     let mut clock = Clock::new();
     let far = Stamp { micros: 365 * 86_400 * 1_000_000, counter: 0 };
     assert!(!clock.observe(far, Duration::from_secs(100)));
@@ -42,12 +42,12 @@
 }
 
 #[test]
-fn file_recorder_unfinished_line() {
-    // A crash left half a line. The first event of the next run must start a line
-    // of its own, or the reader loses it with the torn one.
+fn file_recorder_incomplete_last_line() {
+    // A crash left an incomplete line. The first event of the next run must start a new line,
+    // or it is lost with the incomplete one.
     let folder = tempfile::tempdir().expect("folder");
     let path = folder.path().join("events.jsonl");
-    std::fs::write(&path, "{\"stamp\":{\"mic").expect("torn line");
+    std::fs::write(&path, "{\"stamp\":{\"mic").expect("incomplete line");
     let event = Event::new(Stamp::default(), "vm-1".into(), Kind::ProcessStarted);
     let recorder = FileRecorder::open(&path).expect("recorder");
     recorder.record(event.clone());
@@ -64,8 +64,8 @@
     assert_eq!(Kind::MemberFailed.name(), "member-failed");
 }
 
-/// Writes one file of events a process into a folder.
-fn write(folder: &Path, vm: &str, events: &[Event]) -> PathBuf {
+/// Writes the event file of process `vm` into `folder`.
+fn write_events(folder: &Path, vm: &str, events: &[Event]) -> PathBuf {
     let path = folder.join(vm);
     let recorder = FileRecorder::open(&path).expect("recorder");
     events.iter().for_each(|event| recorder.record(event.clone()));
@@ -77,8 +77,9 @@
     Event::new(Stamp { micros, counter: 0 }, vm.into(), kind)
 }
 
-/// A request that crosses three processes whose clocks differ by seconds.
-fn request_over_three(folder: &Path) -> Vec<PathBuf> {
+/// Writes the event files of three processes that a request passes through and whose wall
+/// clocks differ by seconds.
+fn write_request_on_three_vms(folder: &Path) -> Vec<PathBuf> {
     let walls = [Duration::from_secs(100), Duration::from_secs(93), Duration::from_secs(108)];
     let kinds = [Kind::RequestAccepted, Kind::Claim, Kind::RequestFinished];
     let mut received = Stamp::default();
@@ -90,18 +91,17 @@
         received = clock.tick(walls[index]);
         let vm = format!("vm-{index}");
         let event = Event::new(stamp, vm.as_str().into(), kind).request("request-7".into());
-        paths.push(write(folder, &vm, &[event]));
+        paths.push(write_events(folder, &vm, &[event]));
     }
     paths
 }
 
 #[test]
-fn merge_clocks_that_differ_by_seconds() {
-    // A request is accepted, claimed and finished on three VMs. The second one's
-    // clock is 7 s behind the first, the third 15 s ahead of the second. The order is
-    // that of cause and effect all the same.
+fn merge_wall_clocks_seconds_apart() {
+    // A request is accepted, claimed and finished on three VMs. The second VM's wall clock is 7 s
+    // behind the first, the third's 15 s ahead of the second. The merge must keep causal order.
     let folder = tempfile::tempdir().expect("folder");
-    let mut paths = request_over_three(folder.path());
+    let mut paths = write_request_on_three_vms(folder.path());
     paths.reverse();
     let report = Merge::read(&paths, &Filter::default());
     let kinds: Vec<Kind> = report.events().iter().map(|event| event.kind.clone()).collect();
@@ -112,10 +112,10 @@
 #[test]
 fn merge_truncated_last_line() {
     let folder = tempfile::tempdir().expect("folder");
-    let path = write(folder.path(), "vm-1", &[event(1, "vm-1", Kind::ProcessStarted)]);
+    let path = write_events(folder.path(), "vm-1", &[event(1, "vm-1", Kind::ProcessStarted)]);
     let mut text = std::fs::read_to_string(&path).expect("text");
     text.push_str("{\"stamp\":{\"micros\":2,\"cou");
-    std::fs::write(&path, text).expect("torn");
+    std::fs::write(&path, text).expect("incomplete line");
     let report = Merge::read(std::slice::from_ref(&path), &Filter::default());
     assert_eq!(report.events().len(), 1);
     assert_eq!(report.notes(), [Note::Truncated { path }]);
@@ -126,8 +126,8 @@
 fn merge_damaged_line_between_two_runs() {
     let folder = tempfile::tempdir().expect("folder");
     let path = folder.path().join("vm-1");
-    std::fs::write(&path, "{\"stamp\":{\"mic").expect("torn");
-    let path = write(folder.path(), "vm-1", &[event(1, "vm-1", Kind::ProcessStarted)]);
+    std::fs::write(&path, "{\"stamp\":{\"mic").expect("incomplete line");
+    let path = write_events(folder.path(), "vm-1", &[event(1, "vm-1", Kind::ProcessStarted)]);
     let report = Merge::read(std::slice::from_ref(&path), &Filter::default());
     assert_eq!(report.events().len(), 1);
     assert_eq!(report.notes(), [Note::Damaged { line: 1, path }]);
@@ -137,7 +137,7 @@
 fn merge_missing_process_and_missing_file() {
     let folder = tempfile::tempdir().expect("folder");
     let failed = event(1, "vm-1", Kind::MemberFailed).peer("vm-2".into());
-    let path = write(folder.path(), "vm-1", &[failed]);
+    let path = write_events(folder.path(), "vm-1", &[failed]);
     let absent = folder.path().join("vm-3");
     let report = Merge::read(&[path, absent.clone()], &Filter::default());
     assert_eq!(report.events().len(), 1);
@@ -148,10 +148,11 @@
 
 #[test]
 fn merge_clock_set_back_between_two_runs() {
-    // A VM's clock is set back by an hour over a restart. The new run goes on from
-    // the last stamp in the file, so its events sort after those of the old run.
+    // A VM's wall clock is set back by an hour during a restart. The new run must continue from
+    // the last stamp in the file, so that its events sort after those of the old run.
     let folder = tempfile::tempdir().expect("folder");
-    let path = write(folder.path(), "vm-1", &[event(7_200_000_000, "vm-1", Kind::ProcessStopping)]);
+    let path =
+        write_events(folder.path(), "vm-1", &[event(7_200_000_000, "vm-1", Kind::ProcessStopping)]);
     let recorder = Arc::new(FileRecorder::open(&path).expect("recorder"));
     let wall = Duration::from_secs(3600);
     let last = recorder.last().expect("stamp");
@@ -165,11 +166,11 @@
 }
 
 #[test]
-fn merge_stamps_that_go_back_are_noted() {
+fn merge_notes_decreasing_stamps() {
     let folder = tempfile::tempdir().expect("folder");
     let events =
         [event(9_000_000, "vm-1", Kind::ProcessStarted), event(2_000_000, "vm-1", Kind::Claim)];
-    let path = write(folder.path(), "vm-1", &events);
+    let path = write_events(folder.path(), "vm-1", &events);
     let report = Merge::read(std::slice::from_ref(&path), &Filter::default());
     assert_eq!(report.events()[1].kind, Kind::Claim);
     assert_eq!(report.notes(), [Note::Backwards { by: Duration::from_secs(7), line: 2, path }]);
@@ -193,18 +194,19 @@
         upstream(event(4, "vm-2", Kind::UpstreamAnnounced)),
         upstream(event(5, "vm-2", Kind::Ejected)),
     ];
-    let paths = [write(folder.path(), "vm-1", &first), write(folder.path(), "vm-2", &second)];
+    let paths =
+        [write_events(folder.path(), "vm-1", &first), write_events(folder.path(), "vm-2", &second)];
     assert_eq!(Merge::read(&paths, &filter).events().len(), count);
 }
 
 #[test]
-fn report_text_and_page() {
+fn report_text_and_html() {
     let folder = tempfile::tempdir().expect("folder");
     let micros = 1_709_210_096_000_007;
     let event = event(micros, "vm-1", Kind::RequestFinished)
         .request("request-1".into())
         .detail("outcome", "cut </script> short");
-    let path = write(folder.path(), "vm-1", &[event]);
+    let path = write_events(folder.path(), "vm-1", &[event]);
     let report = Merge::read(&[path], &Filter::default());
     let line = "2024-02-29 12:34:56.000007+0  vm-1  request-finished        request=request-1  \
                 outcome=\"cut </script> short\"\n";
@@ -215,8 +217,8 @@
 }
 
 proptest! {
-    /// Processes whose clocks differ by up to 10 s send each other messages. However
-    /// they do it, the merged order never shows a receipt before its sending.
+    /// Processes whose wall clocks differ by up to 10 s send each other messages. The merged
+    /// order must never show a receipt before its sending.
     #[test]
     fn merge_keeps_cause_before_effect(
         skews in vec(0_u64..10_000, 4),
@@ -242,17 +244,17 @@
         let paths: Vec<PathBuf> = files
             .iter()
             .enumerate()
-            .map(|(vm, events)| write(folder.path(), &format!("vm-{vm}"), events))
+            .map(|(vm, events)| write_events(folder.path(), &format!("vm-{vm}"), events))
             .collect();
         let report = Merge::read(&paths, &Filter::default());
         prop_assert!(report.notes().is_empty());
-        let place = |number: usize, kind: Kind| {
+        let position = |number: usize, kind: Kind| {
             let request = Some(format_compact!("request-{number}"));
             report.events().iter().position(|event| event.request == request && event.kind == kind)
         };
         for number in 0..messages.len() {
-            let sent = place(number, Kind::RequestDispatched);
-            prop_assert!(sent < place(number, Kind::RequestAccepted));
+            let sent = position(number, Kind::RequestDispatched);
+            prop_assert!(sent < position(number, Kind::RequestAccepted));
             prop_assert!(sent.is_some());
         }
     }
