--- a/src/upstream.rs
+++ b/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Simulated upstream with failures that can be switched on and off.
+//! Test upstream with failures that can be switched on and off.
 //!
 //! It announces itself, drains, starts cold, honours deadlines and cancellation, and sheds
 //! load with a header that says the request was not run. It counts the runs of each
--- a/src/upstream/announcer.rs
+++ b/src/upstream/announcer.rs
@@ -1,4 +1,4 @@
-//! Announces a simulated upstream to one of its configured entries, and to the next one after
+//! Announces a test upstream to one of its configured entries, and to the next one after
 //! a failure.
 
 use std::net::SocketAddr;
--- a/src/upstream/error.rs
+++ b/src/upstream/error.rs
@@ -1,6 +1,6 @@
 use thiserror::Error as ThisError;
 
-/// Errors of a simulated upstream.
+/// Errors of a test upstream.
 #[derive(Debug, ThisError)]
 pub enum Error {
     /// The text is not a valid failure mode.
--- a/src/upstream/failure_mode.rs
+++ b/src/upstream/failure_mode.rs
@@ -3,7 +3,7 @@
 
 use super::Error;
 
-/// Gray failure of a simulated upstream, which fails requests while its health check succeeds.
+/// Gray failure of a test upstream, which fails requests while its health check succeeds.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FailureMode {
     /// Closes the connection in the middle of the body in this share of its answers.
--- a/src/upstream/limiter.rs
+++ b/src/upstream/limiter.rs
@@ -20,7 +20,7 @@
     slots: usize,
 }
 
-/// Request counts of a simulated upstream.
+/// Request counts of a test upstream.
 #[derive(Clone, Debug, Default, serde::Serialize, serde::Deserialize)]
 pub(super) struct Counts {
     /// Requests that started to run.
--- a/src/upstream/server.rs
+++ b/src/upstream/server.rs
@@ -44,7 +44,7 @@
 /// [`FailureMode::Silent`].
 const SILENT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Running simulated upstream.
+/// Running test upstream.
 pub struct Server {
     address: SocketAddr,
     inner: Arc<Inner>,
@@ -150,7 +150,7 @@
             .mul_f64((1.0 + cold * (self.setup.cold_start_factor - 1.0).max(0.0)) * slow)
     }
 
-    async fn serve_connection(self: Arc<Self>, stream: TcpStream, peer: SocketAddr) {
+    async fn handle(self: Arc<Self>, stream: TcpStream, peer: SocketAddr) {
         let mut reader = RequestReader::new(stream.clone(), peer);
         while let Some((request, writer)) = reader.next(IDLE_TIMEOUT).await {
             if !self.serve(request, writer, &stream).await {
@@ -261,9 +261,7 @@
 async fn accept(listener: TcpListener, inner: Arc<Inner>) {
     loop {
         match listener.accept().await {
-            Ok((stream, peer)) => {
-                drop(task::spawn(Arc::clone(&inner).serve_connection(stream, peer)))
-            }
+            Ok((stream, peer)) => drop(task::spawn(Arc::clone(&inner).handle(stream, peer))),
             Err(error) => {
                 tracing::warn!(target: "upstream", "could not accept a connection: {error}");
                 task::sleep(Duration::from_millis(50)).await;
--- a/src/upstream/setup.rs
+++ b/src/upstream/setup.rs
@@ -8,7 +8,7 @@
 
 use super::FailureMode;
 
-/// Parameters of a simulated upstream.
+/// Parameters of a test upstream.
 #[derive(Clone, Debug)]
 pub struct Setup {
     /// Factor on the processing time at the start, which falls linearly to 1 over `warm_up`;
