--- a/src/cli/upstream.rs
+++ b/src/cli/upstream.rs
@@ -4,9 +4,9 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use crate::upstream::Gray;
+use crate::upstream::FailureMode;
+use crate::upstream::Server;
 use crate::upstream::Setup;
-use crate::upstream::Stand;
 
 use super::Error;
 use super::run::listen_for_signals;
@@ -43,7 +43,7 @@
     pub queue: usize,
     /// gray mode: none, slow:8, error:0.5, cut:0.5, silent:0.5, flap:2:error:1
     #[options(no_short, default = "none")]
-    pub gray: Gray,
+    pub gray: FailureMode,
     /// duration of the cold start in seconds
     #[options(no_short, default = "0")]
     pub warm_up: u64,
@@ -67,15 +67,15 @@
     let mut setup = Setup::new(&name, &service, &options.domain, listen);
     setup.entries = options.entry;
     setup.slots = options.slots.max(1);
-    setup.work = Duration::from_millis(options.work);
+    setup.processing_time = Duration::from_millis(options.work);
     setup.queue = options.queue;
-    setup.gray = options.gray;
+    setup.failure_mode = options.gray;
     setup.warm_up = Duration::from_secs(options.warm_up);
-    setup.cold = options.cold;
+    setup.cold_start_factor = options.cold;
     setup.lease = Duration::from_secs(options.lease.max(1));
     async_std::task::block_on(async {
         let mut signals = listen_for_signals();
-        let upstream = Stand::start(setup).await?;
+        let upstream = Server::start(setup).await?;
         println!("listening on {}", upstream.address());
         next_signal(&mut signals).await;
         upstream.drain();
