--- a/src/node/monitors.rs
+++ b/src/node/monitors.rs
@@ -15,8 +15,8 @@
 use crate::id::ServiceId;
 use crate::id::UpstreamId;
 use crate::replay;
+use crate::replay::MachineRecorder;
 use crate::replay::Recorder;
-use crate::replay::Tape;
 use crate::rule::Rules;
 use crate::timeline::Event;
 use crate::timeline::Kind;
@@ -75,8 +75,8 @@
         input: health::Input,
     ) -> Vec<Output> {
         let Some(monitor) = self.monitors.get_mut(service) else { return Vec::new() };
-        let tape = tape(&self.recorder, service);
-        tape.input(now, || replay::Input::Judge(input.clone()));
+        let machine_recorder = machine_recorder(&self.recorder, service);
+        machine_recorder.record_input(now, || replay::Input::Judge(input.clone()));
         let monitor_outputs = monitor.handle(now, input);
         self.convert(service, monitor_outputs)
     }
@@ -121,7 +121,7 @@
             match self.monitors.get_mut(name) {
                 Some(monitor) => {
                     let input = || replay::Input::Setup(config.clone());
-                    tape(&self.recorder, name).input(now, input);
+                    machine_recorder(&self.recorder, name).record_input(now, input);
                     let monitor_outputs = monitor.set_config(now, config);
                     outputs.extend(self.convert(name, monitor_outputs));
                 }
@@ -140,7 +140,7 @@
         let random = ChaCha8Rng::seed_from_u64(seed);
         let monitor = Monitor::new(me.clone(), config.clone(), random);
         let machine = || replay::Machine::Judge { name: me, seed, setup: config };
-        tape(&self.recorder, name).machine(now, machine);
+        machine_recorder(&self.recorder, name).record_machine(now, machine);
         self.monitors.insert(name.clone(), monitor);
     }
 
@@ -183,7 +183,7 @@
     }
 }
 
-/// Tape on which the monitor of a service is recorded.
-fn tape(recorder: &Recorder, service: &ServiceId) -> Tape {
-    Tape::new(recorder, format_compact!("judge/{service}"))
+/// Recorder of the monitor of a service.
+fn machine_recorder(recorder: &Recorder, service: &ServiceId) -> MachineRecorder {
+    MachineRecorder::new(recorder, format_compact!("judge/{service}"))
 }
--- a/src/node/traffic/queue.rs
+++ b/src/node/traffic/queue.rs
@@ -22,7 +22,7 @@
 use crate::health;
 use crate::node;
 use crate::replay;
-use crate::replay::Tape;
+use crate::replay::MachineRecorder;
 use crate::rule::Class;
 
 use super::Proxy;
@@ -46,7 +46,7 @@
     classes: Vec<Class>,
     gate: Option<Gate>,
     slots: Option<usize>,
-    tape: Tape,
+    machine_recorder: MachineRecorder,
     waiting: BTreeMap<u64, (Arrival, Sender<Admission>)>,
 }
 
@@ -68,8 +68,8 @@
 }
 
 impl Queue {
-    pub(super) fn new(seed: u64, tape: Tape) -> Self {
-        Self { seed, state: Mutex::new(State { tape, ..State::default() }) }
+    pub(super) fn new(seed: u64, machine_recorder: MachineRecorder) -> Self {
+        Self { seed, state: Mutex::new(State { machine_recorder, ..State::default() }) }
     }
 
     /// Number of waiting requests.
@@ -132,7 +132,7 @@
         let random = ChaCha8Rng::seed_from_u64(seed);
         self.gate = Some(Gate::new(classes, random, now));
         let machine = || replay::Machine::Gate { classes: classes.to_vec(), seed };
-        self.tape.machine(now, machine);
+        self.machine_recorder.record_machine(now, machine);
         self.handle(now, Input::Capacity { slots: self.slots });
         let waiting: Vec<Arrival> =
             self.waiting.values().map(|(arrival, _)| arrival.clone()).collect();
@@ -143,7 +143,7 @@
 
     fn handle(&mut self, now: Moment, input: Input) {
         let Some(gate) = &mut self.gate else { return };
-        self.tape.input(now, || replay::Input::Gate(input.clone()));
+        self.machine_recorder.record_input(now, || replay::Input::Gate(input.clone()));
         for output in gate.handle(now, input) {
             let (ticket, admission) = match output {
                 Output::Refuse { reason, retry_after, ticket } => {
--- a/src/node/traffic/service.rs
+++ b/src/node/traffic/service.rs
@@ -20,9 +20,9 @@
 use crate::id::ServiceId;
 use crate::id::UpstreamId;
 use crate::node::view;
+use crate::replay::MachineRecorder;
 use crate::replay::Policy;
 use crate::replay::Recorder;
-use crate::replay::Tape;
 use crate::retry;
 use crate::settings;
 use crate::settings::Settings;
@@ -54,10 +54,11 @@
         let mut setup = balance::Setup::new(node.id.clone(), node.failure_domain.clone(), 1);
         setup.local = settings.traffic.local;
         let seed = crate::node::incarnation();
-        let tape = |kind: &str| Tape::new(recorder, format_compact!("{kind}/{name}"));
-        let policy = Policy::new(seed, tape("policy"));
+        let machine_recorder =
+            |kind: &str| MachineRecorder::new(recorder, format_compact!("{kind}/{name}"));
+        let policy = Policy::new(seed, machine_recorder("policy"));
         let picker = Picker::new(setup, ChaCha8Rng::seed_from_u64(seed));
-        let queue = Queue::new(seed, tape("gate"));
+        let queue = Queue::new(seed, machine_recorder("gate"));
         Self {
             is_first: settings.first_start,
             name,
--- a/src/replay/tape.rs
+++ b/src/replay/machine_recorder.rs
@@ -9,19 +9,19 @@
 
 /// The part of a [`Recorder`] that belongs to one machine.
 #[derive(Clone, Debug, Default)]
-pub struct Tape {
+pub struct MachineRecorder {
     of: CompactString,
     recorder: Recorder,
 }
 
-impl Tape {
-    /// The tape of the machine `of`, such as `gate/shop`.
+impl MachineRecorder {
+    /// Creates the recorder of the machine `of`, such as `gate/shop`.
     pub fn new(recorder: &Recorder, of: CompactString) -> Self {
         Self { of, recorder: recorder.clone() }
     }
 
     /// Notes that the machine was made.
-    pub fn machine(&self, now: Moment, machine: impl FnOnce() -> Machine) {
+    pub fn record_machine(&self, now: Moment, machine: impl FnOnce() -> Machine) {
         if self.recorder.is_on() {
             let machine = Some(machine());
             self.record(Line { machine, ..self.line(now) });
@@ -29,7 +29,7 @@
     }
 
     /// Notes an input, which is made only where it is recorded.
-    pub fn input(&self, now: Moment, input: impl FnOnce() -> Input) {
+    pub fn record_input(&self, now: Moment, input: impl FnOnce() -> Input) {
         if self.recorder.is_on() {
             let input = Some(input());
             self.record(Line { input, ..self.line(now) });
--- a/src/replay/policy.rs
+++ b/src/replay/policy.rs
@@ -5,8 +5,8 @@
 
 use super::Input;
 use super::Machine;
+use super::MachineRecorder;
 use super::Retry;
-use super::Tape;
 use crate::clock::Moment;
 use crate::retry;
 use crate::retry::Attempt;
@@ -17,17 +17,17 @@
 pub struct Policy {
     now: Moment,
     policy: retry::Policy,
-    tape: Tape,
+    machine_recorder: MachineRecorder,
 }
 
 impl Policy {
     /// Makes the policy.
-    pub fn new(seed: u64, tape: Tape) -> Self {
-        tape.machine(Moment::ZERO, || Machine::Policy { seed });
+    pub fn new(seed: u64, machine_recorder: MachineRecorder) -> Self {
+        machine_recorder.record_machine(Moment::ZERO, || Machine::Policy { seed });
         Self {
             now: Moment::ZERO,
             policy: retry::Policy::new(ChaCha8Rng::seed_from_u64(seed)),
-            tape,
+            machine_recorder,
         }
     }
 
@@ -84,6 +84,6 @@
     }
 
     fn note_down(&self, input: impl FnOnce() -> Retry) {
-        self.tape.input(self.now, || Input::Policy(input()));
+        self.machine_recorder.record_input(self.now, || Input::Policy(input()));
     }
 }
--- a/tests/suite/replay/record.rs
+++ b/tests/suite/replay/record.rs
@@ -10,12 +10,12 @@
 use hemlockfield::replay::Input;
 use hemlockfield::replay::Line;
 use hemlockfield::replay::Machine;
+use hemlockfield::replay::MachineRecorder;
 use hemlockfield::replay::Output;
 use hemlockfield::replay::Policy;
 use hemlockfield::replay::Recorder;
 use hemlockfield::replay::Report;
 use hemlockfield::replay::Retry;
-use hemlockfield::replay::Tape;
 use hemlockfield::replay::Trace;
 use hemlockfield::settings::Record;
 use rand::SeedableRng;
@@ -48,13 +48,15 @@
     let mut simulation = Pattern::Burst.simulation(3);
     simulation.jobs.truncate(120);
     simulation.run(&mut taped);
-    let gate = Tape::new(&recorder, "gate/shop".into());
+    let gate = MachineRecorder::new(&recorder, "gate/shop".into());
     for line in &taped.lines {
-        line.machine.iter().for_each(|machine| gate.machine(line.at_us.0, || machine.clone()));
-        line.input.iter().for_each(|input| gate.input(line.at_us.0, || input.clone()));
+        line.machine
+            .iter()
+            .for_each(|machine| gate.record_machine(line.at_us.0, || machine.clone()));
+        line.input.iter().for_each(|input| gate.record_input(line.at_us.0, || input.clone()));
     }
-    let judged = run_judge(&Tape::new(&recorder, "judge/shop".into()));
-    let advised = run_policy(Tape::new(&recorder, "policy/shop".into()));
+    let judged = run_judge(&MachineRecorder::new(&recorder, "judge/shop".into()));
+    let advised = run_policy(MachineRecorder::new(&recorder, "policy/shop".into()));
     drop((gate, recorder));
     let report = Trace::read(&path).expect("trace").run();
     let gated = taped.outputs.into_iter().map(|(at, output)| (at, Output::Gate(output)));
@@ -64,15 +66,19 @@
     assert!(!judged.is_empty() && report.lost == 0);
 }
 
-fn run_judge(tape: &Tape) -> Vec<(Moment, Output)> {
+fn run_judge(machine_recorder: &MachineRecorder) -> Vec<(Moment, Output)> {
     let (seed, setup) = (9, health::Config::default());
     let mut judge = Monitor::new("e00".into(), setup.clone(), ChaCha8Rng::seed_from_u64(seed));
-    tape.machine(Moment::ZERO, || Machine::Judge { name: "e00".into(), seed, setup });
+    machine_recorder.record_machine(Moment::ZERO, || Machine::Judge {
+        name: "e00".into(),
+        seed,
+        setup,
+    });
     let mut outputs = Vec::new();
     for (at, input) in judge::some() {
         let at = at + Duration::from_nanos(7);
         for input in [input, health::Input::Tick] {
-            tape.input(at, || Input::Judge(input.clone()));
+            machine_recorder.record_input(at, || Input::Judge(input.clone()));
             let done = judge.handle(at, input).into_iter();
             outputs.extend(done.map(|output| (at, Output::Judge(output))));
         }
@@ -80,8 +86,8 @@
     outputs
 }
 
-fn run_policy(tape: Tape) -> Vec<(Moment, Output)> {
-    let mut policy = Policy::new(4, tape);
+fn run_policy(machine_recorder: MachineRecorder) -> Vec<(Moment, Output)> {
+    let mut policy = Policy::new(4, machine_recorder);
     let mut outputs = Vec::new();
     for tries in (1..=3).cycle().take(90) {
         policy.record_first();
@@ -105,10 +111,11 @@
     let folder = tempfile::tempdir().expect("folder");
     let path = folder.path().join("entry.jsonl");
     let recorder = recorder(&path, LIMIT);
-    let tape = Tape::new(&recorder, "policy/shop".into());
-    tape.machine(Moment::ZERO, || Machine::Policy { seed: 1 });
-    (1..SENT).for_each(|_| tape.input(Moment::ZERO, || Input::Policy(Retry::First)));
-    drop((tape, recorder));
+    let machine_recorder = MachineRecorder::new(&recorder, "policy/shop".into());
+    machine_recorder.record_machine(Moment::ZERO, || Machine::Policy { seed: 1 });
+    (1..SENT)
+        .for_each(|_| machine_recorder.record_input(Moment::ZERO, || Input::Policy(Retry::First)));
+    drop((machine_recorder, recorder));
     let text = std::fs::read_to_string(&path).expect("file");
     let written: Vec<Line> =
         text.lines().map(|line| serde_json::from_str(line).expect("line")).collect();
@@ -125,7 +132,7 @@
     let path = folder.path().join("entry.jsonl");
     for _ in 0..2 {
         let recorder = recorder(&path, 1024);
-        let mut policy = Policy::new(4, Tape::new(&recorder, "policy/shop".into()));
+        let mut policy = Policy::new(4, MachineRecorder::new(&recorder, "policy/shop".into()));
         (0..100).for_each(|_| policy.record_first());
         drop((policy, recorder));
         let length = std::fs::metadata(&path).expect("file").len();
@@ -138,6 +145,7 @@
 
 #[test]
 fn record_off() {
-    let tape = Tape::new(&Recorder::open(None).expect("recorder"), "policy/shop".into());
-    tape.input(Moment::ZERO, || panic!("nobody records"));
+    let machine_recorder =
+        MachineRecorder::new(&Recorder::open(None).expect("recorder"), "policy/shop".into());
+    machine_recorder.record_input(Moment::ZERO, || panic!("nobody records"));
 }
