--- a/src/bench/fleet.rs
+++ b/src/bench/fleet.rs
@@ -8,7 +8,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::fake::Weather;
+use crate::fake::Conditions;
 use crate::fleet::Member;
 use crate::fleet::Output;
 use crate::fleet::Status;
@@ -47,7 +47,7 @@
 
 fn measure(seed: u64, size: usize, report: &mut String) {
     let before = resident();
-    let mut trial = Trial::new(seed, size, Weather::fair());
+    let mut trial = Trial::new(seed, size, Conditions::reliable());
     trial.run(SECOND * 60);
     let memory = resident().saturating_sub(before) / size;
     let settled = trial.agrees(size);
@@ -166,13 +166,13 @@
 
 fn loss(trial: &mut Trial, span: u32, report: &mut String) {
     trial.reset();
-    trial.net.weather.loss = 0.05;
+    trial.net.conditions.loss = 0.05;
     trial.run(SECOND * span);
     let suspected = trial.events.iter().filter(|(_, _, o)| matches!(o, Output::Suspected(_)));
     let suspected = suspected.count();
     let wrong = failures(trial);
     let bytes = rate(trial, span);
-    trial.net.weather.loss = 0.0;
+    trial.net.conditions.loss = 0.0;
     let _ = writeln!(
         report,
         "  5% loss for {span} s: {wrong} false verdicts, {suspected} suspicions heard, {bytes:.0} B/s"
--- a/src/bench/spread.rs
+++ b/src/bench/spread.rs
@@ -17,8 +17,8 @@
 use crate::config::Replicator;
 use crate::config::Settings;
 use crate::config::Version;
+use crate::fake::Conditions;
 use crate::fake::Net;
-use crate::fake::Weather;
 use crate::id::NodeId;
 
 /// Time between two changes: 1,400 a day.
@@ -139,10 +139,10 @@
     fn new(seed: u64, case: &Case) -> Self {
         let delay_min = Duration::from_millis(1);
         let delay_max = Duration::from_millis(30);
-        let weather = Weather { loss: case.loss, duplication: 0.0, delay_min, delay_max };
+        let conditions = Conditions { loss: case.loss, duplication: 0.0, delay_min, delay_max };
         let mut fleet = Self {
             replicators: BTreeMap::new(),
-            net: Net::new(seed, weather),
+            net: Net::new(seed, conditions),
             now: Duration::ZERO,
             tally: Tally::default(),
         };
--- a/src/fake.rs
+++ b/src/fake.rs
@@ -4,6 +4,6 @@
 mod net;
 
 pub use disk::Disk;
+pub use net::Conditions;
 pub use net::Delivery;
 pub use net::Net;
-pub use net::Weather;
--- a/src/fake/net.rs
+++ b/src/fake/net.rs
@@ -17,7 +17,7 @@
 
 /// How the network treats each message; probabilities are from 0 to 1.
 #[derive(Clone, Debug)]
-pub struct Weather {
+pub struct Conditions {
     /// Probability that a message is lost.
     pub loss: f64,
     /// Probability that a message arrives twice.
@@ -28,9 +28,9 @@
     pub delay_max: Duration,
 }
 
-impl Weather {
+impl Conditions {
     /// Nothing lost or doubled, each message 1 ms under way.
-    pub fn fair() -> Self {
+    pub fn reliable() -> Self {
         let delay = Duration::from_millis(1);
         Self { loss: 0.0, duplication: 0.0, delay_min: delay, delay_max: delay }
     }
@@ -54,7 +54,7 @@
 #[derive(Debug)]
 pub struct Net {
     /// Treatment of messages sent from now on.
-    pub weather: Weather,
+    pub conditions: Conditions,
     cuts: BTreeSet<(NodeId, NodeId)>,
     queue: BinaryHeap<Reverse<Delivery>>,
     random: ChaCha8Rng,
@@ -63,9 +63,9 @@
 
 impl Net {
     /// Network whose accidents all follow from `seed`.
-    pub fn new(seed: u64, weather: Weather) -> Self {
+    pub fn new(seed: u64, conditions: Conditions) -> Self {
         Self {
-            weather,
+            conditions,
             cuts: BTreeSet::new(),
             queue: BinaryHeap::new(),
             random: ChaCha8Rng::seed_from_u64(seed),
@@ -99,10 +99,10 @@
         if self.cuts.contains(&(from.clone(), to.clone())) {
             return;
         }
-        if self.random.random_bool(self.weather.loss) {
+        if self.random.random_bool(self.conditions.loss) {
             return;
         }
-        if self.random.random_bool(self.weather.duplication) {
+        if self.random.random_bool(self.conditions.duplication) {
             self.push(now, from, to, bytes.clone());
         }
         self.push(now, from, to, bytes);
@@ -122,7 +122,7 @@
     }
 
     fn push(&mut self, now: Moment, from: &NodeId, to: &NodeId, bytes: Vec<u8>) {
-        let delay = self.random.random_range(self.weather.delay_min..=self.weather.delay_max);
+        let delay = self.random.random_range(self.conditions.delay_min..=self.conditions.delay_max);
         self.sequence += 1;
         self.queue.push(Reverse(Delivery {
             at: now + delay,
--- a/src/fleet/trial.rs
+++ b/src/fleet/trial.rs
@@ -11,8 +11,8 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::clock::Moment;
+use crate::fake::Conditions;
 use crate::fake::Net;
-use crate::fake::Weather;
 use crate::fleet::Input;
 use crate::fleet::Member;
 use crate::fleet::Message;
@@ -57,12 +57,12 @@
 
 impl Trial {
     /// Starts `count` members at once; the first three are everybody's seeds.
-    pub fn new(seed: u64, count: usize, weather: Weather) -> Self {
+    pub fn new(seed: u64, count: usize, conditions: Conditions) -> Self {
         let mut trial = Self {
             events: Vec::new(),
             members: BTreeMap::new(),
             messages: BTreeMap::new(),
-            net: Net::new(seed, weather),
+            net: Net::new(seed, conditions),
             now: Moment::ZERO,
             sent: BTreeMap::new(),
             longest: 0,
--- a/src/registry/trial.rs
+++ b/src/registry/trial.rs
@@ -10,8 +10,8 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::clock::Moment;
+use crate::fake::Conditions;
 use crate::fake::Net;
-use crate::fake::Weather;
 use crate::fleet;
 use crate::fleet::Member;
 use crate::id::NodeId;
@@ -57,7 +57,7 @@
 impl Trial {
     /// Entries over a fleet that has settled; no upstreams yet.
     pub fn new(seed: u64, count: usize) -> Self {
-        let mut fleet = fleet::Trial::new(seed, count, Weather::fair());
+        let mut fleet = fleet::Trial::new(seed, count, Conditions::reliable());
         fleet.run(Duration::from_secs(if count > 100 { 60 } else { 20 }));
         let new = |index: usize| {
             let random = ChaCha8Rng::seed_from_u64(seed ^ (index as u64) << 32);
@@ -72,7 +72,7 @@
             events: Vec::new(),
             fleet,
             longest: 0,
-            net: Net::new(seed, Weather::fair()),
+            net: Net::new(seed, Conditions::reliable()),
             probes: 0,
             registries,
             seen: BTreeMap::new(),
--- a/tests/suite/claim/agent.rs
+++ b/tests/suite/claim/agent.rs
@@ -7,7 +7,7 @@
 use hemlockfield::claim::ClaimId;
 use hemlockfield::claim::Message;
 use hemlockfield::claim::Outcome;
-use hemlockfield::fake::Weather;
+use hemlockfield::fake::Conditions;
 use proptest::prelude::ProptestConfig;
 use proptest::prelude::any;
 use proptest::prelude::prop;
@@ -17,13 +17,13 @@
 use super::cluster::Response;
 use super::cluster::ms;
 
-fn lossy_weather() -> Weather {
-    Weather { loss: 0.2, duplication: 0.2, delay_min: ms(1), delay_max: ms(60) }
+fn lossy_conditions() -> Conditions {
+    Conditions { loss: 0.2, duplication: 0.2, delay_min: ms(1), delay_max: ms(60) }
 }
 
 #[test]
 fn begin_and_finish() {
-    let mut cluster = Cluster::new(1, Weather::fair());
+    let mut cluster = Cluster::new(1, Conditions::reliable());
     cluster.begin("a", 1, "k");
     cluster.run(ms(10));
     assert_eq!(cluster.response("a", 1), Some(&Response::Granted));
@@ -41,7 +41,7 @@
 /// through another entry is granted instead of finding the key in use.
 #[test]
 fn begin_lost_grant() {
-    let mut cluster = Cluster::new(2, Weather::fair());
+    let mut cluster = Cluster::new(2, Conditions::reliable());
     cluster.run(ms(100));
     cluster.cut("a", false, true);
     cluster.begin_by("a", 1, "k", cluster.now + ms(500));
@@ -57,7 +57,7 @@
 /// requests are granted again.
 #[test]
 fn begin_control_away() {
-    let mut cluster = Cluster::new(3, Weather::fair());
+    let mut cluster = Cluster::new(3, Conditions::reliable());
     cluster.begin("a", 1, "k");
     cluster.run(ms(100));
     cluster.leader = None;
@@ -83,7 +83,7 @@
 /// it to the new leader, within the caller's deadline.
 #[test]
 fn begin_leader_lost() {
-    let mut cluster = Cluster::new(4, Weather::fair());
+    let mut cluster = Cluster::new(4, Conditions::reliable());
     cluster.run(ms(100));
     cluster.leader = Some(2);
     cluster.net.cut_both(&"a".into(), &"c0".into());
@@ -94,7 +94,7 @@
 
 #[test]
 fn abandon_proved_not_run() {
-    let mut cluster = Cluster::new(5, Weather::fair());
+    let mut cluster = Cluster::new(5, Conditions::reliable());
     cluster.begin("a", 1, "k");
     cluster.run(ms(100));
     cluster.abandon("a", 1);
@@ -107,7 +107,7 @@
 /// and must not be applied to the new claim.
 #[test]
 fn begin_grant_to_earlier_process() {
-    let slow = Weather { delay_min: ms(50), delay_max: ms(50), ..Weather::fair() };
+    let slow = Conditions { delay_min: ms(50), delay_max: ms(50), ..Conditions::reliable() };
     let mut cluster = Cluster::new(8, slow);
     cluster.begin("a", 1, "k");
     cluster.run(ms(60));
@@ -124,7 +124,7 @@
 /// caller's resend must be granted.
 #[test]
 fn begin_late_copy_of_answered_claim() {
-    let mut cluster = Cluster::new(9, Weather::fair());
+    let mut cluster = Cluster::new(9, Conditions::reliable());
     cluster.begin("b", 1, "k");
     cluster.run(ms(100));
     cluster.leader = None;
@@ -152,7 +152,7 @@
 /// and syncs.
 #[test]
 fn begin_burst() {
-    let mut cluster = Cluster::new(6, Weather::fair());
+    let mut cluster = Cluster::new(6, Conditions::reliable());
     cluster.run(ms(100));
     (1..=200).for_each(|ticket| cluster.begin("a", ticket, &ticket.to_string()));
     cluster.run(ms(12));
@@ -161,7 +161,7 @@
 
 #[test]
 fn begin_over_limit() {
-    let mut cluster = Cluster::new(7, Weather::fair());
+    let mut cluster = Cluster::new(7, Conditions::reliable());
     cluster.leader = None;
     (1..=2_100).for_each(|ticket| cluster.begin("a", ticket, &ticket.to_string()));
     assert_eq!(cluster.response("a", 2_048), None);
@@ -205,7 +205,7 @@
         seed in any::<u64>(),
         steps in prop::collection::vec((0..12_u8, 0..3_u8, 0..6_u8), 1..60),
     ) {
-        let mut cluster = Cluster::new(seed, lossy_weather());
+        let mut cluster = Cluster::new(seed, lossy_conditions());
         for (ticket, (kind, entry, key)) in (1..).zip(steps) {
             step(&mut cluster, ticket, kind, entry, key);
         }
--- a/tests/suite/claim/cluster.rs
+++ b/tests/suite/claim/cluster.rs
@@ -18,8 +18,8 @@
 use hemlockfield::claim::Ticket;
 use hemlockfield::clock::Epoch;
 use hemlockfield::clock::Moment;
+use hemlockfield::fake::Conditions;
 use hemlockfield::fake::Net;
-use hemlockfield::fake::Weather;
 use hemlockfield::id::NodeId;
 
 pub(super) const CLAIM_LIMIT: Duration = Duration::from_secs(30);
@@ -53,7 +53,7 @@
 }
 
 impl Cluster {
-    pub(super) fn new(seed: u64, weather: Weather) -> Self {
+    pub(super) fn new(seed: u64, conditions: Conditions) -> Self {
         let mut cluster = Self {
             abandoned: BTreeSet::new(),
             agents: BTreeMap::new(),
@@ -62,7 +62,7 @@
             keys: BTreeMap::new(),
             leader: Some(0),
             ledger: Ledger::new(Limits::default()),
-            net: Net::new(seed, weather),
+            net: Net::new(seed, conditions),
             now: ms(10),
             responses: BTreeMap::new(),
         };
--- a/tests/suite/claim/killed.rs
+++ b/tests/suite/claim/killed.rs
@@ -5,7 +5,7 @@
 
 use hemlockfield::claim::Answer;
 use hemlockfield::claim::Outcome;
-use hemlockfield::fake::Weather;
+use hemlockfield::fake::Conditions;
 use rstest::rstest;
 
 use super::cluster::CLAIM_LIMIT;
@@ -17,7 +17,7 @@
 /// granted.
 #[test]
 fn resend_killed_before_claim() {
-    let mut cluster = Cluster::new(1, Weather::fair());
+    let mut cluster = Cluster::new(1, Conditions::reliable());
     cluster.run(ms(100));
     cluster.cut("a", true, false);
     cluster.begin("a", 1, "k");
@@ -33,7 +33,7 @@
 #[case::after_dispatch(false, true)]
 #[case::before_record(true, false)]
 fn resend_killed_after_claim(#[case] finished: bool, #[case] restarts: bool) {
-    let mut cluster = Cluster::new(2, Weather::fair());
+    let mut cluster = Cluster::new(2, Conditions::reliable());
     cluster.begin("a", 1, "k");
     cluster.run(ms(100));
     assert_eq!(cluster.response("a", 1), Some(&Response::Granted));
@@ -58,7 +58,7 @@
 /// The entry is killed after the outcome was recorded. The resend gets the outcome.
 #[test]
 fn resend_killed_after_record() {
-    let mut cluster = Cluster::new(3, Weather::fair());
+    let mut cluster = Cluster::new(3, Conditions::reliable());
     cluster.begin("a", 1, "k");
     cluster.run(ms(100));
     cluster.finish("a", 1);
--- a/tests/suite/claim/replicated.rs
+++ b/tests/suite/claim/replicated.rs
@@ -18,8 +18,8 @@
 use hemlockfield::claim::Ticket;
 use hemlockfield::clock::Epoch;
 use hemlockfield::clock::Moment;
+use hemlockfield::fake::Conditions;
 use hemlockfield::fake::Net;
-use hemlockfield::fake::Weather;
 use hemlockfield::id::Index;
 use hemlockfield::id::NodeId;
 use hemlockfield::quorum;
@@ -72,8 +72,8 @@
 
 impl ReplicatedCluster {
     fn new(seed: u64) -> Self {
-        let weather =
-            Weather { loss: 0.05, duplication: 0.05, delay_min: ms(1), delay_max: ms(20) };
+        let conditions =
+            Conditions { loss: 0.05, duplication: 0.05, delay_min: ms(1), delay_max: ms(20) };
         let control = || Control {
             batcher: Batcher::default(),
             disk: Recovered::default(),
@@ -88,7 +88,7 @@
             granted: BTreeMap::new(),
             holders: BTreeMap::new(),
             keys: BTreeMap::new(),
-            net: Net::new(seed, weather),
+            net: Net::new(seed, conditions),
             now: ms(5),
             random: ChaCha8Rng::seed_from_u64(seed),
             responses: BTreeMap::new(),
--- a/tests/suite/config/replicator.rs
+++ b/tests/suite/config/replicator.rs
@@ -5,22 +5,22 @@
 use hemlockfield::config::Input;
 use hemlockfield::config::Message;
 use hemlockfield::config::Standing;
-use hemlockfield::fake::Weather;
+use hemlockfield::fake::Conditions;
 use rstest::rstest;
 
 use super::simulation::Simulation;
 use super::simulation::ms;
 use super::simulation::version;
 
-fn lossy() -> Weather {
-    Weather { loss: 0.05, duplication: 0.05, delay_min: ms(1), delay_max: ms(40) }
+fn lossy() -> Conditions {
+    Conditions { loss: 0.05, duplication: 0.05, delay_min: ms(1), delay_max: ms(40) }
 }
 
 #[rstest]
-#[case::fair(Weather::fair())]
+#[case::fair(Conditions::reliable())]
 #[case::lossy(lossy())]
-fn replicate_versions(#[case] weather: Weather) {
-    let mut simulation = Simulation::new(1, 12, weather);
+fn replicate_versions(#[case] conditions: Conditions) {
+    let mut simulation = Simulation::new(1, 12, conditions);
     for number in 2..40 {
         simulation.commit(number);
         simulation.run(ms(500));
@@ -55,7 +55,7 @@
 /// version 2, which it has to fetch first.
 #[test]
 fn restart_beside_stale_peer() {
-    let mut simulation = Simulation::new(3, 8, Weather::fair());
+    let mut simulation = Simulation::new(3, 8, Conditions::reliable());
     simulation.isolate(1);
     simulation.commit(2);
     simulation.run(ms(5_000));
@@ -72,7 +72,7 @@
 /// peer's only, and the entry must start with its peers' version 2.
 #[test]
 fn restart_beside_stale_control() {
-    let mut simulation = Simulation::new(4, 8, Weather::fair());
+    let mut simulation = Simulation::new(4, 8, Conditions::reliable());
     simulation.input(0, Input::Leads(false));
     simulation.isolate(0);
     let message = Message::Whole(version(2));
@@ -95,7 +95,7 @@
 #[case::with_disk(true)]
 #[case::without_disk(false)]
 fn restart_isolated(#[case] disk: bool) {
-    let mut simulation = Simulation::new(5, 4, Weather::fair());
+    let mut simulation = Simulation::new(5, 4, Conditions::reliable());
     simulation.isolate(3);
     simulation.start(3, disk.then(|| version(1)));
     simulation.run(ms(600_000));
@@ -109,7 +109,7 @@
 /// 90 s that it serves alone, and catch up without a restart once it is connected again.
 #[test]
 fn handle_isolation() {
-    let mut simulation = Simulation::new(6, 8, Weather::fair());
+    let mut simulation = Simulation::new(6, 8, Conditions::reliable());
     simulation.isolate(7);
     simulation.commit(2);
     simulation.run(ms(90_000));
@@ -124,7 +124,7 @@
 /// served would have answered.
 #[test]
 fn restart_all_without_control() {
-    let mut simulation = Simulation::new(7, 6, Weather::fair());
+    let mut simulation = Simulation::new(7, 6, Conditions::reliable());
     simulation.isolate(0);
     for index in 1..6 {
         simulation.start(index, (index == 2).then(|| version(1)));
@@ -140,7 +140,7 @@
 /// must be ignored, because that process may have served a newer version since it asked.
 #[test]
 fn handle_answer_to_previous_process() {
-    let mut simulation = Simulation::new(8, 4, Weather::fair());
+    let mut simulation = Simulation::new(8, 4, Conditions::reliable());
     simulation.isolate(3);
     simulation.start(3, Some(version(1)));
     let (head, standing) = (Some(version(1).head()), Standing::Serving);
@@ -151,7 +151,7 @@
 
 #[test]
 fn handle_damaged_patch() {
-    let mut simulation = Simulation::new(9, 4, Weather::fair());
+    let mut simulation = Simulation::new(9, 4, Conditions::reliable());
     let mut patch = hemlockfield::config::Patch::between(&version(1), &version(2));
     patch.steps.clear();
     let message = Message::Patches(vec![patch]);
@@ -164,7 +164,7 @@
 
 #[test]
 fn handle_conflicting_document() {
-    let mut simulation = Simulation::new(10, 2, Weather::fair());
+    let mut simulation = Simulation::new(10, 2, Conditions::reliable());
     let other = hemlockfield::config::Version::new(1, "x".into(), "other");
     simulation.input(1, Input::Receive { from: Simulation::id(0), message: Message::Whole(other) });
     assert_eq!(
--- a/tests/suite/config/simulation.rs
+++ b/tests/suite/config/simulation.rs
@@ -12,8 +12,8 @@
 use hemlockfield::config::Settings;
 use hemlockfield::config::Standing;
 use hemlockfield::config::Version;
+use hemlockfield::fake::Conditions;
 use hemlockfield::fake::Net;
-use hemlockfield::fake::Weather;
 use hemlockfield::id::NodeId;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -38,10 +38,10 @@
 
 impl Simulation {
     /// Starts `count` replicators, commits version 1 and runs for 5 s.
-    pub(super) fn new(seed: u64, count: usize, weather: Weather) -> Self {
+    pub(super) fn new(seed: u64, count: usize, conditions: Conditions) -> Self {
         let mut simulation = Self {
             replicators: BTreeMap::new(),
-            net: Net::new(seed, weather),
+            net: Net::new(seed, conditions),
             now: Duration::ZERO,
             count,
             seed,
--- a/tests/suite/config/spread.rs
+++ b/tests/suite/config/spread.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hemlockfield::fake::Weather;
+use hemlockfield::fake::Conditions;
 
 use super::simulation::Simulation;
 use super::simulation::ms;
@@ -11,8 +11,9 @@
 /// one within 13 s: pushes reach most of them, digests repair the rest.
 #[test]
 fn replicate_heavy_loss() {
-    let weather = Weather { loss: 0.2, duplication: 0.0, delay_min: ms(1), delay_max: ms(30) };
-    let mut simulation = Simulation::new(1, 44, weather);
+    let conditions =
+        Conditions { loss: 0.2, duplication: 0.0, delay_min: ms(1), delay_max: ms(30) };
+    let mut simulation = Simulation::new(1, 44, conditions);
     simulation.run(Duration::from_secs(30));
     for number in 2..12 {
         simulation.commit(number);
--- a/tests/suite/core_fleet/cluster.rs
+++ b/tests/suite/core_fleet/cluster.rs
@@ -12,9 +12,9 @@
 use hemlockfield::clock::Epoch;
 use hemlockfield::clock::Moment;
 use hemlockfield::config::Version;
+use hemlockfield::fake::Conditions;
 use hemlockfield::fake::Disk;
 use hemlockfield::fake::Net;
-use hemlockfield::fake::Weather;
 use hemlockfield::fleet;
 use hemlockfield::fleet::Member;
 use hemlockfield::id::ConfigNumber;
@@ -115,7 +115,7 @@
             controls: named("c", controls),
             entries: named("e", entries),
             folders: BTreeMap::new(),
-            net: Net::new(seed, Weather::fair()),
+            net: Net::new(seed, Conditions::reliable()),
             now: ms(10),
             running: BTreeMap::new(),
             seed,
--- a/tests/suite/fleet.rs
+++ b/tests/suite/fleet.rs
@@ -6,7 +6,7 @@
 
 use compact_str::CompactString;
 use compact_str::format_compact;
-use hemlockfield::fake::Weather;
+use hemlockfield::fake::Conditions;
 use hemlockfield::fleet::Allowance;
 use hemlockfield::fleet::Digest;
 use hemlockfield::fleet::Input;
@@ -23,7 +23,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 fn settled(seed: u64, count: usize) -> Trial {
-    let mut trial = Trial::new(seed, count, Weather::fair());
+    let mut trial = Trial::new(seed, count, Conditions::reliable());
     trial.run(SECOND * 30);
     assert!(trial.agrees(count));
     trial.reset();
@@ -124,8 +124,8 @@
     // One message in twenty is lost and some come twice, for ten minutes. Repeated
     // and indirect pings and refutations keep every member in.
     let mut trial = settled(7, 44);
-    trial.net.weather.loss = 0.05;
-    trial.net.weather.duplication = 0.01;
+    trial.net.conditions.loss = 0.05;
+    trial.net.conditions.duplication = 0.01;
     trial.run(SECOND * 600);
     assert!(failures(&trial).is_empty());
     assert!(trial.agrees(44));
@@ -193,7 +193,7 @@
     // All start at once and fetch their tables from the same seeds. Members that
     // restart soon after must still get theirs, be trusted although they do not know
     // their observers at first, and hear of a failure domain that is lost then.
-    let mut trial = Trial::new(1, 520, Weather::fair());
+    let mut trial = Trial::new(1, 520, Conditions::reliable());
     trial.run(SECOND * 60);
     assert!(trial.agrees(520));
     for index in [262, 365, 468] {
--- a/tests/suite/quorum/cluster.rs
+++ b/tests/suite/quorum/cluster.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use hemlockfield::clock::Moment;
+use hemlockfield::fake::Conditions;
 use hemlockfield::fake::Net;
-use hemlockfield::fake::Weather;
 use hemlockfield::id::NodeId;
 use hemlockfield::quorum::Body;
 use hemlockfield::quorum::Entry;
@@ -52,7 +52,7 @@
         let mut cluster = Self {
             checker: Checker::default(),
             mutant,
-            net: Net::new(seed, Weather::fair()),
+            net: Net::new(seed, Conditions::reliable()),
             now: Moment::ZERO,
             random: ChaCha8Rng::seed_from_u64(seed),
             tickets: 0,
--- a/tests/suite/quorum/member.rs
+++ b/tests/suite/quorum/member.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hemlockfield::fake::Weather;
+use hemlockfield::fake::Conditions;
 use hemlockfield::id::NodeId;
 use hemlockfield::quorum::Body;
 use hemlockfield::quorum::Change;
@@ -111,7 +111,8 @@
     }
     let wanted = cluster.checker.last_accepted();
     let delay = Duration::from_millis(20);
-    cluster.net.weather = Weather { delay_min: delay, delay_max: delay, ..Weather::fair() };
+    cluster.net.conditions =
+        Conditions { delay_min: delay, delay_max: delay, ..Conditions::reliable() };
     cluster.net.heal_all();
     let mut heard_behind = 0;
     while !cluster.tolerates_one_more_loss() {
--- a/tests/suite/quorum/model.rs
+++ b/tests/suite/quorum/model.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hemlockfield::fake::Weather;
+use hemlockfield::fake::Conditions;
 use hemlockfield::id::NodeId;
 use rand::Rng;
 use rand::seq::IndexedRandom;
@@ -33,7 +33,7 @@
         cluster.step()?;
     }
     cluster.net.heal_all();
-    cluster.net.weather = Weather::fair();
+    cluster.net.conditions = Conditions::reliable();
     for vm in cluster.vms.values_mut() {
         vm.restart_at = cluster.now;
         vm.stalled_until = cluster.now;
@@ -78,8 +78,8 @@
         8 => names.iter().for_each(|it| cluster.net.cut(it, &one)),
         9 => names.iter().for_each(|it| cluster.net.cut(&one, it)),
         10..16 => cluster.net.heal_all(),
-        16..18 => cluster.net.weather = Weather::fair(),
-        18 => cluster.net.weather = lossy_weather(),
+        16..18 => cluster.net.conditions = Conditions::reliable(),
+        18 => cluster.net.conditions = lossy_conditions(),
         19..26 if cluster.can_lose_disk() => lose_disk(cluster, &one),
         26..29 if cluster.can_lose_disk() => {
             let vm = cluster.vms.get_mut(&one).expect("the VM exists");
@@ -92,9 +92,9 @@
     }
 }
 
-fn lossy_weather() -> Weather {
+fn lossy_conditions() -> Conditions {
     let (delay_min, delay_max) = (Duration::from_millis(1), Duration::from_millis(80));
-    Weather { loss: 0.1, duplication: 0.1, delay_min, delay_max }
+    Conditions { loss: 0.1, duplication: 0.1, delay_min, delay_max }
 }
 
 fn crash(cluster: &mut Cluster, name: &NodeId) {
--- a/tests/suite/quorum/schedule.rs
+++ b/tests/suite/quorum/schedule.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hemlockfield::fake::Weather;
+use hemlockfield::fake::Conditions;
 use hemlockfield::id::Index;
 use hemlockfield::id::NodeId;
 use hemlockfield::quorum::Body;
@@ -58,7 +58,8 @@
 /// Schedule of figure 8 of the Raft paper.
 fn old_term(seed: u64, mutant: Option<Mutant>) -> Verdict {
     let mut cluster = Cluster::new(seed, 5, mutant);
-    cluster.net.weather = Weather { delay_min: DELAY, delay_max: DELAY, ..Weather::fair() };
+    cluster.net.conditions =
+        Conditions { delay_min: DELAY, delay_max: DELAY, ..Conditions::reliable() };
     let names = cluster.names();
     let all: Vec<_> = names.iter().collect();
     cluster.run_until("a first leader", TIMEOUT, |it| leader_of(it, &all).is_some())?;
--- a/tests/suite/registry.rs
+++ b/tests/suite/registry.rs
@@ -256,11 +256,11 @@
     // Half of all messages are lost while ten upstreams come and ten drain. Digests
     // find what the flood lost.
     let mut trial = settled(11);
-    trial.net.weather.loss = 0.5;
+    trial.net.conditions.loss = 0.5;
     (30..40).for_each(|index| trial.announce(index, Trial::announcement(index)));
     (0..10).for_each(|index| drain(&mut trial, index, 20));
     trial.run(SECOND * 30);
-    trial.net.weather.loss = 0.0;
+    trial.net.conditions.loss = 0.0;
     trial.run(SECOND * 10);
     let roots: BTreeSet<u32> = trial.registries.values().map(Registry::root).collect();
     assert_eq!(roots.len(), 1);
