--- a/src/fake/disk.rs
+++ b/src/fake/disk.rs
@@ -102,7 +102,7 @@
 
     /// Writes all back, as time does, then flips one bit somewhere; `false` if
     /// there is nothing to flip.
-    pub fn rot(&self) -> bool {
+    pub fn flip_random_bit(&self) -> bool {
         let mut state = self.lock();
         state.write_back();
         let total: usize = state.names.values().map(|id| state.contents[id].cached.len()).sum();
--- a/tests/suite/quorum/model.rs
+++ b/tests/suite/quorum/model.rs
@@ -83,7 +83,7 @@
         19..26 if cluster.can_lose_disk() => lose_disk(cluster, &one),
         26..29 if cluster.can_lose_disk() => {
             let vm = cluster.vms.get_mut(&one).expect("the VM exists");
-            vm.is_damaged = vm.disk.rot();
+            vm.is_damaged = vm.disk.flip_random_bit();
             crash(cluster, &one);
         }
         30..36 => stall(cluster, &one),
