--- a/src/replay.rs
+++ b/src/replay.rs
@@ -32,7 +32,7 @@
 pub use machine_recorder::MachineRecorder;
 pub use micros::Micros;
 pub use output::Output;
-pub use output::Placed;
+pub use output::TimedOutput;
 pub use policy::Policy;
 pub use recorder::Recorder;
 pub use report::Report;
--- a/src/replay/output.rs
+++ b/src/replay/output.rs
@@ -23,7 +23,7 @@
 
 /// An output with its moment and machine.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Placed {
+pub struct TimedOutput {
     /// When.
     pub at: Moment,
     /// Which machine.
--- a/src/replay/report.rs
+++ b/src/replay/report.rs
@@ -1,5 +1,5 @@
 use super::Finding;
-use super::Placed;
+use super::TimedOutput;
 
 /// What a replay came to.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -9,7 +9,7 @@
     /// Inputs that the recording lacks; decisions after them may differ.
     pub lost: u64,
     /// All decisions in order.
-    pub outputs: Vec<Placed>,
+    pub outputs: Vec<TimedOutput>,
 }
 
 impl Report {
--- a/src/replay/run.rs
+++ b/src/replay/run.rs
@@ -7,8 +7,8 @@
 use super::Input;
 use super::Line;
 use super::Output;
-use super::Placed;
 use super::Report;
+use super::TimedOutput;
 use super::expect::is_like;
 use super::player::Player;
 use crate::admission;
@@ -67,7 +67,7 @@
         }
         let Some(player) = self.players.get_mut(&line.of) else { return };
         for output in player.handle(at, input) {
-            self.report.outputs.push(Placed { at, of: line.of.clone(), output });
+            self.report.outputs.push(TimedOutput { at, of: line.of.clone(), output });
         }
         if let (Some(every), Some(until)) = (line.every_us, line.until_us)
             && at + every.0 <= until.0
@@ -115,7 +115,11 @@
         self.report.findings.push(Finding { held, line: number, text });
     }
 
-    fn outputs<'a>(&'a self, line: &'a Line, since: Moment) -> impl Iterator<Item = &'a Placed> {
+    fn outputs<'a>(
+        &'a self,
+        line: &'a Line,
+        since: Moment,
+    ) -> impl Iterator<Item = &'a TimedOutput> {
         let outputs = self.report.outputs.iter();
         outputs.filter(move |placed| placed.of == line.of && placed.at >= since)
     }
