--- a/src/replay.rs
+++ b/src/replay.rs
@@ -1,25 +1,26 @@
-//! Recorded inputs of decision modules, run again against stated outcomes.
+//! Replays recorded inputs of the deterministic state machines (admission gate, health
+//! monitor, retry policy) and checks expectations on their outputs.
 //!
-//! A [`Trace`] is JSON lines: what machine, its setup and seed, then its inputs with
-//! their moments, and between them what callers need of it by then. The machines take
-//! time and chance from outside, so the same lines give the same decisions. A running
-//! entry writes such lines through a [`Recorder`]; people add the expectations.
-//! `docs/design/replay.md` gives the format.
+//! A [`Trace`] consists of JSON lines: each machine with its setup and seed, then its inputs
+//! with their times, and between them the expectations that must hold by then. The machines
+//! get time and random seeds as inputs, so the same lines give the same outputs. A running
+//! entry writes traces through a [`Recorder`]; expectations are added by hand.
+//! `docs/design/replay.md` describes the format.
 
 mod error;
 mod expect;
 mod finding;
 mod input;
+mod instance;
 mod line;
 mod machine;
 mod machine_recorder;
 mod micros;
 mod output;
-mod player;
 mod policy;
 mod recorder;
 mod report;
-mod run;
+mod runner;
 mod trace;
 
 pub use error::Error;
--- a/src/replay/error.rs
+++ b/src/replay/error.rs
@@ -1,32 +1,32 @@
 use std::path::PathBuf;
 
-/// Why a trace can't be read, or recorded.
+/// Error when reading or recording a trace.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// A line that is no part of a trace.
+    /// A line is not valid in a trace.
     #[error("trace `{}`, line `{line}`: {reason}", path.display())]
     Line {
-        /// Line, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// The trace.
+        /// Path of the trace.
         path: PathBuf,
-        /// What is wrong with it.
+        /// What is wrong with the line.
         reason: String,
     },
-    /// A recording that can't be written.
+    /// A recording can't be opened for writing.
     #[error("recording `{}` can't be opened: {source}", path.display())]
     Open {
-        /// The recording.
+        /// Path of the recording.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// A file that can't be read.
+    /// A trace file can't be read.
     #[error("trace `{}` can't be read: {source}", path.display())]
     Read {
-        /// The trace.
+        /// Path of the trace.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
--- a/src/replay/expect.rs
+++ b/src/replay/expect.rs
@@ -7,78 +7,78 @@
 use crate::id::CallerId;
 use crate::id::UpstreamId;
 
-/// What must hold of a machine at a moment.
+/// Expectation on a machine at a given time.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Expect {
-    /// So many outputs were like this; `most` 0 forbids them.
+    /// The number of outputs that match `like` is within bounds; `most` 0 forbids them.
     Count {
-        /// Fewest.
+        /// Smallest number of matching outputs.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         least: Option<usize>,
-        /// Parts that the output must have, as JSON.
+        /// Pattern in JSON: every field in it must be present with the same value in the output.
         like: Value,
-        /// Most.
+        /// Largest number of matching outputs.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         most: Option<usize>,
-        /// Outputs from this moment on count.
+        /// Only outputs from this time on count.
         #[serde(default)]
         since_us: Micros,
     },
-    /// Every request that came was run or refused within a time.
+    /// Every request was run or refused within a time of its arrival.
     Decided {
-        /// Requests from this moment on count.
+        /// Only requests that arrive from this time on count.
         #[serde(default)]
         since_us: Micros,
-        /// Time since it came.
+        /// Time since the arrival of the request.
         within_us: Micros,
     },
-    /// Upstreams that take work.
+    /// Enough upstreams are in service, that is, not ejected and not on trial.
     InService {
-        /// Fewest.
+        /// Smallest number.
         least: usize,
     },
-    /// Requests that run.
+    /// The number of running requests is limited.
     Running {
-        /// Most.
+        /// Largest number.
         most: usize,
     },
-    /// A share of the requests that came was run within a time.
+    /// At least a share of the requests was run within a time of their arrival.
     Started {
-        /// Callers whose requests count; everyone's where empty.
+        /// Callers whose requests count; all callers if empty.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         callers: Vec<CallerId>,
-        /// Smallest share, 0.0 to 1.0.
+        /// Smallest share, from 0.0 to 1.0.
         least_share: f64,
         /// Callers whose requests don't count.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         other_than: Vec<CallerId>,
-        /// Requests from this moment on count.
+        /// Only requests that arrive from this time on count.
         #[serde(default)]
         since_us: Micros,
-        /// Time since it came.
+        /// Time since the arrival of the request.
         within_us: Micros,
     },
-    /// What is held of an upstream.
+    /// The status of an upstream is one of a list.
     Verdict {
-        /// One of these.
+        /// Allowed statuses.
         is: Vec<Status>,
         /// The upstream.
         upstream: UpstreamId,
     },
-    /// Requests that wait.
+    /// The number of waiting requests is limited.
     Waiting {
-        /// Most.
+        /// Largest number.
         most: usize,
     },
 }
 
-/// Whether `found` has all parts of `like`.
-pub(super) fn is_like(found: &Value, like: &Value) -> bool {
-    match (found, like) {
-        (Value::Object(found), Value::Object(like)) => like
+/// Whether `value` has every field of `pattern`, recursively, with the same values.
+pub(super) fn is_match(value: &Value, pattern: &Value) -> bool {
+    match (value, pattern) {
+        (Value::Object(fields), Value::Object(patterns)) => patterns
             .iter()
-            .all(|(name, like)| found.get(name).is_some_and(|found| is_like(found, like))),
-        _ => found == like,
+            .all(|(name, pattern)| fields.get(name).is_some_and(|value| is_match(value, pattern))),
+        _ => value == pattern,
     }
 }
--- a/src/replay/finding.rs
+++ b/src/replay/finding.rs
@@ -1,19 +1,19 @@
 use std::fmt;
 
-/// What became of one expectation.
+/// Result of checking one expectation.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Finding {
-    /// Whether it held.
+    /// Whether the expectation held.
     pub held: bool,
-    /// Line in the trace, from 1.
+    /// Line number in the trace, from 1.
     pub line: usize,
-    /// What was expected, as JSON, what was found, and why it matters.
+    /// The expectation in JSON, the value found, and the reason given in the trace.
     pub text: String,
 }
 
 impl fmt::Display for Finding {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
-        let word = if self.held { "held" } else { "broken" };
-        write!(formatter, "line {}: {word}: {}", self.line, self.text)
+        let result = if self.held { "held" } else { "broken" };
+        write!(formatter, "line {}: {result}: {}", self.line, self.text)
     }
 }
--- a/src/replay/input.rs
+++ b/src/replay/input.rs
@@ -8,42 +8,42 @@
 use crate::retry::Attempt;
 use crate::retry::Limits;
 
-/// What one of the machines is told.
+/// Input of one of the machines.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Input {
-    /// To a gate.
+    /// Input of an admission gate.
     Gate(admission::Input),
-    /// To a judge.
+    /// Input of a health monitor.
     Judge(health::Input),
-    /// To a policy.
+    /// Input of a retry policy.
     Policy(Retry),
-    /// To a judge: the operator changed what it goes by.
+    /// New configuration of a health monitor, set by the operator.
     Setup(health::Config),
 }
 
-/// What a retry policy is told or asked.
+/// Call of a retry policy.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Retry {
-    /// A try went wrong; what follows?
+    /// An attempt failed; decide what follows.
     Decide(Attempt),
-    /// The first try of a request.
+    /// The first attempt of a request was sent.
     First,
-    /// May a second copy go out?
+    /// Ask whether to send a hedge.
     Hedge {
         /// Time left until the deadline.
         remaining: Duration,
     },
-    /// A second copy ended.
+    /// A hedge ended.
     Hedged {
-        /// Whether it answered first.
+        /// Whether the hedge responded first.
         won: bool,
     },
     /// The limits changed.
     Limit(Limits),
-    /// A whole answer came.
+    /// A complete response was received.
     Note {
-        /// Time since the start of its try.
+        /// Time since the start of the attempt.
         time: Duration,
     },
 }
--- a/src/replay/player.rs
+++ b/src/replay/instance.rs
@@ -10,49 +10,52 @@
 use crate::health::Monitor;
 use crate::retry;
 
-/// A machine at work.
-pub(super) enum Player {
+/// A running machine.
+pub(super) enum Instance {
     Gate(Box<Gate>),
     Judge(Box<Monitor>),
     Policy(Box<retry::Policy>),
 }
 
-impl Player {
+impl Instance {
+    /// Creates the machine at the time `now`.
     pub(super) fn new(machine: &Machine, now: Moment) -> Self {
         match machine {
             Machine::Gate { classes, seed } => {
-                Self::Gate(Box::new(Gate::new(classes, random(*seed), now)))
+                Self::Gate(Box::new(Gate::new(classes, seeded_rng(*seed), now)))
             }
             Machine::Judge { name, seed, setup } => {
-                let judge = Monitor::new(name.clone(), setup.clone(), random(*seed));
-                Self::Judge(Box::new(judge))
+                let monitor = Monitor::new(name.clone(), setup.clone(), seeded_rng(*seed));
+                Self::Judge(Box::new(monitor))
+            }
+            Machine::Policy { seed } => {
+                Self::Policy(Box::new(retry::Policy::new(seeded_rng(*seed))))
             }
-            Machine::Policy { seed } => Self::Policy(Box::new(retry::Policy::new(random(*seed)))),
         }
     }
 
-    /// Takes one input; one that the machine does not know changes nothing.
+    /// Handles one input and returns the outputs. Inputs of other kinds of machines are ignored.
     pub(super) fn handle(&mut self, now: Moment, input: Input) -> Vec<Output> {
         match (self, input) {
             (Self::Gate(gate), Input::Gate(input)) => {
                 gate.handle(now, input).into_iter().map(Output::Gate).collect()
             }
-            (Self::Judge(judge), Input::Judge(input)) => {
-                judge.handle(now, input).into_iter().map(Output::Judge).collect()
+            (Self::Judge(monitor), Input::Judge(input)) => {
+                monitor.handle(now, input).into_iter().map(Output::Judge).collect()
             }
-            (Self::Judge(judge), Input::Setup(setup)) => {
-                judge.set_config(now, setup).into_iter().map(Output::Judge).collect()
+            (Self::Judge(monitor), Input::Setup(config)) => {
+                monitor.set_config(now, config).into_iter().map(Output::Judge).collect()
             }
             (Self::Policy(policy), Input::Policy(input)) => {
                 policy.advance(now);
-                advise(policy, input).into_iter().collect()
+                handle_policy(policy, input).into_iter().collect()
             }
             _ => Vec::new(),
         }
     }
 }
 
-fn advise(policy: &mut retry::Policy, input: Retry) -> Option<Output> {
+fn handle_policy(policy: &mut retry::Policy, input: Retry) -> Option<Output> {
     match input {
         Retry::Decide(attempt) => return Some(Output::Policy(policy.decide(&attempt))),
         Retry::First => policy.record_first(),
@@ -64,6 +67,6 @@
     None
 }
 
-fn random(seed: u64) -> ChaCha8Rng {
+fn seeded_rng(seed: u64) -> ChaCha8Rng {
     ChaCha8Rng::seed_from_u64(seed)
 }
--- a/src/replay/line.rs
+++ b/src/replay/line.rs
@@ -7,43 +7,46 @@
 use super::Machine;
 use super::Micros;
 
-/// One line of a trace: exactly one of `expect`, `input`, `lost` and `machine`.
+/// One line of a trace; holds exactly one of `expect`, `input`, `lost` and `machine`.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Line {
     /// Time since the start of the process.
     pub at_us: Micros,
-    /// With `input` and `until_us`: it comes again, each time after this long.
+    /// Interval at which the `input` is repeated until `until_us`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub every_us: Option<Micros>,
-    /// What must hold at that moment.
+    /// Expectation that must hold at that time.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub expect: Option<Expect>,
-    /// What the machine is told.
+    /// Input of the machine.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub input: Option<Input>,
-    /// Inputs that the recorder could not write just before.
+    /// Number of inputs that the recorder dropped before this line.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub lost: Option<u64>,
-    /// A machine made anew; it takes the place of one of the same name.
+    /// Creates a machine, which replaces any of the same name.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub machine: Option<Machine>,
-    /// Name of the machine, where a trace holds several.
+    /// Name of the machine; may be empty if the trace has only one.
     #[serde(skip_serializing_if = "CompactString::is_empty")]
     pub of: CompactString,
-    /// Last moment of a repeated input.
+    /// Last time at which the `input` may be repeated.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub until_us: Option<Micros>,
-    /// Why callers or operators need it.
+    /// Why callers or operators need the expectation to hold.
     #[serde(skip_serializing_if = "CompactString::is_empty")]
     pub why: CompactString,
 }
 
 impl Line {
-    /// Most repeats of one input; bounds the time that a trace can take.
-    pub(super) const REPEATS: u128 = 100_000;
+    /// Maximum number of repeats of one input; bounds the run time of a trace.
+    pub(super) const MAX_REPEATS: u128 = 100_000;
 
-    /// What is wrong with the line by itself.
+    /// Validates the line without regard to other lines.
+    ///
+    /// # Errors
+    /// Describes what is wrong.
     pub(super) fn check(&self) -> Result<(), String> {
         let parts = [
             self.expect.is_some(),
@@ -65,11 +68,11 @@
         if self.input.is_none() {
             return Err("only an `input` is repeated by `every_us`".into());
         }
-        let length = until.0.saturating_sub(self.at_us.0).as_nanos();
-        match length.checked_div(every.0.as_nanos()) {
+        let span = until.0.saturating_sub(self.at_us.0).as_nanos();
+        match span.checked_div(every.0.as_nanos()) {
             None => Err("`every_us` is `0`".into()),
-            Some(count) if count > Self::REPEATS => {
-                Err(format!("`{count}` repeats; at most `{}`", Self::REPEATS))
+            Some(count) if count > Self::MAX_REPEATS => {
+                Err(format!("`{count}` repeats; at most `{}`", Self::MAX_REPEATS))
             }
             Some(_) => Ok(()),
         }
--- a/src/replay/machine.rs
+++ b/src/replay/machine.rs
@@ -9,39 +9,42 @@
 use crate::id::NodeId;
 use crate::rule::Class;
 
-/// Longest wait of a class: far above what rules allow, far below what a sum of times
-/// could not hold.
-const WAIT: Duration = Duration::from_secs(86_400);
+/// Maximum wait of a class: far above what rules allow, yet small enough that sums of times
+/// don't overflow.
+const MAX_WAIT: Duration = Duration::from_secs(86_400);
 
-/// A machine as it was made.
+/// Parameters with which a machine is created.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Machine {
     /// An [`admission::Gate`](crate::admission::Gate).
     Gate {
-        /// Classes in the order of their priority.
+        /// Classes in order of priority.
         classes: Vec<Class>,
-        /// Seed of its jitter.
+        /// Seed of the jitter.
         seed: u64,
     },
     /// A [`health::Monitor`].
     Judge {
-        /// Entry that it works in.
+        /// Name of the entry that runs the monitor.
         name: NodeId,
-        /// Seed of its trials.
+        /// Seed of the random choices.
         seed: u64,
-        /// What the operator set.
+        /// Configuration set by the operator.
         setup: health::Config,
     },
     /// A [`retry::Policy`](crate::retry::Policy).
     Policy {
-        /// Seed of its jitter.
+        /// Seed of the jitter.
         seed: u64,
     },
 }
 
 impl Machine {
-    /// Whether the machine can be made.
+    /// Validates the parameters.
+    ///
+    /// # Errors
+    /// Describes what is wrong.
     pub(super) fn check(&self) -> Result<(), String> {
         match self {
             Self::Gate { classes, .. } if classes.is_empty() => {
@@ -49,9 +52,9 @@
             }
             Self::Gate { classes, .. } => match classes.iter().find(|class| class.weight == 0) {
                 Some(class) => Err(format!("class `{}` has the weight `0`", class.name)),
-                None => match classes.iter().find(|class| class.wait > WAIT) {
+                None => match classes.iter().find(|class| class.wait > MAX_WAIT) {
                     Some(class) => {
-                        Err(format!("class `{}` waits more than `{WAIT:?}`", class.name))
+                        Err(format!("class `{}` waits more than `{MAX_WAIT:?}`", class.name))
                     }
                     None => Ok(()),
                 },
@@ -60,7 +63,8 @@
         }
     }
 
-    pub(super) fn takes(&self, input: &Input) -> bool {
+    /// Whether the machine accepts this kind of input.
+    pub(super) fn accepts(&self, input: &Input) -> bool {
         match self {
             Self::Gate { .. } => matches!(input, Input::Gate(_)),
             Self::Judge { .. } => matches!(input, Input::Judge(_) | Input::Setup(_)),
@@ -68,8 +72,8 @@
         }
     }
 
-    /// Whether the expectation can be asked of it.
-    pub(super) fn answers(&self, expect: &Expect) -> bool {
+    /// Whether the expectation can be checked on this kind of machine.
+    pub(super) fn supports(&self, expect: &Expect) -> bool {
         match expect {
             Expect::Count { .. } => true,
             Expect::InService { .. } | Expect::Verdict { .. } => {
--- a/src/replay/machine_recorder.rs
+++ b/src/replay/machine_recorder.rs
@@ -7,7 +7,7 @@
 use super::Recorder;
 use crate::clock::Moment;
 
-/// The part of a [`Recorder`] that belongs to one machine.
+/// Records the creation and inputs of one machine through a shared [`Recorder`].
 #[derive(Clone, Debug, Default)]
 pub struct MachineRecorder {
     of: CompactString,
@@ -20,7 +20,7 @@
         Self { of, recorder: recorder.clone() }
     }
 
-    /// Notes that the machine was made.
+    /// Records the creation of the machine; `machine` is called only if recording is on.
     pub fn record_machine(&self, now: Moment, machine: impl FnOnce() -> Machine) {
         if self.recorder.is_on() {
             let machine = Some(machine());
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Notes an input, which is made only where it is recorded.
+    /// Records an input; `input` is called only if recording is on.
     pub fn record_input(&self, now: Moment, input: impl FnOnce() -> Input) {
         if self.recorder.is_on() {
             let input = Some(input());
--- a/src/replay/output.rs
+++ b/src/replay/output.rs
@@ -7,27 +7,27 @@
 use crate::health;
 use crate::retry::Decision;
 
-/// What one of the machines decided.
+/// Output of one of the machines.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Output {
-    /// A gate.
+    /// Output of an admission gate.
     Gate(admission::Output),
-    /// A retry policy: whether a second copy goes out.
+    /// Whether a retry policy allows a hedge.
     Hedge(bool),
-    /// A judge.
+    /// Output of a health monitor.
     Judge(health::Output),
-    /// A retry policy.
+    /// Decision of a retry policy after a failed attempt.
     Policy(Decision),
 }
 
-/// An output with its moment and machine.
+/// An output with its time and the machine that produced it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TimedOutput {
-    /// When.
+    /// Time of the output.
     pub at: Moment,
-    /// Which machine.
+    /// Name of the machine.
     pub of: CompactString,
-    /// What it decided.
+    /// The output itself.
     pub output: Output,
 }
--- a/src/replay/policy.rs
+++ b/src/replay/policy.rs
@@ -12,7 +12,7 @@
 use crate::retry::Attempt;
 use crate::retry::Decision;
 
-/// A [`retry::Policy`] whose inputs are recorded.
+/// A [`retry::Policy`] that records its inputs.
 #[derive(Clone, Debug)]
 pub struct Policy {
     now: Moment,
@@ -21,7 +21,7 @@
 }
 
 impl Policy {
-    /// Makes the policy.
+    /// Creates the policy and records its creation.
     pub fn new(seed: u64, machine_recorder: MachineRecorder) -> Self {
         machine_recorder.record_machine(Moment::ZERO, || Machine::Policy { seed });
         Self {
@@ -31,59 +31,59 @@
         }
     }
 
-    /// As [`retry::Policy::advance`].
+    /// Calls [`retry::Policy::advance`]; later inputs are recorded at `now`.
     pub fn advance(&mut self, now: Moment) {
         self.now = now;
         self.policy.advance(now);
     }
 
-    /// As [`retry::Policy::has_spare_retries`].
+    /// Calls [`retry::Policy::has_spare_retries`].
     pub fn has_spare_retries(&self) -> bool {
         self.policy.has_spare_retries()
     }
 
-    /// As [`retry::Policy::decide`].
+    /// Records the input and calls [`retry::Policy::decide`].
     pub fn decide(&mut self, attempt: &Attempt) -> Decision {
-        self.note_down(|| Retry::Decide(*attempt));
+        self.record(|| Retry::Decide(*attempt));
         self.policy.decide(attempt)
     }
 
-    /// As [`retry::Policy::record_first`].
+    /// Records the input and calls [`retry::Policy::record_first`].
     pub fn record_first(&mut self) {
-        self.note_down(|| Retry::First);
+        self.record(|| Retry::First);
         self.policy.record_first();
     }
 
-    /// As [`retry::Policy::try_hedge`].
+    /// Records the input and calls [`retry::Policy::try_hedge`].
     pub fn try_hedge(&mut self, remaining: Duration) -> bool {
-        self.note_down(|| Retry::Hedge { remaining });
+        self.record(|| Retry::Hedge { remaining });
         self.policy.try_hedge(remaining)
     }
 
-    /// As [`retry::Policy::hedge_after`].
+    /// Calls [`retry::Policy::hedge_after`].
     pub fn hedge_after(&self) -> Option<Duration> {
         self.policy.hedge_after()
     }
 
-    /// As [`retry::Policy::record_hedge`].
+    /// Records the input and calls [`retry::Policy::record_hedge`].
     pub fn record_hedge(&mut self, won: bool) {
-        self.note_down(|| Retry::Hedged { won });
+        self.record(|| Retry::Hedged { won });
         self.policy.record_hedge(won);
     }
 
-    /// As [`retry::Policy::set_limits`].
+    /// Records the input and calls [`retry::Policy::set_limits`].
     pub fn set_limits(&mut self, limits: retry::Limits) {
-        self.note_down(|| Retry::Limit(limits));
+        self.record(|| Retry::Limit(limits));
         self.policy.set_limits(limits);
     }
 
-    /// As [`retry::Policy::record_latency`].
+    /// Records the input and calls [`retry::Policy::record_latency`].
     pub fn record_latency(&mut self, time: Duration) {
-        self.note_down(|| Retry::Note { time });
+        self.record(|| Retry::Note { time });
         self.policy.record_latency(time);
     }
 
-    fn note_down(&self, input: impl FnOnce() -> Retry) {
+    fn record(&self, input: impl FnOnce() -> Retry) {
         self.machine_recorder.record_input(self.now, || Input::Policy(input()));
     }
 }
--- a/src/replay/recorder.rs
+++ b/src/replay/recorder.rs
@@ -19,15 +19,15 @@
 use super::Micros;
 use crate::settings;
 
-/// Bytes at the end of a recording in which the last whole line is looked for.
-const TAIL: u64 = 65_536;
+/// Number of bytes at the end of a recording that are searched for the last complete line.
+const TAIL_BYTES: u64 = 65_536;
 
-/// Writes the inputs of a process's machines to a file; off unless set.
+/// Writes the inputs of a process's machines to a file; does nothing by default.
 ///
-/// A disk that stalls must not stall traffic, so lines go through a bounded queue to a
-/// thread of their own. Where it is full a line is dropped and counted, and the next
-/// one written says how many are missing, as a replay may then differ. A full disk
-/// would take the place of state that must survive; so recording ends at a limit.
+/// A stalled disk must not stall traffic, so lines go through a bounded queue to a writer
+/// thread. If the queue is full, lines are dropped and counted, and the count is written
+/// before the next line, because a replay may then differ. Recording stops at a size limit,
+/// because the disk also holds state that must not be lost for lack of space.
 #[derive(Clone, Debug, Default)]
 pub struct Recorder {
     writer: Option<Arc<Writer>>,
@@ -42,22 +42,22 @@
 }
 
 impl Recorder {
-    /// Lines that may wait for the disk: about 2 MB at 250 bytes each.
+    /// Maximum number of queued lines: about 2 MB at 250 bytes each.
     pub const QUEUE_MAX: usize = 8192;
 
-    /// Appends to the file that the settings name, if they do. A line that a crash left
-    /// unfinished is cut.
+    /// Opens the file in `record` for appending, or returns a recorder that does nothing if
+    /// `record` is `None`. An incomplete last line, left by a crash, is removed.
     ///
     /// # Errors
-    /// When the file can't be opened or the writer's thread can't be started.
+    /// If the file can't be opened or the writer thread can't be started.
     pub fn open(record: Option<&settings::Record>) -> Result<Self, Error> {
         let Some(record) = record else { return Ok(Self::default()) };
         let path = &record.file;
-        let wrong = |source| Error::Open { path: path.clone(), source };
-        let (file, length) = open(path).map_err(wrong)?;
+        let open_error = |source| Error::Open { path: path.clone(), source };
+        let (file, length) = open(path).map_err(open_error)?;
         let (sender, receiver) = sync_channel(Self::QUEUE_MAX);
         let (full, lost) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
-        let pen = Pen {
+        let worker = Worker {
             file,
             full: Arc::clone(&full),
             limit: record.limit,
@@ -65,17 +65,17 @@
             length,
         };
         let thread = std::thread::Builder::new().name("record".into());
-        let thread = thread.spawn(move || pen.write_all(&receiver)).map_err(wrong)?;
+        let thread = thread.spawn(move || worker.write_all(&receiver)).map_err(open_error)?;
         let writer = Writer { full, lost, sender: Some(sender), thread: Some(thread) };
         Ok(Self { writer: Some(Arc::new(writer)) })
     }
 
-    /// Whether lines are written.
+    /// Whether lines are recorded: the recorder has a file and its limit is not reached.
     pub fn is_on(&self) -> bool {
         self.writer.as_ref().is_some_and(|writer| !writer.full.load(Ordering::Relaxed))
     }
 
-    /// Writes a line soon, or drops it; never waits.
+    /// Queues a line for writing, or drops and counts it if the queue is full. Never blocks.
     pub fn record(&self, line: Line) {
         let Some(writer) = &self.writer else { return };
         let Some(sender) = &writer.sender else { return };
@@ -94,8 +94,8 @@
     }
 }
 
-/// The writer's side.
-struct Pen {
+/// State of the writer thread.
+struct Worker {
     file: File,
     full: Arc<AtomicBool>,
     length: u64,
@@ -103,25 +103,26 @@
     lost: Arc<AtomicU64>,
 }
 
-impl Pen {
+impl Worker {
     fn write_all(mut self, lines: &Receiver<Line>) {
         let mut last = Micros::default();
         for line in lines {
             last = line.at_us;
-            self.tell_lost(last);
+            self.write_lost(last);
             self.write(&line);
         }
-        self.tell_lost(last);
+        self.write_lost(last);
     }
 
-    fn tell_lost(&mut self, at_us: Micros) {
+    fn write_lost(&mut self, at_us: Micros) {
         let count = self.lost.swap(0, Ordering::Relaxed);
         if count > 0 {
             self.write(&Line { at_us, lost: Some(count), ..Line::default() });
         }
     }
 
-    /// Writes a whole line, or ends the recording: nothing may follow a gap unseen.
+    /// Writes a complete line. If that fails or exceeds the limit, removes the partial line and
+    /// stops recording, because later lines would follow an unmarked gap.
     fn write(&mut self, line: &Line) {
         if self.full.load(Ordering::Relaxed) {
             return;
@@ -138,15 +139,16 @@
     }
 }
 
+/// Opens a recording, removes an incomplete last line, and returns the file with its length.
 fn open(path: &Path) -> std::io::Result<(File, u64)> {
     let mut file = OpenOptions::new().read(true).append(true).create(true).open(path)?;
     let length = file.metadata()?.len();
-    let start = length.saturating_sub(TAIL);
+    let start = length.saturating_sub(TAIL_BYTES);
     file.seek(SeekFrom::Start(start))?;
     let mut tail = Vec::new();
     file.read_to_end(&mut tail)?;
-    let whole = tail.iter().rposition(|byte| *byte == b'\n').map_or(0, |place| place + 1);
-    let length = start + whole as u64;
+    let complete = tail.iter().rposition(|byte| *byte == b'\n').map_or(0, |index| index + 1);
+    let length = start + complete as u64;
     file.set_len(length)?;
     Ok((file, length))
 }
--- a/src/replay/report.rs
+++ b/src/replay/report.rs
@@ -1,14 +1,14 @@
 use super::Finding;
 use super::TimedOutput;
 
-/// What a replay came to.
+/// Result of a replay.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Expectations in the order of the trace.
+    /// Results of the expectations, in the order of the trace.
     pub findings: Vec<Finding>,
-    /// Inputs that the recording lacks; decisions after them may differ.
+    /// Number of inputs that are missing from the recording; outputs after a gap may differ.
     pub lost: u64,
-    /// All decisions in order.
+    /// All outputs in order.
     pub outputs: Vec<TimedOutput>,
 }
 
--- a/src/replay/trace.rs
+++ b/src/replay/trace.rs
@@ -7,43 +7,43 @@
 use super::Line;
 use super::Machine;
 use super::Report;
-use super::run::Run;
+use super::runner::Runner;
 use crate::clock::Moment;
 
-/// A checked trace.
+/// A validated trace.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Trace {
-    /// Lines with their numbers, from 1.
+    /// Lines with their line numbers, from 1.
     lines: Vec<(usize, Line)>,
 }
 
 impl Trace {
-    /// Reads the trace in the file at `path`.
+    /// Reads and validates the trace in the file at `path`.
     ///
     /// # Errors
-    /// When the file can't be read, or for its first line that is no part of a trace.
+    /// If the file can't be read, or for its first invalid line.
     pub fn read(path: &Path) -> Result<Self, Error> {
-        let wrong = |source| Error::Read { path: path.into(), source };
-        let bytes = std::fs::read(path).map_err(wrong)?;
+        let read_error = |source| Error::Read { path: path.into(), source };
+        let bytes = std::fs::read(path).map_err(read_error)?;
         Self::parse(path, &String::from_utf8_lossy(&bytes))
     }
 
-    /// Reads the trace in `text`; `path` names it in errors.
+    /// Validates the trace in `text`; `path` is used in errors only.
     ///
     /// # Errors
-    /// For the first line that is no part of a trace.
+    /// For the first invalid line, or if there are no lines.
     pub fn parse(path: &Path, text: &str) -> Result<Self, Error> {
         let mut lines = Vec::new();
-        let mut known = BTreeMap::new();
+        let mut machines = BTreeMap::new();
         for (index, text) in text.lines().enumerate() {
             let number = index + 1;
-            let wrong = |reason| Error::Line { line: number, path: path.into(), reason };
+            let line_error = |reason| Error::Line { line: number, path: path.into(), reason };
             if text.trim().is_empty() {
                 continue;
             }
             let line: Line =
-                serde_json::from_str(text).map_err(|error| wrong(shown(text, &error)))?;
-            line.check().and_then(|()| place(&line, &mut known)).map_err(wrong)?;
+                serde_json::from_str(text).map_err(|error| line_error(describe(text, &error)))?;
+            line.check().and_then(|()| check_in_order(&line, &mut machines)).map_err(line_error)?;
             lines.push((number, line));
         }
         if lines.is_empty() {
@@ -53,45 +53,46 @@
         Ok(Self { lines })
     }
 
-    /// Runs the machines through the trace.
+    /// Replays the trace and checks its expectations.
     pub fn run(&self) -> Report {
-        Run::default().all(&self.lines)
+        Runner::default().run(&self.lines)
     }
 }
 
-/// Checks a line against the machines made so far.
-fn place(
+/// Validates a line against the machines created so far, with the time of the last line of
+/// each, and updates them.
+fn check_in_order(
     line: &Line,
-    known: &mut BTreeMap<CompactString, (Machine, Moment)>,
+    machines: &mut BTreeMap<CompactString, (Machine, Moment)>,
 ) -> Result<(), String> {
     let at = line.at_us.0;
     if let Some(machine) = &line.machine {
         machine.check()?;
-        known.insert(line.of.clone(), (machine.clone(), at));
+        machines.insert(line.of.clone(), (machine.clone(), at));
         return Ok(());
     }
     if line.lost.is_some() {
         return Ok(());
     }
-    let Some((machine, latest)) = known.get_mut(&line.of) else {
+    let Some((machine, latest)) = machines.get_mut(&line.of) else {
         return Err(format!("no `machine` named `{}` was made before", line.of));
     };
     if at < *latest {
         return Err(format!("`{}` µs lies before the line above", at.as_micros()));
     }
     *latest = at;
-    if line.input.as_ref().is_some_and(|input| !machine.takes(input)) {
+    if line.input.as_ref().is_some_and(|input| !machine.accepts(input)) {
         return Err(format!("machine `{}` takes no such `input`", line.of));
     }
-    if line.expect.as_ref().is_some_and(|expect| !machine.answers(expect)) {
+    if line.expect.as_ref().is_some_and(|expect| !machine.supports(expect)) {
         return Err(format!("machine `{}` answers no such `expect`", line.of));
     }
     Ok(())
 }
 
-/// The value at fault, cut to a readable length.
-fn shown(text: &str, error: &serde_json::Error) -> String {
-    const LENGTH: usize = 60;
-    let start: String = text.chars().take(LENGTH).collect();
+/// Error message with the start of the line.
+fn describe(text: &str, error: &serde_json::Error) -> String {
+    const MAX_CHARS: usize = 60;
+    let start: String = text.chars().take(MAX_CHARS).collect();
     format!("`{start}` can't be read: {error}")
 }
