--- a/tests/suite/replay.rs
+++ b/tests/suite/replay.rs
@@ -1,8 +1,8 @@
-//! Tests of `hemlockfield::replay`: committed traces against what callers need, and
-//! recordings that replay into the same decisions.
+//! Tests of `hemlockfield::replay`: committed traces meet their expectations, and recordings
+//! replay into the same outputs.
 
+mod extreme;
 mod gate;
-mod hostile;
 mod judge;
 mod make;
 mod policy;
@@ -27,7 +27,7 @@
     Trace::parse(Path::new("some.jsonl"), &lines.join("\n")).map_err(|error| error.to_string())
 }
 
-fn text(lines: &[Line]) -> String {
+fn to_jsonl(lines: &[Line]) -> String {
     let line = |line: &Line| serde_json::to_string(line).expect("line") + "\n";
     lines.iter().map(line).collect()
 }
@@ -81,8 +81,8 @@
 #[case::held(1, 0)]
 #[case::broken(0, 1)]
 fn run_count(#[case] most: usize, #[case] code: i32) {
-    // An operator replays a recording: a try that was not run is tried again, once.
-    // Where that is forbidden the command says which line is broken and ends with 1.
+    // The recorded attempt was not run, so the policy retries it once. If the expectation
+    // forbids that, the command must name the broken line and exit with code 1.
     let attempt = r#"{"body_kept":true,"head_sent":false,"idempotent":false,"outcome":"ConnectFailed","remaining":{"secs":5,"nanos":0},"sent":false,"tries":1}"#;
     let decide = format!(r#"{{"at_us":6,"input":{{"policy":{{"Decide":{attempt}}}}}}}"#);
     let expect = format!(
@@ -92,14 +92,14 @@
     let path = folder.path().join("some.jsonl");
     std::fs::write(&path, [POLICY, FIRST, &decide, &expect].join("\n")).expect("file");
     let (status, out, _) = replay(&path);
-    let word = if code == 0 { "line 4: held" } else { "line 4: broken" };
-    assert!(status == Some(code) && out.contains(word), "{out}");
+    let expected = if code == 0 { "line 4: held" } else { "line 4: broken" };
+    assert!(status == Some(code) && out.contains(expected), "{out}");
 }
 
 #[test]
 fn run_unreadable() {
-    // A damaged trace must not pass for one that held: the command names the line and
-    // ends with 2.
+    // A damaged trace must not pass as one whose expectations hold: the command must name the
+    // line and exit with code 2.
     let folder = tempfile::tempdir().expect("folder");
     let path = folder.path().join("some.jsonl");
     std::fs::write(&path, [POLICY, "nonsense"].join("\n")).expect("file");
--- a/tests/suite/replay/gate.rs
+++ b/tests/suite/replay/gate.rs
@@ -1,4 +1,5 @@
-//! Traces of a gate: small trials over two slots of 25 ms, 80 requests a second.
+//! Traces of an admission gate with two slots. Requests take 25 ms on average, so the capacity
+//! is 80 requests per second.
 
 use std::time::Duration;
 
@@ -22,27 +23,27 @@
 const SEED: u64 = 11;
 const SLOTS: usize = 2;
 
-/// A gate that keeps what it is told.
-pub(super) struct Taped {
+/// A gate with its inputs as trace lines and its outputs.
+pub(super) struct RecordedGate {
     pub(super) gate: Gate,
     pub(super) lines: Vec<Line>,
     pub(super) outputs: Vec<(Moment, Output)>,
 }
 
-impl Taped {
+impl RecordedGate {
     pub(super) fn new() -> Self {
         let classes = Pattern::classes();
         let gate = Gate::new(&classes, ChaCha8Rng::seed_from_u64(SEED), Moment::ZERO);
         let machine = Some(Machine::Gate { classes, seed: SEED });
-        let mut taped =
+        let mut gate =
             Self { gate, lines: vec![Line { machine, ..Line::default() }], outputs: Vec::new() };
         let slots = Some(SLOTS);
-        taped.handle(Moment::ZERO, hemlockfield::admission::Input::Capacity { slots });
-        taped
+        gate.handle(Moment::ZERO, hemlockfield::admission::Input::Capacity { slots });
+        gate
     }
 }
 
-impl Queue for Taped {
+impl Queue for RecordedGate {
     fn handle(&mut self, now: Moment, input: hemlockfield::admission::Input) -> Vec<Output> {
         let line = Line { at_us: Micros(now), ..Line::default() };
         self.lines.push(Line { input: Some(Input::Gate(input.clone())), ..line });
@@ -56,6 +57,7 @@
     }
 }
 
+/// Names and lines of the traces.
 pub(super) fn traces() -> Vec<(&'static str, Vec<Line>)> {
     vec![("burst", burst()), ("hot_caller", hot_caller()), ("overload", overload())]
 }
@@ -81,9 +83,10 @@
     Expect::Count { least, like, most, since_us: micros(since) }
 }
 
-/// A hundred requests at one moment on a light load; 40 can end in their half second.
+/// 100 requests at once on top of a light load. Only 40 can finish before their deadline of
+/// 500 ms.
 fn burst() -> Vec<Line> {
-    let mut simulation = light();
+    let mut simulation = light_load();
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
     simulation.jobs.extend((0..100).map(|_| lookup(&mut rng, millis(1000))));
     let refuse = json!({"gate": {"Refuse": {}}});
@@ -97,9 +100,9 @@
     lines(&simulation, expects)
 }
 
-/// One caller sends twice the capacity.
+/// One caller sends requests at twice the capacity.
 fn hot_caller() -> Vec<Line> {
-    let mut simulation = light();
+    let mut simulation = light_load();
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
     let hot = |rng: &mut ChaCha8Rng, at| Job { caller: "hot".into(), ..lookup(rng, at) };
     simulation.add_arrivals(&mut rng, 160.0, millis(500), millis(2000), &hot);
@@ -112,7 +115,7 @@
     lines(&simulation, expects)
 }
 
-/// Three times the capacity for a second, half of it before and after.
+/// Load of three times the capacity for one second, of half the capacity before and after.
 fn overload() -> Vec<Line> {
     let mut simulation = Simulation { slots: SLOTS, ..Simulation::default() };
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
@@ -129,7 +132,8 @@
     lines(&simulation, expects)
 }
 
-fn light() -> Simulation {
+/// Simulation with a light load of 10 requests per second.
+fn light_load() -> Simulation {
     let mut simulation = Simulation { slots: SLOTS, ..Simulation::default() };
     let mut rng = ChaCha8Rng::seed_from_u64(!SEED);
     simulation.add_arrivals(&mut rng, 10.0, Moment::ZERO, millis(2600), &lookup);
@@ -162,11 +166,11 @@
     }
 }
 
-/// Inputs of the simulation with the expectations at their moments, after the inputs then.
+/// Trace of a simulation with expectations, each after the inputs of the same time.
 fn lines(simulation: &Simulation, expects: impl IntoIterator<Item = Line>) -> Vec<Line> {
-    let mut taped = Taped::new();
-    simulation.run(&mut taped);
-    taped.lines.extend(expects);
-    taped.lines.sort_by_key(|line| line.at_us);
-    taped.lines
+    let mut gate = RecordedGate::new();
+    simulation.run(&mut gate);
+    gate.lines.extend(expects);
+    gate.lines.sort_by_key(|line| line.at_us);
+    gate.lines
 }
--- a/tests/suite/replay/judge.rs
+++ b/tests/suite/replay/judge.rs
@@ -1,5 +1,6 @@
-//! Traces of a judge: eight upstreams at ten requests a second each, one of them gray
-//! after a sound half minute. What the gray one gets depends on the judge's weight.
+//! Traces of a health monitor with eight upstreams that each get ten requests per second. Some
+//! of them fail after 30 s; they get requests in proportion to the weight that the monitor gives
+//! them.
 
 use std::time::Duration;
 
@@ -26,42 +27,45 @@
 
 const SEED: u64 = 23;
 const UPSTREAMS: usize = 8;
-/// When the gray one goes gray, in milliseconds.
-const START: u64 = 30_000;
-/// Most time to detection, in milliseconds: the shop's aim, and the register's.
-const FAST: u64 = 1_500;
-const CAREFUL: u64 = 5_000;
+/// Time at which upstreams start to fail, in milliseconds.
+const FAILURE_START_MS: u64 = 30_000;
+/// Maximum time until ejection at the highest sensitivity.
+const SENSITIVE_DETECTION_MS: u64 = 1_500;
+/// Maximum time until ejection at the lowest sensitivity.
+const CAREFUL_DETECTION_MS: u64 = 5_000;
 
-/// A trace in the making, and a judge that sees it.
-struct Scene {
-    judge: Monitor,
+/// Builds a trace and feeds a monitor with the same inputs.
+struct Scenario {
+    monitor: Monitor,
     lines: Vec<Line>,
     random: ChaCha8Rng,
+    /// First time, interval and last time in milliseconds, and the input.
     repeats: Vec<(u64, u64, u64, Input)>,
-    now: u64,
+    now_ms: u64,
 }
 
-impl Scene {
+impl Scenario {
     fn new(sensitivity: f64, floor_share: f64) -> Self {
         let setup = Config { floor_count: 2, floor_share, sensitivity };
         let random = ChaCha8Rng::seed_from_u64(SEED);
-        let judge = Monitor::new("e00".into(), setup.clone(), random.clone());
+        let monitor = Monitor::new("e00".into(), setup.clone(), random.clone());
         let machine = Some(Machine::Judge { name: "e00".into(), seed: SEED, setup });
         let lines = vec![Line { machine, ..Line::default() }];
-        let mut scene = Self { judge, lines, random, repeats: Vec::new(), now: 0 };
+        let mut scenario = Self { monitor, lines, random, repeats: Vec::new(), now_ms: 0 };
         for upstream in 0..UPSTREAMS {
             let upstream = name(upstream);
-            scene.tell(0, Input::Member { domain: "dubrava".into(), slots: 6, upstream });
+            scenario.send(0, Input::Member { domain: "dubrava".into(), slots: 6, upstream });
         }
-        scene
+        scenario
     }
 
-    /// Ticks until `end`, and sound answers `times` as long as a new upstream's.
-    fn sound(mut self, end: u64, of: &[(usize, u64, u64, u64)]) -> Self {
-        for (upstream, from, until, times) in of {
+    /// Adds ticks until `end` and, for each upstream in `of`, successes from one time until
+    /// another, with latencies multiplied by a factor.
+    fn add_successes(mut self, end: u64, of: &[(usize, u64, u64, u64)]) -> Self {
+        for (upstream, from, until, factor) in of {
             for (latency, every) in [(18, 290), (25, 310), (34, 330)] {
                 let first = from + 17 * *upstream as u64 + latency;
-                let input = outcome(*upstream, Kind::Success, millis(latency * times));
+                let input = outcome(*upstream, Kind::Success, millis(latency * factor));
                 self.repeat(first, every, *until, input);
             }
         }
@@ -79,39 +83,40 @@
     }
 
     fn advance(&mut self, to: u64) {
-        while self.now <= to {
+        while self.now_ms <= to {
             for (at, every, until, input) in &self.repeats {
-                let passed = self.now.checked_sub(*at);
-                if passed.is_some_and(|passed| passed % every == 0) && self.now <= *until {
-                    self.judge.handle(millis(self.now), input.clone());
+                let passed = self.now_ms.checked_sub(*at);
+                if passed.is_some_and(|passed| passed % every == 0) && self.now_ms <= *until {
+                    self.monitor.handle(millis(self.now_ms), input.clone());
                 }
             }
-            self.now += 1;
+            self.now_ms += 1;
         }
     }
 
-    fn tell(&mut self, at: u64, input: Input) {
-        self.judge.handle(millis(at), input.clone());
+    fn send(&mut self, at: u64, input: Input) {
+        self.monitor.handle(millis(at), input.clone());
         let input = Some(replay::Input::Judge(input));
         self.lines.push(Line { at_us: micros(at), input, ..Line::default() });
     }
 
-    /// Ten requests a second, by its weight, to `upstream` from `from` until `until`.
-    fn gray(&mut self, upstream: usize, from: u64, until: u64, kind: Kind, latency: u64) {
+    /// Adds outcomes of one upstream: ten requests per second, each sent with the probability of
+    /// its weight.
+    fn add_outcomes(&mut self, upstream: usize, from: u64, until: u64, kind: Kind, latency: u64) {
         for at in (from..until).step_by(100) {
             let at = at + 50;
             self.advance(at);
-            let weight = self.judge.weight(&name(upstream));
+            let weight = self.monitor.weight(&name(upstream));
             if self.random.random_bool(weight) {
-                self.tell(at, outcome(upstream, kind, millis(latency)));
+                self.send(at, outcome(upstream, kind, millis(latency)));
             }
         }
     }
 
-    /// All expectations that hold for everyone but the `gray` ones.
-    fn end(mut self, end: u64, gray: &[usize], expects: Vec<Line>) -> Vec<Line> {
+    /// Adds `expects`, and that all upstreams but those in `failing` are never ejected.
+    fn finish(mut self, end: u64, failing: &[usize], expects: Vec<Line>) -> Vec<Line> {
         self.lines.extend(expects);
-        for upstream in (0..UPSTREAMS).filter(|upstream| !gray.contains(upstream)) {
+        for upstream in (0..UPSTREAMS).filter(|upstream| !failing.contains(upstream)) {
             let like = json!({"judge": {"Eject": {"upstream": name(upstream)}}});
             self.lines.push(expect(end, count(0, like, None, Some(0)), "a sound one stays"));
         }
@@ -120,136 +125,160 @@
     }
 }
 
+/// Names and lines of the traces.
 pub(super) fn traces() -> Vec<(&'static str, Vec<Line>)> {
     vec![
-        ("cut", gray(1.0, FAST, Kind::Cut, 25, false)),
-        ("errors", gray(1.0, FAST, Kind::ServerError, 25, false)),
+        ("cut", failing(1.0, SENSITIVE_DETECTION_MS, Kind::Cut, 25, false)),
+        ("errors", failing(1.0, SENSITIVE_DETECTION_MS, Kind::ServerError, 25, false)),
         ("flapping", flapping()),
         ("floor", floor()),
-        ("own_report", gray(0.0, CAREFUL, Kind::ServerError, 25, true)),
+        ("own_report", failing(0.0, CAREFUL_DETECTION_MS, Kind::ServerError, 25, true)),
         ("recovered", recovered()),
         ("silent", silent()),
-        ("slow", gray(1.0, FAST, Kind::Success, 250, false)),
+        ("slow", failing(1.0, SENSITIVE_DETECTION_MS, Kind::Success, 250, false)),
         ("slow_but_sound", slow_but_sound()),
     ]
 }
 
-fn gray(sensitivity: f64, within: u64, kind: Kind, latency: u64, report: bool) -> Vec<Line> {
-    let end = START + within + 500;
-    let mut scene = Scene::new(sensitivity, 0.5);
+/// One upstream fails; `report` adds reports of its own that claim it is healthy.
+fn failing(sensitivity: f64, within: u64, kind: Kind, latency: u64, report: bool) -> Vec<Line> {
+    let end = FAILURE_START_MS + within + 500;
+    let mut scenario = Scenario::new(sensitivity, 0.5);
     if report {
         let input = Input::Report { healthy: true, upstream: name(3) };
-        scene.repeat(500, 1000, end, input);
+        scenario.repeat(500, 1000, end, input);
     }
-    let mut scene = scene.sound(end, &all(end, &[3]));
-    scene.gray(3, START, end, kind, latency);
+    let mut scenario = scenario.add_successes(end, &until_failure(end, &[3]));
+    scenario.add_outcomes(3, FAILURE_START_MS, end, kind, latency);
     let why = "callers are moved off it in the time aimed at";
-    scene.end(end, &[3], vec![expect(START + within, is(3, &[Status::Ejected]), why)])
+    scenario.finish(
+        end,
+        &[3],
+        vec![expect(FAILURE_START_MS + within, has_status(3, &[Status::Ejected]), why)],
+    )
 }
 
-/// Nothing comes back: what waits is evidence before the first one gives up after 1 s.
+/// An upstream stops responding. Requests time out after 1 s; the age of pending requests must
+/// count as evidence before that.
 fn silent() -> Vec<Line> {
-    let end = START + FAST + 500;
-    let mut scene = Scene::new(1.0, 0.5).sound(end, &all(end, &[3]));
-    for step in 1..=(FAST / 100) {
-        let at = START + step * 100;
-        scene.advance(at - 1);
+    let end = FAILURE_START_MS + SENSITIVE_DETECTION_MS + 500;
+    let mut scenario = Scenario::new(1.0, 0.5).add_successes(end, &until_failure(end, &[3]));
+    for step in 1..=(SENSITIVE_DETECTION_MS / 100) {
+        let at = FAILURE_START_MS + step * 100;
+        scenario.advance(at - 1);
         let ages = (1..=step.min(10)).map(|age| millis(age * 100)).collect();
-        scene.tell(at - 1, Input::Pending { ages, upstream: name(3) });
+        scenario.send(at - 1, Input::Pending { ages, upstream: name(3) });
         if step >= 10 {
-            scene.tell(at - 1, outcome(3, Kind::Silent, millis(1000)));
+            scenario.send(at - 1, outcome(3, Kind::Silent, millis(1000)));
         }
     }
     let why = "callers are moved off it in the time aimed at";
-    scene.end(end, &[3], vec![expect(START + FAST, is(3, &[Status::Ejected]), why)])
+    scenario.finish(
+        end,
+        &[3],
+        vec![expect(
+            FAILURE_START_MS + SENSITIVE_DETECTION_MS,
+            has_status(3, &[Status::Ejected]),
+            why,
+        )],
+    )
 }
 
-/// Three seconds bad and three good by turns.
+/// An upstream alternates between 3 s of errors and 3 s of successes.
 fn flapping() -> Vec<Line> {
-    let end = START + 18_000;
-    let mut scene = Scene::new(1.0, 0.5).sound(end, &all(end, &[3]));
+    let end = FAILURE_START_MS + 18_000;
+    let mut scenario = Scenario::new(1.0, 0.5).add_successes(end, &until_failure(end, &[3]));
     let mut expects = Vec::new();
-    for turn in 0..3 {
-        let from = START + turn * 6_000;
-        scene.gray(3, from, from + 3_000, Kind::ServerError, 25);
-        scene.gray(3, from + 3_000, from + 6_000, Kind::Success, 25);
-        let off = is(3, &[Status::Ejected, Status::Trial]);
-        expects.push(expect(from + FAST, off, "each bad turn finds callers moved off"));
+    for cycle in 0..3 {
+        let from = FAILURE_START_MS + cycle * 6_000;
+        scenario.add_outcomes(3, from, from + 3_000, Kind::ServerError, 25);
+        scenario.add_outcomes(3, from + 3_000, from + 6_000, Kind::Success, 25);
+        let allowed = has_status(3, &[Status::Ejected, Status::Trial]);
+        expects.push(expect(
+            from + SENSITIVE_DETECTION_MS,
+            allowed,
+            "each bad turn finds callers moved off",
+        ));
     }
-    scene.end(end, &[3], expects)
+    scenario.finish(end, &[3], expects)
 }
 
-/// Three of eight fail, one after the other, with a floor of three quarters; then a
-/// sound one leaves, and six of seven must serve.
+/// Three of eight upstreams fail one after the other with a floor of 75%. Then a sound one
+/// leaves, and six of the remaining seven must stay in service.
 fn floor() -> Vec<Line> {
-    let end = START + 8_000;
-    let bad = [1, 2, 3];
-    let leaves = START + 6_000;
-    let mut scene = Scene::new(1.0, 0.75).sound(end, &all(end, &bad));
-    for at in (START..end).step_by(200) {
-        scene.advance(at + 50);
-        for upstream in bad {
-            let begins = START + upstream as u64 * 500;
-            let kind = if at < begins { Kind::Success } else { Kind::ServerError };
-            if scene.judge.weight(&name(upstream)) > 0.3 {
-                scene.tell(at + 50, outcome(upstream, kind, millis(25)));
+    let end = FAILURE_START_MS + 8_000;
+    let failing = [1, 2, 3];
+    let leaves = FAILURE_START_MS + 6_000;
+    let mut scenario = Scenario::new(1.0, 0.75).add_successes(end, &until_failure(end, &failing));
+    for at in (FAILURE_START_MS..end).step_by(200) {
+        scenario.advance(at + 50);
+        for upstream in failing {
+            let failure_start = FAILURE_START_MS + upstream as u64 * 500;
+            let kind = if at < failure_start { Kind::Success } else { Kind::ServerError };
+            if scenario.monitor.weight(&name(upstream)) > 0.3 {
+                scenario.send(at + 50, outcome(upstream, kind, millis(25)));
             }
         }
         if at == leaves {
-            scene.tell(at + 50, Input::Gone { upstream: name(7) });
+            scenario.send(at + 50, Input::Gone { upstream: name(7) });
         }
     }
-    let at = (START..end).step_by(500).skip(1).chain([leaves + 50]);
+    let at = (FAILURE_START_MS..end).step_by(500).skip(1).chain([leaves + 50]);
     let why = "healthy capacity never falls below the floor";
     let mut expects: Vec<Line> =
         at.map(|at| expect(at, Expect::InService { least: 6 }, why)).collect();
     let like = json!({"judge": {"Eject": {}}});
     let why = "as many are left as the floor allows";
     expects.push(expect(leaves - 1, count(0, like, Some(2), None), why));
-    scene.end(end, &bad, expects)
+    scenario.finish(end, &failing, expects)
 }
 
-/// Bad for three seconds, then good: its capacity is needed again.
+/// An upstream fails for 3 s and recovers; it must be readmitted.
 fn recovered() -> Vec<Line> {
-    let end = START + 30_000;
-    let mut scene = Scene::new(1.0, 0.5).sound(end, &all(end, &[3]));
-    scene.gray(3, START, START + 3_000, Kind::ServerError, 25);
-    scene.gray(3, START + 3_000, end, Kind::Success, 25);
+    let end = FAILURE_START_MS + 30_000;
+    let mut scenario = Scenario::new(1.0, 0.5).add_successes(end, &until_failure(end, &[3]));
+    scenario.add_outcomes(3, FAILURE_START_MS, FAILURE_START_MS + 3_000, Kind::ServerError, 25);
+    scenario.add_outcomes(3, FAILURE_START_MS + 3_000, end, Kind::Success, 25);
     let expects = vec![
-        expect(START + FAST, is(3, &[Status::Ejected]), "callers are moved off it"),
-        expect(end, is(3, &[Status::Sound]), "it serves again in half a minute"),
+        expect(
+            FAILURE_START_MS + SENSITIVE_DETECTION_MS,
+            has_status(3, &[Status::Ejected]),
+            "callers are moved off it",
+        ),
+        expect(end, has_status(3, &[Status::Sound]), "it serves again in half a minute"),
     ];
-    scene.end(end, &[3], expects)
+    scenario.finish(end, &[3], expects)
 }
 
-/// The old register is four times slower, pauses, and gets slower when all do.
+/// One upstream is always four times slower than the others, pauses at times, and slows down
+/// together with all others. It must not be ejected.
 fn slow_but_sound() -> Vec<Line> {
     let end = 90_000;
     let mut of = vec![(0, 0, 45_000, 4), (0, 45_000, end, 8)];
     for upstream in 1..UPSTREAMS {
         of.extend([(upstream, 0, 45_000, 1), (upstream, 45_000, end, 2)]);
     }
-    let mut scene = Scene::new(0.0, 0.5).sound(end, &of);
+    let mut scenario = Scenario::new(0.0, 0.5).add_successes(end, &of);
     for pause in [20_000, 40_000, 60_000, 80_000] {
         let ages = vec![millis(350), millis(250), millis(150)];
-        scene.tell(pause, Input::Pending { ages, upstream: name(0) });
-        scene.tell(pause + 99, Input::Pending { ages: Vec::new(), upstream: name(0) });
-        scene.tell(pause + 99, outcome(0, Kind::Success, millis(420)));
+        scenario.send(pause, Input::Pending { ages, upstream: name(0) });
+        scenario.send(pause + 99, Input::Pending { ages: Vec::new(), upstream: name(0) });
+        scenario.send(pause + 99, outcome(0, Kind::Success, millis(420)));
     }
     let why = "its capacity can't be replaced";
     let expects = (20..=90).step_by(10);
     let all_in = Expect::InService { least: UPSTREAMS };
     let expects = expects.map(|at| expect(at * 1000, all_in.clone(), why)).collect();
-    scene.end(end, &[], expects)
+    scenario.finish(end, &[], expects)
 }
 
-/// Sound from the start until the end, the `gray` ones until they start.
-fn all(end: u64, gray: &[usize]) -> Vec<(usize, u64, u64, u64)> {
-    let until = |upstream: &usize| if gray.contains(upstream) { START } else { end };
+/// All upstreams as sound from 0 until `end`, those in `failing` until they start to fail.
+fn until_failure(end: u64, failing: &[usize]) -> Vec<(usize, u64, u64, u64)> {
+    let until = |upstream: &usize| if failing.contains(upstream) { FAILURE_START_MS } else { end };
     (0..UPSTREAMS).map(|upstream| (upstream, 0, until(&upstream), 1)).collect()
 }
 
-fn is(upstream: usize, is: &[Status]) -> Expect {
+fn has_status(upstream: usize, is: &[Status]) -> Expect {
     Expect::Verdict { is: is.to_vec(), upstream: name(upstream) }
 }
 
@@ -261,9 +290,9 @@
     Input::Outcome { kind, latency, upstream: name(upstream) }
 }
 
-/// Inputs that put an upstream in question, with moments.
-pub(super) fn some() -> Vec<(Moment, Input)> {
-    let lines = gray(1.0, FAST, Kind::Cut, 25, false);
+/// Inputs that lead to the ejection of an upstream, with their times.
+pub(super) fn ejection_inputs() -> Vec<(Moment, Input)> {
+    let lines = failing(1.0, SENSITIVE_DETECTION_MS, Kind::Cut, 25, false);
     let inputs = lines.into_iter().filter_map(|line| match line.input {
         Some(replay::Input::Judge(input)) => Some((line.at_us.0, input)),
         _ => None,
--- a/tests/suite/replay/make.rs
+++ b/tests/suite/replay/make.rs
@@ -1,13 +1,13 @@
-//! Makes the committed traces: `cargo test --test suite -- --ignored make_traces`.
+//! Generates the committed traces: `cargo test --test suite -- --ignored make_traces`.
 //!
-//! They are data: a change of a machine must hold against them as they are. Make them
-//! anew only for another scene, and read what changes.
+//! The traces are test data: a changed machine must meet them unmodified. Regenerate them only
+//! to change a scenario, and review the difference.
 
 use super::folder;
 use super::gate;
 use super::judge;
 use super::policy;
-use super::text;
+use super::to_jsonl;
 
 #[test]
 #[ignore = "writes tests/traces"]
@@ -16,6 +16,6 @@
     let traces = gate::traces().into_iter().chain(judge::traces()).chain(policy::traces());
     for (name, lines) in traces {
         let path = folder().join(name).with_extension("jsonl");
-        std::fs::write(path, text(&lines)).expect("trace");
+        std::fs::write(path, to_jsonl(&lines)).expect("trace");
     }
 }
--- a/tests/suite/replay/policy.rs
+++ b/tests/suite/replay/policy.rs
@@ -1,4 +1,4 @@
-//! Traces of a retry policy at one entry's 45 requests a second.
+//! Traces of a retry policy in an entry that handles 45 requests per second.
 
 use std::time::Duration;
 
@@ -14,20 +14,21 @@
 use super::gate::expect;
 use super::gate::micros;
 
-/// Milliseconds between two requests.
-const EVERY: u64 = 22;
+/// Interval between two requests.
+const REQUEST_INTERVAL_MS: u64 = 22;
 
+/// Names and lines of the traces.
 pub(super) fn traces() -> Vec<(&'static str, Vec<Line>)> {
     vec![("at_most_once", at_most_once()), ("retry_storm", retry_storm())]
 }
 
-/// A service that refuses everything for six seconds, of ten.
+/// A service refuses all requests for 6 of 10 seconds. Retries must stay within the budget.
 fn retry_storm() -> Vec<Line> {
     let refused = Attempt { outcome: Outcome::RefusedNotRun, sent: true, ..attempt() };
     let again = json!({"policy": {"Again": {}}});
     let not_run = json!({"policy": {"Stop": {"answer": "NotRun"}}});
     let unknown = json!({"policy": {"Stop": {"answer": "Unknown"}}});
-    let requests = 6_000 / EVERY as usize;
+    let requests = 6_000 / REQUEST_INTERVAL_MS as usize;
     vec![
         machine(),
         repeat(0, 10_000, Retry::First),
@@ -46,7 +47,8 @@
     ]
 }
 
-/// Sign-offs meet connections that go silent, are cut, or are refused.
+/// Attempts of non-idempotent requests fail in each way after bytes were sent, which must not
+/// be retried, and finally before any byte was sent, which must be.
 fn at_most_once() -> Vec<Line> {
     let mut lines = vec![machine(), repeat(0, 10_000, Retry::First)];
     let sent = Attempt { sent: true, ..attempt() };
@@ -57,8 +59,8 @@
         Attempt { outcome: Outcome::Deadline, ..sent },
         Attempt { outcome: Outcome::Silent, ..sent },
     ];
-    for (place, attempt) in failures.into_iter().enumerate() {
-        let at = 1_000 + place as u64 * 1_000;
+    for (index, attempt) in failures.into_iter().enumerate() {
+        let at = 1_000 + index as u64 * 1_000;
         let line = Line { at_us: micros(at), ..Line::default() };
         lines.push(Line { input: Some(Input::Policy(Retry::Decide(attempt))), ..line });
     }
@@ -96,7 +98,7 @@
 fn repeat(at: u64, until: u64, input: Retry) -> Line {
     Line {
         at_us: micros(at),
-        every_us: Some(micros(EVERY)),
+        every_us: Some(micros(REQUEST_INTERVAL_MS)),
         input: Some(Input::Policy(input)),
         until_us: Some(micros(until)),
         ..Line::default()
--- a/tests/suite/replay/record.rs
+++ b/tests/suite/replay/record.rs
@@ -1,4 +1,4 @@
-//! Recordings of machines driven here.
+//! Recordings of machines that the tests drive.
 
 use std::path::Path;
 use std::time::Duration;
@@ -21,66 +21,65 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use super::gate::Taped;
+use super::gate::RecordedGate;
 use super::judge;
 use super::policy::attempt;
 
-const LIMIT: u64 = 1 << 26;
+const LIMIT_BYTES: u64 = 1 << 26;
 
 fn recorder(path: &Path, limit: u64) -> Recorder {
     Recorder::open(Some(&Record { file: path.into(), limit })).expect("recorder")
 }
 
-fn of(report: &Report, name: &str) -> Vec<(Moment, Output)> {
+fn outputs_of(report: &Report, name: &str) -> Vec<(Moment, Output)> {
     let outputs = report.outputs.iter().filter(|placed| placed.of == name);
     outputs.map(|placed| (placed.at, placed.output.clone())).collect()
 }
 
 #[test]
 fn record_all() {
-    // An operator records an entry and replays the file elsewhere: gate, judge and policy
-    // must decide exactly as they did, to the nanosecond and the jitter, or a replay
-    // would prove nothing. The lines of the machines are mixed, as threads write them.
+    // A replayed recording must give the same outputs of gate, monitor and policy, including
+    // jitter and times in nanoseconds, although the file holds several machines.
     let folder = tempfile::tempdir().expect("folder");
     let path = folder.path().join("entry.jsonl");
-    let recorder = recorder(&path, LIMIT);
-    let mut taped = Taped::new();
+    let recorder = recorder(&path, LIMIT_BYTES);
+    let mut recorded = RecordedGate::new();
     let mut simulation = Pattern::Burst.simulation(3);
     simulation.jobs.truncate(120);
-    simulation.run(&mut taped);
+    simulation.run(&mut recorded);
     let gate = MachineRecorder::new(&recorder, "gate/shop".into());
-    for line in &taped.lines {
+    for line in &recorded.lines {
         line.machine
             .iter()
             .for_each(|machine| gate.record_machine(line.at_us.0, || machine.clone()));
         line.input.iter().for_each(|input| gate.record_input(line.at_us.0, || input.clone()));
     }
-    let judged = run_judge(&MachineRecorder::new(&recorder, "judge/shop".into()));
-    let advised = run_policy(MachineRecorder::new(&recorder, "policy/shop".into()));
+    let monitor_outputs = run_monitor(&MachineRecorder::new(&recorder, "judge/shop".into()));
+    let policy_outputs = run_policy(MachineRecorder::new(&recorder, "policy/shop".into()));
     drop((gate, recorder));
     let report = Trace::read(&path).expect("trace").run();
-    let gated = taped.outputs.into_iter().map(|(at, output)| (at, Output::Gate(output)));
-    assert_eq!(of(&report, "gate/shop"), gated.collect::<Vec<_>>());
-    assert_eq!(of(&report, "judge/shop"), judged);
-    assert_eq!(of(&report, "policy/shop"), advised);
-    assert!(!judged.is_empty() && report.lost == 0);
+    let gate_outputs = recorded.outputs.into_iter().map(|(at, output)| (at, Output::Gate(output)));
+    assert_eq!(outputs_of(&report, "gate/shop"), gate_outputs.collect::<Vec<_>>());
+    assert_eq!(outputs_of(&report, "judge/shop"), monitor_outputs);
+    assert_eq!(outputs_of(&report, "policy/shop"), policy_outputs);
+    assert!(!monitor_outputs.is_empty() && report.lost == 0);
 }
 
-fn run_judge(machine_recorder: &MachineRecorder) -> Vec<(Moment, Output)> {
+fn run_monitor(machine_recorder: &MachineRecorder) -> Vec<(Moment, Output)> {
     let (seed, setup) = (9, health::Config::default());
-    let mut judge = Monitor::new("e00".into(), setup.clone(), ChaCha8Rng::seed_from_u64(seed));
+    let mut monitor = Monitor::new("e00".into(), setup.clone(), ChaCha8Rng::seed_from_u64(seed));
     machine_recorder.record_machine(Moment::ZERO, || Machine::Judge {
         name: "e00".into(),
         seed,
         setup,
     });
     let mut outputs = Vec::new();
-    for (at, input) in judge::some() {
+    for (at, input) in judge::ejection_inputs() {
         let at = at + Duration::from_nanos(7);
         for input in [input, health::Input::Tick] {
             machine_recorder.record_input(at, || Input::Judge(input.clone()));
-            let done = judge.handle(at, input).into_iter();
-            outputs.extend(done.map(|output| (at, Output::Judge(output))));
+            let handled = monitor.handle(at, input).into_iter();
+            outputs.extend(handled.map(|output| (at, Output::Judge(output))));
         }
     }
     outputs
@@ -105,29 +104,29 @@
 
 #[test]
 fn record_full_queue() {
-    // The disk is slower than the traffic, which must not wait. What did not fit is
-    // counted in the file, so that a replay tells that it may differ.
-    const SENT: u64 = 40_000;
+    // Requests must not wait for a slow disk. Lines that don't fit the queue are dropped and
+    // counted in the file, so that a replay can report that it may differ.
+    const RECORDED: u64 = 40_000;
     let folder = tempfile::tempdir().expect("folder");
     let path = folder.path().join("entry.jsonl");
-    let recorder = recorder(&path, LIMIT);
+    let recorder = recorder(&path, LIMIT_BYTES);
     let machine_recorder = MachineRecorder::new(&recorder, "policy/shop".into());
     machine_recorder.record_machine(Moment::ZERO, || Machine::Policy { seed: 1 });
-    (1..SENT)
+    (1..RECORDED)
         .for_each(|_| machine_recorder.record_input(Moment::ZERO, || Input::Policy(Retry::First)));
     drop((machine_recorder, recorder));
     let text = std::fs::read_to_string(&path).expect("file");
     let written: Vec<Line> =
         text.lines().map(|line| serde_json::from_str(line).expect("line")).collect();
     let lost: u64 = written.iter().filter_map(|line| line.lost).sum();
-    let whole = written.iter().filter(|line| line.lost.is_none()).count() as u64;
-    assert_eq!(whole + lost, SENT);
+    let complete = written.iter().filter(|line| line.lost.is_none()).count() as u64;
+    assert_eq!(complete + lost, RECORDED);
 }
 
 #[test]
 fn record_limit() {
-    // A forgotten recording must not fill the disk that the fleet's state needs: it ends
-    // at its limit, with a whole line. A crash in a line costs only that line.
+    // A recording must not fill the disk that also holds the fleet's state: it stops at its
+    // limit with a complete line. A crash while writing a line must lose only that line.
     let folder = tempfile::tempdir().expect("folder");
     let path = folder.path().join("entry.jsonl");
     for _ in 0..2 {
@@ -147,5 +146,5 @@
 fn record_off() {
     let machine_recorder =
         MachineRecorder::new(&Recorder::open(None).expect("recorder"), "policy/shop".into());
-    machine_recorder.record_input(Moment::ZERO, || panic!("nobody records"));
+    machine_recorder.record_input(Moment::ZERO, || panic!("recording is off"));
 }
