--- a/src/fake.rs
+++ b/src/fake.rs
@@ -1,4 +1,4 @@
-//! Small fakes at the interfaces, for tests and experiments in virtual time.
+//! Fakes of the disk and the network, for tests and simulations in virtual time.
 
 mod disk;
 mod net;
--- a/src/fake/disk.rs
+++ b/src/fake/disk.rs
@@ -1,7 +1,8 @@
-//! A disk that forgets what was not synced, tears what was under way, and rots.
+//! An in-memory disk that simulates power loss, torn writes, bit rot, failed syncs and a full
+//! disk.
 //!
-//! Clones share one disk, so that a test keeps a hand on it while a log owns the
-//! other. Names and contents are kept apart, as a file system does.
+//! Clones share one disk, so that a test can inject faults while a log owns another clone. File
+//! names and contents are kept apart and synced separately, as in a file system.
 
 use std::collections::BTreeMap;
 use std::io::Error;
@@ -17,14 +18,15 @@
 
 use crate::storage;
 
-/// Change of a name that is not synced yet.
+/// Change of a file name that is not synced yet. A `u64` identifies the content.
 #[derive(Clone, Debug)]
-enum Naming {
+enum NameChange {
     Create(String, u64),
     Remove(String),
     Rename(String, String),
 }
 
+/// Content of a file, as applications see it and as it survives a power loss.
 #[derive(Clone, Debug, Default)]
 struct Content {
     cached: Vec<u8>,
@@ -35,32 +37,34 @@
 struct State {
     capacity: u64,
     contents: BTreeMap<u64, Content>,
-    /// Syncs that still succeed.
-    good_syncs: u64,
+    /// Number of syncs that succeed before all others fail.
+    syncs_until_failure: u64,
     names: BTreeMap<String, u64>,
-    namings: Vec<Naming>,
-    next: u64,
+    /// Changes since the last sync of names, in order.
+    name_changes: Vec<NameChange>,
+    /// Identifier of the latest content.
+    last_id: u64,
     random: ChaCha8Rng,
     synced_names: BTreeMap<String, u64>,
     syncs: u64,
 }
 
-/// A disk in memory whose accidents all follow from its seed.
+/// An in-memory disk whose random faults are determined by its seed.
 #[derive(Clone, Debug)]
 pub struct Disk {
     state: Arc<Mutex<State>>,
 }
 
 impl Disk {
-    /// Empty disk without bound.
+    /// Creates an empty disk with unlimited capacity.
     pub fn new(seed: u64) -> Self {
         let state = State {
             capacity: u64::MAX,
             contents: BTreeMap::new(),
-            good_syncs: u64::MAX,
+            syncs_until_failure: u64::MAX,
             names: BTreeMap::new(),
-            namings: Vec::new(),
-            next: 0,
+            name_changes: Vec::new(),
+            last_id: 0,
             random: ChaCha8Rng::seed_from_u64(seed),
             synced_names: BTreeMap::new(),
             syncs: 0,
@@ -68,40 +72,42 @@
         Self { state: Arc::new(Mutex::new(state)) }
     }
 
-    /// Lets the files together hold `bytes`; an append beyond writes a part.
+    /// Limits the total size of all files; an append that exceeds it writes only the part that
+    /// fits.
     pub fn set_capacity(&self, bytes: u64) {
         self.lock().capacity = bytes;
     }
 
-    /// Makes every sync fail, or succeed again.
+    /// Makes every sync fail if `fail`, else succeed.
     pub fn set_fail_sync(&self, fail: bool) {
         self.set_fail_sync_after(if fail { 0 } else { u64::MAX });
     }
 
-    /// Lets `good` more syncs of contents or names succeed, and no others.
-    pub fn set_fail_sync_after(&self, good: u64) {
-        self.lock().good_syncs = good;
+    /// Lets the next `count` syncs of contents or names succeed and all later ones fail.
+    pub fn set_fail_sync_after(&self, count: u64) {
+        self.lock().syncs_until_failure = count;
     }
 
-    /// Another disk with the same contents.
+    /// Creates another disk with the same state, unlike a clone, which shares it.
     pub fn copy(&self) -> Self {
         let state = self.lock().clone();
         Self { state: Arc::new(Mutex::new(state)) }
     }
 
-    /// Syncs of contents so far.
+    /// Number of successful syncs of contents so far.
     pub fn syncs(&self) -> u64 {
         self.lock().syncs
     }
 
-    /// Loses power: of what was not synced, names last up to some point, and
-    /// contents in part, perhaps with a wrong byte.
+    /// Simulates a power loss. Of the unsynced changes, a random prefix of the name changes and
+    /// a random prefix of what was appended to each file survive; the latter may have a wrong
+    /// byte. Afterwards syncs succeed again.
     pub fn crash(&self) {
         self.lock().crash();
     }
 
-    /// Writes all back, as time does, then flips one bit somewhere; `false` if
-    /// there is nothing to flip.
+    /// Simulates bit rot: writes everything back, then flips one random bit. Returns `false` if
+    /// there is no data.
     pub fn flip_random_bit(&self) -> bool {
         let mut state = self.lock();
         state.write_back();
@@ -109,18 +115,18 @@
         if total == 0 {
             return false;
         }
-        let place = state.random.random_range(0..total);
-        state.flip(place);
+        let offset = state.random.random_range(0..total);
+        state.flip(offset);
         true
     }
 
-    /// Flips one bit of `file` at `place`, cached and synced.
-    pub fn flip(&self, file: &str, place: usize) {
+    /// Flips one bit of the byte at `offset` in `file`, in the cache and on the disk.
+    pub fn flip(&self, file: &str, offset: usize) {
         let mut state = self.lock();
         state.write_back();
         let id = state.names.get(file).copied();
         let Some(content) = id.and_then(|id| state.contents.get_mut(&id)) else { return };
-        content.flip(place);
+        content.flip(offset);
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -129,23 +135,23 @@
 }
 
 impl Content {
-    fn flip(&mut self, place: usize) {
+    fn flip(&mut self, offset: usize) {
         for bytes in [&mut self.cached, &mut self.synced] {
-            if let Some(byte) = bytes.get_mut(place) {
+            if let Some(byte) = bytes.get_mut(offset) {
                 *byte ^= 1;
             }
         }
     }
 
-    /// Keeps the synced part, and some of what came after it.
+    /// Keeps the synced part and a random prefix of what was appended after it.
     fn crash(&mut self, random: &mut ChaCha8Rng) {
         let common = self.cached.iter().zip(&self.synced).take_while(|(a, b)| a == b).count();
         let torn = random.random_range(common..=self.cached.len());
         if common == self.synced.len() {
             self.synced.extend_from_slice(&self.cached[common..torn]);
             if torn > common && random.random_bool(0.5) {
-                let place = random.random_range(common..torn);
-                self.synced[place] ^= 0x55;
+                let offset = random.random_range(common..torn);
+                self.synced[offset] ^= 0x55;
             }
         }
         self.cached = self.synced.clone();
@@ -154,9 +160,9 @@
 
 impl State {
     fn crash(&mut self) {
-        let kept = self.random.random_range(0..=self.namings.len());
-        for naming in self.namings.drain(..).take(kept) {
-            apply(&mut self.synced_names, naming);
+        let kept = self.random.random_range(0..=self.name_changes.len());
+        for change in self.name_changes.drain(..).take(kept) {
+            apply(&mut self.synced_names, change);
         }
         self.names = self.synced_names.clone();
         let live: Vec<_> = self.names.values().copied().collect();
@@ -164,50 +170,55 @@
         for content in self.contents.values_mut() {
             content.crash(&mut self.random);
         }
-        self.good_syncs = u64::MAX;
+        self.syncs_until_failure = u64::MAX;
     }
 
     fn try_sync(&mut self) -> Result<()> {
-        if self.good_syncs == 0 {
-            return Err(Error::other("the disk fails"));
+        if self.syncs_until_failure == 0 {
+            return Err(Error::other("simulated sync failure"));
         }
-        self.good_syncs -= 1;
+        self.syncs_until_failure -= 1;
         Ok(())
     }
 
+    /// Marks all names and contents as synced.
     fn write_back(&mut self) {
-        self.namings.clear();
+        self.name_changes.clear();
         self.synced_names = self.names.clone();
         for content in self.contents.values_mut() {
             content.synced = content.cached.clone();
         }
     }
 
-    fn flip(&mut self, mut place: usize) {
+    /// Flips one bit of the byte at `offset` in the concatenation of all files.
+    fn flip(&mut self, mut offset: usize) {
         for id in self.names.values() {
             let Some(content) = self.contents.get_mut(id) else { continue };
-            if place < content.cached.len() {
-                return content.flip(place);
+            if offset < content.cached.len() {
+                return content.flip(offset);
             }
-            place -= content.cached.len();
+            offset -= content.cached.len();
         }
     }
 
-    fn name(&mut self, naming: Naming) {
-        apply(&mut self.names, naming.clone());
-        self.namings.push(naming);
+    /// Applies a name change that is not synced yet.
+    fn change_name(&mut self, change: NameChange) {
+        apply(&mut self.names, change.clone());
+        self.name_changes.push(change);
     }
 
+    /// Content of `file`, which is created if missing.
     fn content(&mut self, file: &str) -> &mut Content {
         if !self.names.contains_key(file) {
-            self.next += 1;
-            self.name(Naming::Create(file.to_owned(), self.next));
+            self.last_id += 1;
+            self.change_name(NameChange::Create(file.to_owned(), self.last_id));
         }
         let id = self.names[file];
         self.contents.entry(id).or_default()
     }
 
-    fn room(&self) -> usize {
+    /// Number of bytes that still fit.
+    fn free_bytes(&self) -> usize {
         let used: usize = self.names.values().map(|id| self.contents[id].cached.len()).sum();
         usize::try_from(self.capacity.saturating_sub(used as u64)).unwrap_or(usize::MAX)
     }
@@ -216,7 +227,7 @@
 impl storage::Disk for Disk {
     fn append(&mut self, file: &str, bytes: &[u8]) -> Result<()> {
         let mut state = self.lock();
-        let fits = state.room().min(bytes.len());
+        let fits = state.free_bytes().min(bytes.len());
         state.content(file).cached.extend_from_slice(&bytes[..fits]);
         if fits < bytes.len() { Err(ErrorKind::StorageFull.into()) } else { Ok(()) }
     }
@@ -232,12 +243,12 @@
     }
 
     fn remove(&mut self, file: &str) -> Result<()> {
-        self.lock().name(Naming::Remove(file.to_owned()));
+        self.lock().change_name(NameChange::Remove(file.to_owned()));
         Ok(())
     }
 
     fn rename(&mut self, from: &str, to: &str) -> Result<()> {
-        self.lock().name(Naming::Rename(from.to_owned(), to.to_owned()));
+        self.lock().change_name(NameChange::Rename(from.to_owned(), to.to_owned()));
         Ok(())
     }
 
@@ -253,7 +264,7 @@
     fn sync_names(&mut self) -> Result<()> {
         let mut state = self.lock();
         state.try_sync()?;
-        state.namings.clear();
+        state.name_changes.clear();
         state.synced_names = state.names.clone();
         Ok(())
     }
@@ -265,15 +276,15 @@
     }
 }
 
-fn apply(names: &mut BTreeMap<String, u64>, naming: Naming) {
-    match naming {
-        Naming::Create(name, id) => {
+fn apply(names: &mut BTreeMap<String, u64>, change: NameChange) {
+    match change {
+        NameChange::Create(name, id) => {
             names.insert(name, id);
         }
-        Naming::Remove(name) => {
+        NameChange::Remove(name) => {
             names.remove(&name);
         }
-        Naming::Rename(from, to) => {
+        NameChange::Rename(from, to) => {
             if let Some(id) = names.remove(&from) {
                 names.insert(to, id);
             }
--- a/src/fake/net.rs
+++ b/src/fake/net.rs
@@ -1,7 +1,7 @@
-//! A queue of timed messages with loss, delay, duplication and one-way cuts.
+//! A simulated network: a queue of timed messages with loss, delay, duplication and one-way
+//! partitions.
 //!
-//! It knows nothing of what it carries, and is not to grow into a model of VMs,
-//! services or traffic.
+//! It does not interpret messages, and must not grow into a model of VMs, services or traffic.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -15,45 +15,46 @@
 use crate::clock::Moment;
 use crate::id::NodeId;
 
-/// How the network treats each message; probabilities are from 0 to 1.
+/// Network conditions that apply to each message; probabilities are from 0 to 1.
 #[derive(Clone, Debug)]
 pub struct Conditions {
     /// Probability that a message is lost.
     pub loss: f64,
-    /// Probability that a message arrives twice.
+    /// Probability that a message is delivered twice.
     pub duplication: f64,
-    /// Shortest delay of a message.
+    /// Minimum delay of a message.
     pub delay_min: Duration,
-    /// Longest delay of a message; the spread reorders messages.
+    /// Maximum delay of a message; a range of delays reorders messages.
     pub delay_max: Duration,
 }
 
 impl Conditions {
-    /// Nothing lost or doubled, each message 1 ms under way.
+    /// No loss or duplication, and a constant delay of 1 ms.
     pub fn reliable() -> Self {
         let delay = Duration::from_millis(1);
         Self { loss: 0.0, duplication: 0.0, delay_min: delay, delay_max: delay }
     }
 }
 
-/// One message that arrives at `at`.
+/// A message with its time of arrival.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Delivery {
-    /// When it arrives.
+    /// Time of arrival.
     pub at: Moment,
+    /// Orders messages that arrive at the same time by when they were sent.
     sequence: u64,
-    /// Its sender.
+    /// Sender.
     pub from: NodeId,
-    /// Its receiver.
+    /// Receiver.
     pub to: NodeId,
     /// Encoded message.
     pub bytes: Vec<u8>,
 }
 
-/// Messages under way between named ends.
+/// A network with its messages in flight between named nodes.
 #[derive(Debug)]
 pub struct Net {
-    /// Treatment of messages sent from now on.
+    /// Conditions for messages sent from now on.
     pub conditions: Conditions,
     cuts: BTreeSet<(NodeId, NodeId)>,
     queue: BinaryHeap<Reverse<Delivery>>,
@@ -62,7 +63,7 @@
 }
 
 impl Net {
-    /// Network whose accidents all follow from `seed`.
+    /// Creates a network whose random faults are determined by `seed`.
     pub fn new(seed: u64, conditions: Conditions) -> Self {
         Self {
             conditions,
@@ -73,28 +74,28 @@
         }
     }
 
-    /// Cuts one direction; messages already under way still arrive.
+    /// Drops messages in one direction from now on; those in flight still arrive.
     pub fn cut(&mut self, from: &NodeId, to: &NodeId) {
         self.cuts.insert((from.clone(), to.clone()));
     }
 
-    /// Cuts both directions.
+    /// Drops messages in both directions.
     pub fn cut_both(&mut self, a: &NodeId, b: &NodeId) {
         self.cut(a, b);
         self.cut(b, a);
     }
 
-    /// Mends one direction.
+    /// Ends the cut of one direction.
     pub fn heal(&mut self, from: &NodeId, to: &NodeId) {
         self.cuts.remove(&(from.clone(), to.clone()));
     }
 
-    /// Mends every cut.
+    /// Ends all cuts.
     pub fn heal_all(&mut self) {
         self.cuts.clear();
     }
 
-    /// Sends a message, which may be lost, delayed or doubled.
+    /// Sends a message, which may be lost, delayed or duplicated.
     pub fn send(&mut self, now: Moment, from: &NodeId, to: &NodeId, bytes: Vec<u8>) {
         if self.cuts.contains(&(from.clone(), to.clone())) {
             return;
@@ -108,12 +109,12 @@
         self.push(now, from, to, bytes);
     }
 
-    /// When the next message arrives.
+    /// Time at which the next message arrives.
     pub fn next_at(&self) -> Option<Moment> {
         self.queue.peek().map(|Reverse(delivery)| delivery.at)
     }
 
-    /// Takes the next message that has arrived by `now`.
+    /// Removes and returns the next message that has arrived by `now`.
     pub fn receive(&mut self, now: Moment) -> Option<Delivery> {
         if self.next_at()? > now {
             return None;
