--- a/src/node/builder.rs
+++ b/src/node/builder.rs
@@ -10,7 +10,7 @@
 use crate::boundary::Native;
 use crate::clock::Moment;
 use crate::config;
-use crate::feed::Room;
+use crate::feed::Capacity;
 use crate::fleet;
 use crate::id::NodeId;
 use crate::platform::Platform;
@@ -49,7 +49,7 @@
 /// Selects the external interface of the process.
 pub(super) fn select_boundary(settings: &Settings) -> Arc<dyn Boundary> {
     match settings.interface {
-        Interface::Own => Arc::new(Native),
+        Interface::Native => Arc::new(Native),
         Interface::Platform => Arc::new(Platform),
     }
 }
@@ -75,10 +75,10 @@
         callers: callers.unwrap_or_else(unspecified_address),
         domain: settings.node.failure_domain.clone(),
         id: settings.node.id.clone(),
-        is_control: settings.has(Role::Control),
-        is_entry: settings.has(Role::Entry),
+        is_control: settings.has_role(Role::Control),
+        is_entry: settings.has_role(Role::Entry),
         controller,
-        room: Room::new(settings.limits.processor, settings.limits.link),
+        room: Capacity::new(settings.limits.processor, settings.limits.link),
         retry_window: settings.retry.window,
         seed: rand::random(),
         seeds: seed_ids(settings),
@@ -158,7 +158,7 @@
 }
 
 fn controls(settings: &Settings) -> Vec<NodeId> {
-    let own = settings.has(Role::Control).then(|| settings.node.id.clone());
+    let own = settings.has_role(Role::Control).then(|| settings.node.id.clone());
     let peers = settings.peers.iter().filter(|peer| peer.roles.contains(&Role::Control));
     own.into_iter().chain(peers.map(|peer| peer.id.clone())).collect()
 }
@@ -184,7 +184,7 @@
     founders: Option<Membership>,
     is_founding: bool,
 ) -> Result<Option<(Controller, Log)>, Error> {
-    let Some(data) = settings.data.as_deref().filter(|_| settings.has(Role::Control)) else {
+    let Some(data) = settings.data.as_deref().filter(|_| settings.has_role(Role::Control)) else {
         return Ok(None);
     };
     let folder = data.join("log");
--- a/src/node/feed_core/control_role.rs
+++ b/src/node/feed_core/control_role.rs
@@ -12,10 +12,10 @@
 use crate::config::Version;
 use crate::directory;
 use crate::feed::Control;
-use crate::feed::Ledger;
 use crate::feed::Message;
 use crate::feed::Publisher;
-use crate::feed::Ready;
+use crate::feed::Report;
+use crate::feed::Snapshot;
 use crate::id::Index;
 use crate::id::NodeId;
 use crate::node::Controller;
@@ -167,7 +167,7 @@
     /// Entries that accept callers; `None` if they are the same as in the last view.
     pub(super) fn entries(&self, now: Moment, last: &View) -> Option<Arc<Vec<directory::Entry>>> {
         let mut entries: Vec<directory::Entry> =
-            self.publisher.named(now).into_iter().map(super::directory_entry).collect();
+            self.publisher.advertised(now).into_iter().map(super::directory_entry).collect();
         entries.sort_by(|one, other| one.id.cmp(&other.id));
         (entries != *last.entries).then(|| Arc::new(entries))
     }
@@ -243,7 +243,7 @@
                 if self.peers.record_greeting(now, control, disk) {
                     self.update_forwarder();
                 }
-                self.publisher.hear(now, &from, ready);
+                self.publisher.merge_report(now, &from, ready);
                 if !has_greeted {
                     let controls = self.peers.live(now);
                     let leader = self.controller.as_ref().and_then(Controller::leader);
@@ -252,7 +252,7 @@
             }
             Message::Ask { ticket, ask } => self.forward_demand(now, from, ticket, ask, outputs),
             Message::Grant { .. } | Message::News(_) => (),
-            Message::Tallies(tallies) => self.publisher.gather(now, &tallies, false),
+            Message::Tallies(tallies) => self.publisher.add_tallies(now, &tallies, false),
             Message::Poll(poll) => {
                 let controls = self.peers.live(now);
                 let empty = Catalog::default();
@@ -285,14 +285,14 @@
 
     /// Greets the other controls and sends them the entries that poll this one.
     fn greet(&mut self, now: Moment, outputs: &mut Vec<Output>) {
-        if now < self.hello_at && !self.publisher.has_moved() {
+        if now < self.hello_at && !self.publisher.has_changed_entries() {
             return;
         }
         self.hello_at = now + HELLO_INTERVAL;
         self.peers.remove_silent(now, self.members());
         let disk =
             self.controller.as_ref().and_then(|controller| controller.replica().synced_disk());
-        let ready = Ready { entries: self.publisher.own(now) };
+        let ready = Report { entries: self.publisher.report(now) };
         for id in self.peers.others() {
             let (control, ready) = (self.peers.me().clone(), ready.clone());
             outputs.push(send(id.clone(), Message::Hello { control, disk, ready }));
@@ -488,7 +488,7 @@
             let upstreams =
                 self.controller.iter().flat_map(|controller| controller.catalog().upstreams());
             self.publisher.set_slots(upstreams.map(|announcement| announcement.slots).sum());
-            self.publisher.changed(now);
+            self.publisher.schedule_push(now);
             self.add_members();
             self.publish(now, outputs);
         }
@@ -516,11 +516,17 @@
     controller: Option<&'a Controller>,
     empty: &'a Catalog,
     controls: Vec<Control>,
-) -> Ledger<'a> {
+) -> Snapshot<'a> {
     let Some(controller) = controller else {
-        return Ledger { applied: 0, catalog: empty, configuration: None, controls, fresh: false };
+        return Snapshot {
+            applied: 0,
+            catalog: empty,
+            configuration: None,
+            controls,
+            fresh: false,
+        };
     };
-    Ledger {
+    Snapshot {
         applied: controller.applied(),
         catalog: controller.catalog(),
         configuration: controller.configuration(),
--- a/src/node/feed_core/entry_role.rs
+++ b/src/node/feed_core/entry_role.rs
@@ -18,9 +18,9 @@
 use crate::directory;
 use crate::feed;
 use crate::feed::Message;
-use crate::feed::News;
 use crate::feed::Subscriber;
 use crate::feed::Tallies;
+use crate::feed::Update;
 use crate::fleet;
 use crate::health;
 use crate::id::NodeId;
@@ -128,7 +128,7 @@
                 self.step_subscriber(now, feed::Input::Tick, &mut outputs);
             }
             Input::Frame(from, Frame::Feed(Message::News(news))) => {
-                let input = feed::Input::News(from.clone(), news.clone());
+                let input = feed::Input::Update(from.clone(), news.clone());
                 self.step_subscriber(now, input, &mut outputs);
             }
             Input::Frame(_, Frame::Feed(Message::Grant { ticket, grant })) => {
@@ -156,7 +156,7 @@
             Input::Overdue(service, upstream, ages) => {
                 self.record_overdue(now, service, upstream, ages, &mut outputs);
             }
-            Input::Throughput(arrivals, bytes) => self.subscriber.note_traffic(*arrivals, *bytes),
+            Input::Throughput(arrivals, bytes) => self.subscriber.record_traffic(*arrivals, *bytes),
             Input::Seeds(seeds) => self.subscriber.set_seeds(seeds.clone()),
             Input::Tick => self.tick(now, &mut outputs),
             _ => (),
@@ -234,20 +234,20 @@
     fn step_subscriber(&mut self, now: Moment, input: feed::Input, outputs: &mut Vec<Output>) {
         for output in self.subscriber.handle(now, input) {
             match output {
-                feed::Output::Name(entries) => {
+                feed::Output::Advertise(entries) => {
                     self.directory = Arc::new(entries.iter().map(super::directory_entry).collect());
                     self.is_dirty = true;
                 }
-                feed::Output::Note(tallies) => self.record_others(now, &tallies),
+                feed::Output::Record(tallies) => self.record_others(now, &tallies),
                 feed::Output::Send(to, message) => {
                     outputs.push(Output::Send(to, None, Frame::Feed(message)));
                 }
-                feed::Output::Take(news) => self.apply_news(now, *news, outputs),
+                feed::Output::Apply(news) => self.apply_news(now, *news, outputs),
             }
         }
     }
 
-    fn apply_news(&mut self, now: Moment, news: News, outputs: &mut Vec<Output>) {
+    fn apply_news(&mut self, now: Moment, news: Update, outputs: &mut Vec<Output>) {
         self.entries = news.entries.max(1);
         if news.fresh {
             self.participants.update(now, news.serving);
@@ -348,7 +348,7 @@
         if effect.is_evidence {
             let alarming = if effect.is_alarming { counts.failed } else { 0 };
             let counts = Counts { alarming, cleared: effect.cleared, ..*counts };
-            self.subscriber.note(now, upstream, &counts);
+            self.subscriber.record(now, upstream, &counts);
         }
         if effect.has_changed {
             self.is_dirty = true;
--- a/src/settings/interface.rs
+++ b/src/settings/interface.rs
@@ -1,12 +1,12 @@
 use super::Scalar;
 
-/// How the world outside speaks to a process.
+/// Protocol by which upstreams, callers and operators talk to a process.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Interface {
-    /// The product's own interface.
+    /// The interface that hemlockfield defines itself.
     #[default]
-    Own,
-    /// The interface of the platform that the fleet runs on.
+    Native,
+    /// The interface that the platform on which the fleet runs defines.
     Platform,
 }
 
@@ -16,7 +16,7 @@
 
     fn read(text: &str) -> Option<Self> {
         match text {
-            "own" => Some(Self::Own),
+            "own" => Some(Self::Native),
             "platform" => Some(Self::Platform),
             _ => None,
         }
@@ -24,7 +24,7 @@
 
     fn show(&self) -> String {
         match self {
-            Self::Own => "own".into(),
+            Self::Native => "own".into(),
             Self::Platform => "platform".into(),
         }
     }
--- a/src/upstream/setup.rs
+++ b/src/upstream/setup.rs
@@ -6,47 +6,49 @@
 use crate::id::ServiceId;
 use crate::id::UpstreamId;
 
-use super::Gray;
+use super::FailureMode;
 
-/// What a stand-in is.
+/// Parameters of a test upstream.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// How much longer work takes in a cold start, falling to nothing over `warm_up`.
-    pub cold: f64,
-    /// Failure domain it says it is in.
+    /// Factor on the processing time at the start, which falls linearly to 1 over `warm_up`;
+    /// a factor below 1 has no effect.
+    pub cold_start_factor: f64,
+    /// Failure domain that it announces.
     pub domain: DomainId,
-    /// Operators' addresses of entries to announce itself to.
+    /// Operator addresses of the entries that it announces itself to.
     pub entries: Vec<SocketAddr>,
-    /// How it fails at the start.
-    pub gray: Gray,
-    /// Restart counter; higher is newer.
+    /// Initial failure mode.
+    pub failure_mode: FailureMode,
+    /// Identifies this start of the upstream; a higher incarnation is newer.
     pub incarnation: Incarnation,
-    /// For how long an announcement counts.
+    /// Lease duration of an announcement.
     pub lease: Duration,
-    /// Where it listens; port 0 for any.
+    /// Address to listen on; port 0 picks a free port.
     pub listen: SocketAddr,
-    /// Its name.
+    /// Name of the upstream.
     pub name: UpstreamId,
-    /// Requests that may wait for a slot before it sheds.
+    /// Requests that may wait for a slot; further ones are shed.
     pub queue: usize,
-    /// Service it belongs to.
+    /// Service that it belongs to.
     pub service: ServiceId,
-    /// Requests it works on at once.
+    /// Maximum number of requests processed at once.
     pub slots: usize,
-    /// Cold start.
+    /// Duration of the cold start.
     pub warm_up: Duration,
-    /// Time that a request takes.
-    pub work: Duration,
+    /// Processing time of a request.
+    pub processing_time: Duration,
 }
 
 impl Setup {
-    /// A sound upstream at the brief's sizes: four slots, 25 ms.
+    /// Creates the parameters of an upstream without failures, with four slots and a processing
+    /// time of 25 ms.
     pub fn new(name: &str, service: &str, domain: &str, listen: SocketAddr) -> Self {
         Self {
-            cold: 1.0,
+            cold_start_factor: 1.0,
             domain: domain.into(),
             entries: Vec::new(),
-            gray: Gray::None,
+            failure_mode: FailureMode::None,
             incarnation: crate::node::incarnation(),
             lease: Duration::from_secs(6),
             listen,
@@ -55,7 +57,7 @@
             service: service.into(),
             slots: 4,
             warm_up: Duration::ZERO,
-            work: Duration::from_millis(25),
+            processing_time: Duration::from_millis(25),
         }
     }
 }
