--- a/src/fake.rs
+++ b/src/fake.rs
@@ -1,9 +1,9 @@
-//! Small fakes at the interfaces, for tests and experiments in virtual time.
+//! Fakes of the disk and the network, for tests and simulations in virtual time.
 
 mod disk;
 mod net;
 
 pub use disk::Disk;
+pub use net::Conditions;
 pub use net::Delivery;
 pub use net::Net;
-pub use net::Weather;
--- a/src/replay/tape.rs
+++ b/src/replay/machine_recorder.rs
@@ -7,29 +7,29 @@
 use super::Recorder;
 use crate::clock::Moment;
 
-/// The part of a [`Recorder`] that belongs to one machine.
+/// Records the creation and inputs of one machine through a shared [`Recorder`].
 #[derive(Clone, Debug, Default)]
-pub struct Tape {
+pub struct MachineRecorder {
     of: CompactString,
     recorder: Recorder,
 }
 
-impl Tape {
-    /// The tape of the machine `of`, such as `gate/shop`.
+impl MachineRecorder {
+    /// Creates the recorder of the machine `of`, such as `gate/shop`.
     pub fn new(recorder: &Recorder, of: CompactString) -> Self {
         Self { of, recorder: recorder.clone() }
     }
 
-    /// Notes that the machine was made.
-    pub fn machine(&self, now: Moment, machine: impl FnOnce() -> Machine) {
+    /// Records the creation of the machine; `machine` is called only if recording is on.
+    pub fn record_machine(&self, now: Moment, machine: impl FnOnce() -> Machine) {
         if self.recorder.is_on() {
             let machine = Some(machine());
             self.record(Line { machine, ..self.line(now) });
         }
     }
 
-    /// Notes an input, which is made only where it is recorded.
-    pub fn input(&self, now: Moment, input: impl FnOnce() -> Input) {
+    /// Records an input; `input` is called only if recording is on.
+    pub fn record_input(&self, now: Moment, input: impl FnOnce() -> Input) {
         if self.recorder.is_on() {
             let input = Some(input());
             self.record(Line { input, ..self.line(now) });
--- a/tests/suite/fleet.rs
+++ b/tests/suite/fleet.rs
@@ -6,7 +6,7 @@
 
 use compact_str::CompactString;
 use compact_str::format_compact;
-use hemlockfield::fake::Weather;
+use hemlockfield::fake::Conditions;
 use hemlockfield::fleet::Allowance;
 use hemlockfield::fleet::Digest;
 use hemlockfield::fleet::Dissemination;
@@ -23,7 +23,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 fn converged(seed: u64, count: usize) -> Simulation {
-    let mut simulation = Simulation::new(seed, count, Weather::fair());
+    let mut simulation = Simulation::new(seed, count, Conditions::reliable());
     simulation.run(SECOND * 30);
     assert!(simulation.agrees(count));
     simulation.reset();
@@ -124,8 +124,8 @@
     // For ten minutes one message in twenty is lost and some are duplicated. Repeated and indirect
     // pings and refutations must prevent false failures.
     let mut simulation = converged(7, 44);
-    simulation.net.weather.loss = 0.05;
-    simulation.net.weather.duplication = 0.01;
+    simulation.net.conditions.loss = 0.05;
+    simulation.net.conditions.duplication = 0.01;
     simulation.run(SECOND * 600);
     assert!(failures(&simulation).is_empty());
     assert!(simulation.agrees(44));
@@ -193,7 +193,7 @@
     // All start at once and fetch their tables from the same seeds. Members that restart soon after
     // must still get their tables, must not be suspected although they do not know their observers
     // at first, and must learn of the loss of a failure domain.
-    let mut simulation = Simulation::new(1, 520, Weather::fair());
+    let mut simulation = Simulation::new(1, 520, Conditions::reliable());
     simulation.run(SECOND * 60);
     assert!(simulation.agrees(520));
     for index in [262, 365, 468] {
--- a/tests/suite/registry.rs
+++ b/tests/suite/registry.rs
@@ -258,11 +258,11 @@
     // Half of all messages are lost while ten upstreams join and ten drain. Anti-entropy repairs
     // what gossip lost.
     let mut simulation = converged(11);
-    simulation.net.weather.loss = 0.5;
+    simulation.net.conditions.loss = 0.5;
     (30..40).for_each(|index| simulation.announce(index, Simulation::announcement(index)));
     (0..10).for_each(|index| drain(&mut simulation, index, 20));
     simulation.run(SECOND * 30);
-    simulation.net.weather.loss = 0.0;
+    simulation.net.conditions.loss = 0.0;
     simulation.run(SECOND * 10);
     let roots: BTreeSet<u32> = simulation.registries.values().map(Registry::root).collect();
     assert_eq!(roots.len(), 1);
