--- a/src/exchange/request.rs
+++ b/src/exchange/request.rs
@@ -100,9 +100,9 @@
         let request_line = format_compact!("{} {} HTTP/1.1\r\n", self.method, self.target);
         bytes.extend_from_slice(request_line.as_bytes());
         head::encode(&self.headers, &mut bytes);
-        let is_bodiless_method = matches!(self.method, Method::GET | Method::HEAD | Method::DELETE);
+        let omits_zero_length = matches!(self.method, Method::GET | Method::HEAD | Method::DELETE);
         match self.body.len() {
-            Some(0) if is_bodiless_method => (),
+            Some(0) if omits_zero_length => (),
             Some(length) => head::encode_length(length, &mut bytes),
             None => bytes.extend_from_slice(head::CHUNKED_HEADER),
         }
--- a/src/exchange/socket.rs
+++ b/src/exchange/socket.rs
@@ -34,7 +34,7 @@
 #[derive(Debug, Default)]
 struct State {
     buffer: BytesMut,
-    is_closed: bool,
+    has_read_ended: bool,
 }
 
 impl State {
@@ -119,7 +119,7 @@
 
     /// Whether the connection is open and no unread bytes have arrived on it.
     pub async fn is_idle(&self) -> bool {
-        if self.has_buffered() || self.lock().is_closed {
+        if self.has_buffered() || self.lock().has_read_ended {
             return false;
         }
         let mut byte = [0];
@@ -193,7 +193,7 @@
         if let Poll::Ready(Ok(count)) = &polled {
             state.buffer.extend_from_slice(&chunk[..*count]);
         }
-        state.is_closed |= matches!(polled, Poll::Ready(Ok(0) | Err(_)));
+        state.has_read_ended |= matches!(polled, Poll::Ready(Ok(0) | Err(_)));
         polled
     }
 
--- a/src/node/core.rs
+++ b/src/node/core.rs
@@ -227,7 +227,7 @@
             wall_clock: Epoch::ZERO,
         };
         if let Some(version) = core.replicator.current().cloned() {
-            core.restore(now, &version);
+            core.restore_configuration(now, &version);
         }
         core
     }
@@ -265,16 +265,16 @@
             }
             Input::Quota(ticket, ask) => {
                 let order = Order::Quota(ask);
-                let done =
+                let forwarder_outputs =
                     self.forwarder.forward(now, ticket, order, quota::Limiter::RESEND_INTERVAL);
-                self.handle_forwarder_outputs(now, done, &mut outputs);
+                self.handle_forwarder_outputs(now, forwarder_outputs, &mut outputs);
             }
             Input::ReadConfiguration(ticket) => outputs.push(Output::Configuration(ticket, None)),
             Input::Throughput(..) | Input::Seeds(_) => (),
             Input::Stop => self.step_member(now, fleet::Input::Leave, &mut outputs),
             Input::Submit(ticket, version) => {
-                let done = self.forwarder.submit(now, ticket, version);
-                self.handle_forwarder_outputs(now, done, &mut outputs);
+                let forwarder_outputs = self.forwarder.submit(now, ticket, version);
+                self.handle_forwarder_outputs(now, forwarder_outputs, &mut outputs);
             }
             Input::Synced(number) => {
                 self.step_controller(now, controller::Input::Synced(number), &mut outputs);
@@ -349,8 +349,8 @@
         self.tick_registry(now, outputs);
         self.probe_homed_upstreams(now, outputs);
         self.tick_monitors(now, outputs);
-        let done = self.forwarder.tick(now);
-        self.handle_forwarder_outputs(now, done, outputs);
+        let forwarder_outputs = self.forwarder.tick(now);
+        self.handle_forwarder_outputs(now, forwarder_outputs, outputs);
     }
 
     fn receive(&mut self, now: Moment, from: NodeId, frame: Frame, outputs: &mut Vec<Output>) {
@@ -385,8 +385,8 @@
                 );
             }
             Frame::Verdict { ticket, verdict } => {
-                let done = self.forwarder.handle_verdict(now, ticket, verdict);
-                self.handle_forwarder_outputs(now, done, outputs);
+                let forwarder_outputs = self.forwarder.handle_verdict(now, ticket, verdict);
+                self.handle_forwarder_outputs(now, forwarder_outputs, outputs);
             }
         }
     }
--- a/src/node/core/configuration.rs
+++ b/src/node/core/configuration.rs
@@ -117,7 +117,7 @@
     /// without them a restarted entry would pick failing upstreams until the next change of
     /// configuration, possibly for hours. Outputs are dropped: there is no peer to send to yet, and
     /// events of a restore are not recorded.
-    pub(super) fn restore(&mut self, now: Moment, version: &Version) {
+    pub(super) fn restore_configuration(&mut self, now: Moment, version: &Version) {
         let mut dropped = Vec::new();
         self.load_rules(version);
         self.step_member(now, fleet::Input::Configuration(version.number), &mut dropped);
@@ -142,10 +142,10 @@
     pub(super) fn handle_forwarder_outputs(
         &mut self,
         now: Moment,
-        done: Vec<forwarder::Output>,
+        forwarder_outputs: Vec<forwarder::Output>,
         outputs: &mut Vec<Output>,
     ) {
-        for output in done {
+        for output in forwarder_outputs {
             match output {
                 forwarder::Output::Answer(ticket, Verdict::Granted(grant)) => {
                     outputs.push(Output::QuotaGranted(ticket, grant));
--- a/src/node/core/membership.rs
+++ b/src/node/core/membership.rs
@@ -47,7 +47,7 @@
         self.step_agent(now, claim::Input::Controls(controls.clone()), outputs);
         let peers = self.config_peers(&controls);
         self.step_replicator(now, config::Input::Peers(peers), outputs);
-        self.publish_entries(now, outputs);
+        self.update_registry_members(now, outputs);
     }
 
     /// Controls named in the settings and those among the members.
--- a/src/node/core/upstreams.rs
+++ b/src/node/core/upstreams.rs
@@ -44,7 +44,7 @@
                     outputs.extend(ticket.map(|ticket| Output::Announced(ticket, Ok(()))));
                 }
                 registry::Output::Changed { incarnation, state, upstream } => {
-                    self.upstream_changed(now, &upstream, outputs);
+                    self.update_monitored_upstream(now, &upstream, outputs);
                     let kind = match state {
                         State::Ready => Kind::UpstreamAnnounced,
                         State::Draining => Kind::UpstreamDraining,
@@ -74,7 +74,7 @@
     }
 
     /// Passes the live members of the fleet, entries or not, to the registry.
-    pub(super) fn publish_entries(&mut self, now: Moment, outputs: &mut Vec<Output>) {
+    pub(super) fn update_registry_members(&mut self, now: Moment, outputs: &mut Vec<Output>) {
         let entries = registry::Entry::all(&self.member);
         self.step_registry(now, registry::Input::Entries(entries), outputs);
     }
@@ -126,7 +126,12 @@
 
     /// Adds the upstream to its service's health monitor if it is ready; otherwise removes it from
     /// all monitors.
-    fn upstream_changed(&mut self, now: Moment, upstream: &UpstreamId, outputs: &mut Vec<Output>) {
+    fn update_monitored_upstream(
+        &mut self,
+        now: Moment,
+        upstream: &UpstreamId,
+        outputs: &mut Vec<Output>,
+    ) {
         self.is_view_stale = true;
         let ready = self.registry.get(upstream).filter(|found| found.is_ready()).map(|found| {
             let announcement = &found.announcement;
@@ -138,11 +143,16 @@
                 let input = health::Input::Member { domain, slots, upstream };
                 self.step_monitor(now, &service, input, outputs);
             }
-            None => self.remove_upstream(now, upstream, outputs),
+            None => self.remove_monitored_upstream(now, upstream, outputs),
         }
     }
 
-    fn remove_upstream(&mut self, now: Moment, upstream: &UpstreamId, outputs: &mut Vec<Output>) {
+    fn remove_monitored_upstream(
+        &mut self,
+        now: Moment,
+        upstream: &UpstreamId,
+        outputs: &mut Vec<Output>,
+    ) {
         let monitor_outputs = self.monitors.remove(now, upstream);
         self.handle_monitor_outputs(now, monitor_outputs, outputs);
     }
@@ -161,7 +171,7 @@
             .map(|found| found.announcement.upstream.clone())
             .collect();
         for upstream in known {
-            self.upstream_changed(now, &upstream, outputs);
+            self.update_monitored_upstream(now, &upstream, outputs);
         }
     }
 }
--- a/src/storage/frame.rs
+++ b/src/storage/frame.rs
@@ -27,7 +27,7 @@
 pub(super) struct Frame {
     /// Position of the frame in the file, from 0.
     pub(super) number: u64,
-    /// Records, none of them a snapshot; empty in a seal.
+    /// Records, none of them a snapshot; empty in a sync marker.
     pub(super) records: Vec<Record>,
     /// In the first frame, the snapshot that the log file follows.
     pub(super) snapshot: Option<(Index, Term)>,
--- a/src/storage/log.rs
+++ b/src/storage/log.rs
@@ -36,7 +36,7 @@
     length: u64,
     next_frame: u64,
     pending: Vec<Record>,
-    synced: u64,
+    synced_length: u64,
 }
 
 impl Log {
@@ -72,8 +72,9 @@
         let snapshot_id = scan.frames.first().and_then(|frame| frame.snapshot);
         let mut recovered = replay(scan.frames);
         recovered.snapshot = snapshot_id.map(|it| read_snapshot(disk.as_ref(), it)).transpose()?;
-        let (length, synced) = (scan.end, scan.end);
-        let mut log = Self { file, generation, length, next_frame, synced, ..Self::empty(disk) };
+        let (length, synced_length) = (scan.end, scan.end);
+        let mut log =
+            Self { file, generation, length, next_frame, synced_length, ..Self::empty(disk) };
         log.remove_obsolete(snapshot_id)?;
         Ok((log, recovered))
     }
@@ -99,13 +100,13 @@
         for record in std::mem::take(&mut self.pending) {
             match record {
                 Record::Snapshot(snapshot) => {
-                    self.write_frame(std::mem::take(&mut records))?;
+                    self.sync_records(std::mem::take(&mut records))?;
                     self.save_snapshot(snapshot)?;
                 }
                 record => records.push(record),
             }
         }
-        self.write_frame(records)?;
+        self.sync_records(records)?;
         self.is_closed = false;
         Ok(())
     }
@@ -124,33 +125,34 @@
             length: 0,
             next_frame: 0,
             pending: Vec::new(),
-            synced: 0,
+            synced_length: 0,
         }
     }
 
-    fn write_frame(&mut self, records: Vec<Record>) -> Result<(), Error> {
+    fn sync_records(&mut self, records: Vec<Record>) -> Result<(), Error> {
         if records.is_empty() {
             return Ok(());
         }
         let is_first = self.next_frame == 0;
-        self.write(records)?;
+        self.write_frame(records)?;
         self.disk.sync(&self.file).map_err(|source| Error::from_io(&self.file, source))?;
-        self.synced = self.length;
+        self.synced_length = self.length;
         if is_first {
             self.disk.sync_names().map_err(|source| Error::from_io(&self.file, source))?;
         }
-        self.seal()
+        self.write_sync_marker()
     }
 
     /// Writes an empty frame, unsynced, that states how much of the file is synced. Once
     /// the operating system has written it to disk, [`Self::open`] can tell damage to the
     /// records before it from a torn tail, also in an idle log.
-    fn seal(&mut self) -> Result<(), Error> {
-        self.write(Vec::new())
+    fn write_sync_marker(&mut self) -> Result<(), Error> {
+        self.write_frame(Vec::new())
     }
 
-    fn write(&mut self, records: Vec<Record>) -> Result<(), Error> {
-        let frame = Frame { number: self.next_frame, records, snapshot: None, synced: self.synced };
+    fn write_frame(&mut self, records: Vec<Record>) -> Result<(), Error> {
+        let frame =
+            Frame { number: self.next_frame, records, snapshot: None, synced: self.synced_length };
         let bytes = frame::encode(&self.file, &frame)?;
         if let Err(source) = self.disk.append(&self.file, &bytes) {
             // If this fails, the partial frame is truncated as a torn tail at the next open.
@@ -169,7 +171,7 @@
         let snapshot_id = (snapshot.index, snapshot.term);
         let file = snapshot_name(snapshot_id);
         self.write_atomically(&file, &frame::encode(&file, snapshot.as_ref())?)?;
-        let mut recovered = self.read_back()?;
+        let mut recovered = self.replay_file()?;
         recovered.apply(Record::Snapshot(snapshot));
         let records = records_of(recovered);
         let file = log_name(self.generation + 1);
@@ -181,12 +183,12 @@
         self.file = file;
         self.generation += 1;
         self.length = bytes.len() as u64;
-        self.synced = self.length;
+        self.synced_length = self.length;
         self.next_frame = 1;
         self.remove_obsolete(Some(snapshot_id))
     }
 
-    fn read_back(&self) -> Result<Recovered, Error> {
+    fn replay_file(&self) -> Result<Recovered, Error> {
         if self.next_frame == 0 {
             return Ok(Recovered::default());
         }
--- a/tests/suite/storage.rs
+++ b/tests/suite/storage.rs
@@ -169,7 +169,7 @@
 }
 
 // A synced bit flips. Opening must fail with instructions instead of recovering fewer
-// records, unless the flip is in the seal and changes nothing.
+// records, unless the flip is in the sync marker and changes nothing.
 #[test]
 fn damage_refused() {
     let build = || {
