--- a/src/config.rs
+++ b/src/config.rs
@@ -17,13 +17,13 @@
 mod output;
 mod patch;
 mod peer;
+mod peer_answer;
 mod replicator;
 mod reply;
 mod settings;
 mod standing;
 mod submissions;
 mod version;
-mod witness;
 
 pub use command::Command;
 pub use error::Error;
--- a/src/config/replicator.rs
+++ b/src/config/replicator.rs
@@ -23,7 +23,7 @@
 use super::Standing;
 use super::Version;
 use super::history::History;
-use super::witness::Witnesses;
+use super::peer_answer::PeerAnswers;
 
 /// An ongoing push of the version held.
 #[derive(Clone, Debug)]
@@ -67,7 +67,7 @@
     request: Option<Request>,
     needs_document: bool,
     next_document_at: Moment,
-    witnesses: Witnesses,
+    peer_answers: PeerAnswers,
 }
 
 impl Replicator {
@@ -101,7 +101,7 @@
             request: None,
             needs_document: false,
             next_document_at: now,
-            witnesses: Witnesses::default(),
+            peer_answers: PeerAnswers::default(),
         }
     }
 
--- a/src/config/replicator/start.rs
+++ b/src/config/replicator/start.rs
@@ -7,7 +7,7 @@
 use crate::config::Message;
 use crate::config::Output;
 use crate::config::Standing;
-use crate::config::witness::Witness;
+use crate::config::peer_answer::PeerAnswer;
 use crate::id::NodeId;
 
 use super::Replicator;
@@ -49,7 +49,7 @@
         }
         let domain = self.peers.get(&from).map(|peer| peer.domain.clone()).unwrap_or_default();
         let Answer { head, is_leader, standing } = answer;
-        self.witnesses.insert(from.clone(), Witness { domain, head, is_leader, standing });
+        self.peer_answers.insert(from.clone(), PeerAnswer { domain, head, is_leader, standing });
         if let Some(head) = head {
             self.receive_offer(now, from, head, outputs);
         }
@@ -99,16 +99,16 @@
         if self.is_leader {
             return true;
         }
-        if self.witnesses.is_empty() || self.witnesses.highest() > self.head {
+        if self.peer_answers.is_empty() || self.peer_answers.highest() > self.head {
             return false;
         }
-        if self.witnesses.has_leader() {
+        if self.peer_answers.has_leader() {
             return true;
         }
         let waited = now.saturating_sub(self.started_at);
         let has_version = self.head.is_some();
-        let by_peers =
-            waited >= self.settings.control_wait && self.witnesses.are_sufficient(&self.settings);
+        let by_peers = waited >= self.settings.control_wait
+            && self.peer_answers.are_sufficient(&self.settings);
         has_version && (by_peers || waited >= self.settings.cold_start_wait)
     }
 }
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -9,7 +9,7 @@
     /// Time without any message after which a process considers itself isolated. The default
     /// is twelve digest periods, so that 5% message loss is not mistaken for a partition.
     pub isolation_timeout: Duration,
-    /// Time for which a starting process requires answers from witnesses that serve callers.
+    /// Time for which a starting process requires answers from peers that serve callers.
     /// After it one answer is enough, because no process serves when the whole fleet starts.
     pub cold_start_wait: Duration,
     /// Time for which a starting process waits for control before it accepts the answers of
@@ -32,9 +32,9 @@
     pub request_timeout: Duration,
     /// Number of serving peers that must have answered before a process starts without
     /// control.
-    pub witnesses: usize,
+    pub min_serving_answers: usize,
     /// Number of failure domains that those peers must be in.
-    pub witness_domains: usize,
+    pub min_serving_domains: usize,
 }
 
 impl Default for Settings {
@@ -49,8 +49,8 @@
             push_interval: Duration::from_millis(200),
             push_batch: 3,
             request_timeout: Duration::from_secs(1),
-            witnesses: 3,
-            witness_domains: 2,
+            min_serving_answers: 3,
+            min_serving_domains: 2,
         }
     }
 }
