--- a/src/node/controller.rs
+++ b/src/node/controller.rs
@@ -546,15 +546,15 @@
     }
 
     fn install(&mut self, snapshot: &quorum::Snapshot, outputs: &mut Vec<Output>) {
-        let Some(image) = Snapshot::decode(&snapshot.bytes) else {
+        let Some(state) = Snapshot::decode(&snapshot.bytes) else {
             tracing::error!(target: "hemlockfield::quorum", "snapshot can't be decoded");
             return;
         };
-        self.submissions = image.book;
-        self.catalog = image.catalog;
+        self.submissions = state.book;
+        self.catalog = state.catalog;
         self.configuration_index = snapshot.index;
-        self.claim_ledger = image.ledger;
-        self.quota_ledger = image.quotas;
+        self.claim_ledger = state.ledger;
+        self.quota_ledger = state.quotas;
         self.applied = snapshot.index;
         self.snapshot_index = snapshot.index;
         outputs.extend(self.submissions.in_force().cloned().map(Output::Committed));
@@ -568,13 +568,13 @@
             return;
         }
         self.snapshot_index = self.applied;
-        let image = Snapshot::encode(
+        let encoded = Snapshot::encode(
             &self.submissions,
             &self.claim_ledger,
             &self.catalog,
             &self.quota_ledger,
         );
-        let Some(bytes) = image else { return };
+        let Some(bytes) = encoded else { return };
         let index = self.applied;
         self.step_replica(now, quorum::Input::Snapshot { index, bytes }, outputs);
     }
--- a/src/node/operations.rs
+++ b/src/node/operations.rs
@@ -40,11 +40,11 @@
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
 /// Serves the operations that arrive at `listener`.
-pub(super) async fn serve(listener: TcpListener, inbox: InputSender, proxy: Arc<Proxy>) {
+pub(super) async fn serve(listener: TcpListener, control: InputSender, proxy: Arc<Proxy>) {
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
-                runtime::spawn(serve_connection(stream, peer, inbox.clone(), Arc::clone(&proxy)));
+                runtime::spawn(serve_connection(stream, peer, control.clone(), Arc::clone(&proxy)));
             }
             Err(error) => {
                 tracing::warn!(target: "hemlockfield::node", "can't accept: {error}");
@@ -57,12 +57,12 @@
 async fn serve_connection(
     stream: TcpStream,
     peer: SocketAddr,
-    inbox: InputSender,
+    control: InputSender,
     proxy: Arc<Proxy>,
 ) {
     let mut reader = RequestReader::new(stream, peer);
     while let Some((request, mut writer)) = reader.next(IDLE_TIMEOUT).await {
-        serve_operation(request, &mut writer, &inbox, &proxy).await;
+        serve_operation(request, &mut writer, &control, &proxy).await;
         if writer.is_closing() {
             reader.linger().await;
             return;
@@ -73,7 +73,7 @@
 async fn serve_operation(
     mut request: Request,
     writer: &mut ResponseWriter,
-    inbox: &InputSender,
+    control: &InputSender,
     proxy: &Proxy,
 ) {
     let body = match Payload::take(&mut request, BODY_BYTES_MAX, BODY_BYTES_MAX, IDLE_TIMEOUT).await
@@ -87,7 +87,7 @@
         Err(failure) => return refuse(400, &failure.to_string(), writer, proxy).await,
     };
     let response = match proxy.boundary.parse_operation(&request, &body) {
-        Ok(operation) => proxy.boundary.respond(execute(operation, inbox, proxy).await),
+        Ok(operation) => proxy.boundary.respond(execute(operation, control, proxy).await),
         Err(refusal) => proxy.boundary.refuse(&refusal),
     };
     if let Err(error) = writer.send(response).await {
@@ -103,23 +103,23 @@
     }
 }
 
-async fn execute(operation: Operation, inbox: &InputSender, proxy: &Proxy) -> Reply {
+async fn execute(operation: Operation, control: &InputSender, proxy: &Proxy) -> Reply {
     match operation {
-        Operation::Announce(change) => announce(Action::Announce(*change), inbox).await,
-        Operation::Leave(upstream) => announce(Action::Leave(upstream), inbox).await,
+        Operation::Announce(change) => announce(Action::Announce(*change), control).await,
+        Operation::Leave(upstream) => announce(Action::Leave(upstream), control).await,
         Operation::ListEntries(domain) => list(&domain, proxy),
-        Operation::ReadConfiguration => read(inbox).await,
+        Operation::ReadConfiguration => read(control).await,
         Operation::CheckReadiness => {
             let view = proxy.view.load();
             Reply::Readiness(view.serves() && !view.is_leaving)
         }
-        Operation::SubmitConfiguration(version) => submit(version, inbox).await,
+        Operation::SubmitConfiguration(version) => submit(version, control).await,
     }
 }
 
-async fn announce(action: Action, inbox: &InputSender) -> Reply {
+async fn announce(action: Action, control: &InputSender) -> Reply {
     let (sender, receiver) = bounded(1);
-    match ask(inbox, Input::Catalog(action, sender), &receiver).await {
+    match ask(control, Input::Catalog(action, sender), &receiver).await {
         Some(Ok(())) => Reply::Announced(None),
         Some(Err(reason)) => Reply::Unavailable(reason.into()),
         None => Reply::Unavailable("control does not answer".into()),
@@ -135,9 +135,9 @@
     Reply::Entries(entries, proxy.settings.directory.lifetime)
 }
 
-async fn read(inbox: &InputSender) -> Reply {
+async fn read(control: &InputSender) -> Reply {
     let (sender, receiver) = bounded(1);
-    match ask(inbox, Input::ReadConfiguration(sender), &receiver).await {
+    match ask(control, Input::ReadConfiguration(sender), &receiver).await {
         Some(Some(version)) => Reply::Configuration(version),
         Some(None) | None => {
             Reply::Unavailable("which configuration is the newest is not sure".into())
@@ -145,9 +145,9 @@
     }
 }
 
-async fn submit(version: crate::config::Version, inbox: &InputSender) -> Reply {
+async fn submit(version: crate::config::Version, control: &InputSender) -> Reply {
     let (sender, receiver) = bounded(1);
-    match ask(inbox, Input::Submit(version, sender), &receiver).await {
+    match ask(control, Input::Submit(version, sender), &receiver).await {
         // A version that is not higher than the one in force is superseded, which is no error.
         Some(
             Verdict::Accepted(_)
@@ -159,8 +159,8 @@
     }
 }
 
-async fn ask<T>(inbox: &InputSender, input: Input, receiver: &Receiver<T>) -> Option<T> {
-    if !inbox.send(input).await {
+async fn ask<T>(control: &InputSender, input: Input, receiver: &Receiver<T>) -> Option<T> {
+    if !control.send(input).await {
         return None;
     }
     timeout(ANSWER_TIMEOUT, receiver.recv()).await.ok()?.ok()
--- a/src/node/thread.rs
+++ b/src/node/thread.rs
@@ -86,7 +86,7 @@
     grants: BTreeMap<u64, Sender<quota::Grant>>,
     next: u64,
     reads: BTreeMap<u64, Sender<Option<Option<Version>>>>,
-    verdicts: BTreeMap<u64, Sender<Verdict>>,
+    submissions: BTreeMap<u64, Sender<Verdict>>,
 }
 
 impl Thread {
@@ -238,7 +238,7 @@
             Input::Stop => core::Input::Stop,
             Input::Submit(version, sender) => {
                 let ticket = self.tickets.next();
-                self.tickets.verdicts.insert(ticket, sender);
+                self.tickets.submissions.insert(ticket, sender);
                 core::Input::Submit(ticket, version)
             }
         };
@@ -289,7 +289,7 @@
                 }
             }
             core::Output::Verdict(ticket, verdict) => {
-                answer(self.tickets.verdicts.remove(&ticket), verdict);
+                answer(self.tickets.submissions.remove(&ticket), verdict);
             }
         }
     }
--- a/tests/suite/process/record.rs
+++ b/tests/suite/process/record.rs
@@ -14,7 +14,8 @@
 fn record_replayed() {
     // An operator turns recording on, callers are served, and the file is replayed
     // elsewhere. The replayed gate runs every request that the entry ran and ended, and
-    // judge and policy are in the file too. The file of a running entry may end in half a line.
+    // health monitor and retry policy are in the file too. The file of a running entry may end
+    // in half a line.
     let mut fleet = Fleet::start(3, 1);
     fleet.submit(1, RULES);
     fleet.add_upstream("hull-1", "hull-register", &["--work", "5"]);
--- a/tests/suite/quorum/checker.rs
+++ b/tests/suite/quorum/checker.rs
@@ -12,7 +12,7 @@
 use hemlockfield::quorum::Payload;
 use hemlockfield::quorum::Recovered;
 
-pub(super) type Verdict = Result<(), String>;
+pub(super) type CheckResult = Result<(), String>;
 type MemberId = (NodeId, DiskId);
 
 /// Outputs observed so far. Each check returns an error that describes the violation.
@@ -41,13 +41,13 @@
     }
 
     /// Checks that a read sees everything accepted before it was issued.
-    pub(super) fn readable(&self, ticket: u64, applied: Index) -> Verdict {
+    pub(super) fn readable(&self, ticket: u64, applied: Index) -> CheckResult {
         let wanted = self.reads.get(&ticket).copied().unwrap_or(0);
         ensure(applied >= wanted, || format!("read {ticket} sees {applied}, not {wanted}"))
     }
 
     /// Checks that an accepted command is the proposed one and is committed at its index.
-    pub(super) fn accept(&mut self, ticket: u64, index: Index) -> Verdict {
+    pub(super) fn accept(&mut self, ticket: u64, index: Index) -> CheckResult {
         let Some(command) = self.proposed.get(&ticket) else { return Ok(()) };
         let chosen = self.chosen.get(&index).map(|(_, payload)| payload);
         let same = chosen == Some(&Payload::Command(command.clone()));
@@ -64,7 +64,7 @@
         index: Index,
         term: Option<Term>,
         payload: &Payload,
-    ) -> Verdict {
+    ) -> CheckResult {
         let first = (term.unwrap_or(0), payload.clone());
         let (known, chosen) = self.chosen.entry(index).or_insert(first);
         let same = chosen == payload && term.is_none_or(|term| term == *known);
@@ -73,7 +73,7 @@
 
     /// Checks log matching: entries with the same index and term have the same payload
     /// and predecessor in every log.
-    pub(super) fn append(&mut self, entry: &Entry, prev_term: Term) -> Verdict {
+    pub(super) fn append(&mut self, entry: &Entry, prev_term: Term) -> CheckResult {
         let key = (entry.index, entry.term);
         let value = (entry.payload.clone(), prev_term);
         let known = self.logged.entry(key).or_insert_with(|| value.clone());
@@ -94,7 +94,7 @@
         member_id: &MemberId,
         term: Term,
         log: &Recovered,
-    ) -> Verdict {
+    ) -> CheckResult {
         let known = self.leaders.entry(term).or_insert_with(|| member_id.clone());
         ensure(known == member_id, || format!("{known:?} and {member_id:?} lead in term {term}"))?;
         let base = log.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
@@ -115,7 +115,7 @@
         to: &NodeId,
         message: &Message,
         disk: &Recovered,
-    ) -> Verdict {
+    ) -> CheckResult {
         match message.body {
             Body::Voted { granted: true } => {
                 let key = ((from.clone(), message.disk), message.term);
@@ -131,6 +131,6 @@
 }
 
 /// Returns `message` as an error unless `condition` holds.
-pub(super) fn ensure(condition: bool, message: impl FnOnce() -> String) -> Verdict {
+pub(super) fn ensure(condition: bool, message: impl FnOnce() -> String) -> CheckResult {
     if condition { Ok(()) } else { Err(message()) }
 }
--- a/tests/suite/quorum/cluster.rs
+++ b/tests/suite/quorum/cluster.rs
@@ -20,8 +20,8 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
+use super::checker::CheckResult;
 use super::checker::Checker;
-use super::checker::Verdict;
 use super::checker::ensure;
 use super::mutant::Mutant;
 use super::vm::Vm;
@@ -64,7 +64,7 @@
 
     /// Advances virtual time by [`TICK`] and handles the messages and syncs that are due, in
     /// order.
-    pub(super) fn step(&mut self) -> Verdict {
+    pub(super) fn step(&mut self) -> CheckResult {
         let end = self.now + TICK;
         while let Some(at) = self.next_event().filter(|at| *at <= end) {
             self.now = self.now.max(at);
@@ -81,7 +81,7 @@
         Ok(())
     }
 
-    pub(super) fn run(&mut self, time: Duration) -> Verdict {
+    pub(super) fn run(&mut self, time: Duration) -> CheckResult {
         let end = self.now + time;
         while self.now < end {
             self.step()?;
@@ -95,7 +95,7 @@
         what: &str,
         limit: Duration,
         done: impl Fn(&Self) -> bool,
-    ) -> Verdict {
+    ) -> CheckResult {
         let end = self.now + limit;
         while !done(self) {
             ensure(self.now < end, || format!("{TIMEOUT_PREFIX}: {what}"))?;
@@ -110,7 +110,7 @@
         syncs.chain(self.net.next_at()).min()
     }
 
-    fn deliver(&mut self) -> Verdict {
+    fn deliver(&mut self) -> CheckResult {
         while let Some(delivery) = self.net.receive(self.now) {
             let message = postcard::from_bytes(&delivery.bytes).expect("decodes");
             let input = Input::Receive { from: delivery.from, message };
@@ -119,7 +119,7 @@
         Ok(())
     }
 
-    fn sync_due(&mut self) -> Verdict {
+    fn sync_due(&mut self) -> CheckResult {
         for name in self.names() {
             let now = self.now;
             let Some(vm) = self.vms.get_mut(&name).filter(|vm| vm.stalled_until <= now) else {
@@ -148,7 +148,7 @@
         }
     }
 
-    pub(super) fn propose(&mut self, name: &NodeId) -> Verdict {
+    pub(super) fn propose(&mut self, name: &NodeId) -> CheckResult {
         self.tickets += 1;
         let ticket = self.tickets;
         let command = format!("command {ticket}").into_bytes();
@@ -156,7 +156,7 @@
         self.input(name, Input::Propose { ticket, command })
     }
 
-    pub(super) fn read(&mut self, name: &NodeId) -> Verdict {
+    pub(super) fn read(&mut self, name: &NodeId) -> CheckResult {
         self.tickets += 1;
         self.checker.read(self.tickets);
         self.input(name, Input::Read { ticket: self.tickets })
@@ -164,7 +164,7 @@
 
     /// Resumes a process whose stall is over. Its first input is a read that a caller sent
     /// during the stall.
-    fn resume(&mut self, name: &NodeId) -> Verdict {
+    fn resume(&mut self, name: &NodeId) -> CheckResult {
         let now = self.now;
         let Some(vm) = self.vms.get_mut(name) else { return Ok(()) };
         let is_over = vm.stalled_until > Duration::ZERO && vm.stalled_until <= now;
@@ -175,7 +175,7 @@
         self.read(name)
     }
 
-    pub(super) fn input(&mut self, name: &NodeId, input: Input) -> Verdict {
+    pub(super) fn input(&mut self, name: &NodeId, input: Input) -> CheckResult {
         self.resume(name)?;
         let now = self.now;
         let running = self.vms.get_mut(name).filter(|vm| vm.stalled_until <= now);
@@ -186,7 +186,7 @@
         outputs.into_iter().try_for_each(|output| self.output(name, output))
     }
 
-    fn output(&mut self, name: &NodeId, output: Output) -> Verdict {
+    fn output(&mut self, name: &NodeId, output: Output) -> CheckResult {
         let vm = self.vms.get_mut(name).expect("the VM exists");
         let Some(memory) = vm.memory.as_mut() else { return Ok(()) };
         match output {
@@ -224,7 +224,7 @@
         }
     }
 
-    fn apply(&mut self, name: &NodeId, index: u64, term: u64, command: Vec<u8>) -> Verdict {
+    fn apply(&mut self, name: &NodeId, index: u64, term: u64, command: Vec<u8>) -> CheckResult {
         self.checker.choose(index, Some(term), &Payload::Command(command.clone()))?;
         let memory =
             self.vms.get_mut(name).and_then(|vm| vm.memory.as_mut()).expect("the VM is up");
@@ -237,7 +237,7 @@
         self.input(name, Input::Snapshot { index, bytes })
     }
 
-    fn persist(&mut self, name: &NodeId, number: u64, mut records: Vec<Record>) -> Verdict {
+    fn persist(&mut self, name: &NodeId, number: u64, mut records: Vec<Record>) -> CheckResult {
         let wait = Duration::from_micros(self.random.random_range(0..20_000));
         let at = self.now + wait;
         let memory =
--- a/tests/suite/quorum/model.rs
+++ b/tests/suite/quorum/model.rs
@@ -8,7 +8,7 @@
 use rand::seq::IndexedRandom;
 use rstest::rstest;
 
-use super::checker::Verdict;
+use super::checker::CheckResult;
 use super::checker::ensure;
 use super::cluster::Cluster;
 use super::cluster::TIMEOUT_PREFIX;
@@ -22,11 +22,11 @@
 const RESEND_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Runs a cluster with random faults, then without; in the end all replicas must be healthy.
-pub(super) fn chaos(seed: u64, size: usize, mutant: Option<Mutant>) -> Verdict {
+pub(super) fn chaos(seed: u64, size: usize, mutant: Option<Mutant>) -> CheckResult {
     chaos_in(&mut Cluster::new(seed, size, mutant))
 }
 
-fn chaos_in(cluster: &mut Cluster) -> Verdict {
+fn chaos_in(cluster: &mut Cluster) -> CheckResult {
     while cluster.now < FAULT_PERIOD {
         inject_fault(cluster);
         random_operation(cluster)?;
@@ -57,7 +57,7 @@
     cluster.names().iter().try_for_each(|name| cluster.check_accepted(name))
 }
 
-fn random_operation(cluster: &mut Cluster) -> Verdict {
+fn random_operation(cluster: &mut Cluster) -> CheckResult {
     let names = cluster.names();
     let any = names.choose(&mut cluster.random).expect("not empty").clone();
     let name = cluster.leader().filter(|_| cluster.random.random_bool(0.8)).unwrap_or(any.clone());
@@ -129,8 +129,8 @@
 #[case::seven(7, 40)]
 fn chaos_safe_and_live(#[case] size: usize, #[case] seeds: u64) {
     for seed in 0..seeds {
-        let verdict = chaos(seed, size, None);
-        assert_eq!(verdict, Ok(()), "seed {seed}, {size} replicas");
+        let result = chaos(seed, size, None);
+        assert_eq!(result, Ok(()), "seed {seed}, {size} replicas");
     }
 }
 
@@ -143,7 +143,7 @@
     let (first, end): (u64, u64) = (first.parse().expect("first"), end.parse().expect("end"));
     for seed in first..end {
         let size = [3, 5, 7][usize::try_from(seed % 3).expect("fits usize")];
-        let verdict = chaos(seed, size, None);
-        assert_eq!(verdict, Ok(()), "seed {seed}, {size} replicas");
+        let result = chaos(seed, size, None);
+        assert_eq!(result, Ok(()), "seed {seed}, {size} replicas");
     }
 }
--- a/tests/suite/quorum/repair.rs
+++ b/tests/suite/quorum/repair.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 use rstest::rstest;
 
-use super::checker::Verdict;
+use super::checker::CheckResult;
 use super::checker::ensure;
 use super::cluster::Cluster;
 
@@ -45,7 +45,7 @@
 }
 
 /// Loses a disk, repairs the cluster, and loses `victim` at the moment of the signal.
-fn lose_twice(seed: u64, size: usize, victim: usize, signal: Signal) -> Verdict {
+fn lose_twice(seed: u64, size: usize, victim: usize, signal: Signal) -> CheckResult {
     let mut cluster = Cluster::new(seed, size, None);
     cluster.run_until("a healthy cluster", TIMEOUT, Cluster::tolerates_one_more_loss)?;
     for _ in 0..40 {
@@ -90,8 +90,8 @@
 fn tolerates_one_more_loss_after_repair(#[case] size: usize) {
     for seed in 0..30 {
         for victim in 0..size {
-            let verdict = lose_twice(seed, size, victim, Signal::ToleratesLoss);
-            assert_eq!(verdict, Ok(()), "seed {seed}, victim {victim}");
+            let result = lose_twice(seed, size, victim, Signal::ToleratesLoss);
+            assert_eq!(result, Ok(()), "seed {seed}, victim {victim}");
         }
     }
 }
@@ -104,9 +104,9 @@
         let others =
             (0..3).filter(|victim| *victim != usize::try_from(seed % 3).expect("fits usize"));
         for victim in others {
-            let verdict = lose_twice(seed, 3, victim, Signal::LearnerAdded);
+            let result = lose_twice(seed, 3, victim, Signal::LearnerAdded);
             let stopped = Err("nothing is accepted any more".to_owned());
-            assert_eq!(verdict, stopped, "seed {seed}, victim {victim}");
+            assert_eq!(result, stopped, "seed {seed}, victim {victim}");
         }
     }
 }
--- a/tests/suite/quorum/schedule.rs
+++ b/tests/suite/quorum/schedule.rs
@@ -16,7 +16,7 @@
 use hemlockfield::quorum::Role;
 use rstest::rstest;
 
-use super::checker::Verdict;
+use super::checker::CheckResult;
 use super::checker::ensure;
 use super::cluster::Cluster;
 use super::cluster::TIMEOUT_PREFIX;
@@ -56,7 +56,7 @@
 }
 
 /// Schedule of figure 8 of the Raft paper.
-fn old_term(seed: u64, mutant: Option<Mutant>) -> Verdict {
+fn old_term(seed: u64, mutant: Option<Mutant>) -> CheckResult {
     let mut cluster = Cluster::new(seed, 5, mutant);
     cluster.net.conditions =
         Conditions { delay_min: DELAY, delay_max: DELAY, ..Conditions::reliable() };
@@ -111,11 +111,11 @@
 // of term 2. Only entries of the leader's own term may be committed by counting copies.
 #[test]
 fn commit_old_term_waits() {
-    let verdicts: Vec<_> = (0..SEEDS).map(|seed| old_term(seed, None)).collect();
-    assert!(verdicts.iter().filter(|verdict| verdict.is_ok()).count() >= 2, "{verdicts:?}");
+    let results: Vec<_> = (0..SEEDS).map(|seed| old_term(seed, None)).collect();
+    assert!(results.iter().filter(|result| result.is_ok()).count() >= 2, "{results:?}");
     let is_unsafe =
-        |verdict: &Verdict| verdict.as_ref().is_err_and(|it| !it.starts_with(TIMEOUT_PREFIX));
-    assert!(!verdicts.iter().any(is_unsafe), "{verdicts:?}");
+        |result: &CheckResult| result.as_ref().is_err_and(|it| !it.starts_with(TIMEOUT_PREFIX));
+    assert!(!results.iter().any(is_unsafe), "{results:?}");
     let mutant = Mutant::Replica(Fault::OldTermCommit);
     let mut mutants = (0..SEEDS).filter_map(|seed| old_term(seed, Some(mutant)).err());
     assert!(mutants.any(|it| it.contains("leads term")), "not found");
@@ -289,8 +289,8 @@
             vm.crash(false);
             vm.restart_at = now;
         }
-        let verdict =
+        let result =
             cluster.run_until("a leader", ELECTION_TIMEOUT, |cluster| cluster.leader().is_some());
-        assert_eq!(verdict, Ok(()), "seed {seed}");
+        assert_eq!(result, Ok(()), "seed {seed}");
     }
 }
--- a/tests/suite/quorum/view.rs
+++ b/tests/suite/quorum/view.rs
@@ -7,7 +7,7 @@
 use hemlockfield::quorum::Role;
 use hemlockfield::quorum::Status;
 
-use super::checker::Verdict;
+use super::checker::CheckResult;
 use super::checker::ensure;
 use super::cluster::Cluster;
 use super::vm::Memory;
@@ -61,7 +61,7 @@
     }
 
     /// Checks that a majority of the voters has synced what `leader` accepted at `index`.
-    pub(super) fn check_synced(&self, leader: &NodeId, index: Index) -> Verdict {
+    pub(super) fn check_synced(&self, leader: &NodeId, index: Index) -> CheckResult {
         let voters: Vec<_> = self.status(leader).members;
         let voters: Vec<_> = voters.iter().filter(|member| member.voter).collect();
         let holders = voters.iter().filter(|member| {
@@ -75,7 +75,7 @@
     }
 
     /// Checks that `name` has applied every accepted command in order.
-    pub(super) fn check_accepted(&self, name: &NodeId) -> Verdict {
+    pub(super) fn check_accepted(&self, name: &NodeId) -> CheckResult {
         let Some(memory) = self.memory(name) else { return Ok(()) };
         let mut own = memory.commands.iter();
         let missing = self.checker.accepted.values().find(|command| !own.any(|it| it == *command));
@@ -83,7 +83,7 @@
     }
 
     /// Makes the next membership change for VMs whose disk was replaced.
-    pub(super) fn repair(&mut self) -> Verdict {
+    pub(super) fn repair(&mut self) -> CheckResult {
         let Some(leader) = self.leader() else { return Ok(()) };
         let Some(memory) = self.memory(&leader) else { return Ok(()) };
         let status = memory.replica.status(self.now);
--- a/tests/suite/replay.rs
+++ b/tests/suite/replay.rs
@@ -3,8 +3,8 @@
 
 mod extreme;
 mod gate;
-mod judge;
 mod make;
+mod monitor;
 mod policy;
 mod record;
 
--- a/tests/suite/replay/extreme.rs
+++ b/tests/suite/replay/extreme.rs
@@ -31,7 +31,7 @@
 #[rstest]
 #[case::gate(&[GATE, CAPACITY, ARRIVE, ARRIVE_EXPIRED, FINISH])]
 #[case::endless(&[GATE_MAX_WAIT, ARRIVE, ARRIVE_EXPIRED, FINISH])]
-#[case::judge(&[MONITOR, MEMBER_1, MEMBER_2, OUTCOME_SLOW, PENDING, DIGEST, TICKS, GONE])]
+#[case::monitor(&[MONITOR, MEMBER_1, MEMBER_2, OUTCOME_SLOW, PENDING, DIGEST, TICKS, GONE])]
 #[case::policy(&[POLICY, NOTE, NOTE, NOTE, DECIDE])]
 fn run_extreme(#[case] lines: &[&str]) {
     if let Ok(trace) = parse(lines) {
--- a/tests/suite/replay/make.rs
+++ b/tests/suite/replay/make.rs
@@ -5,7 +5,7 @@
 
 use super::folder;
 use super::gate;
-use super::judge;
+use super::monitor;
 use super::policy;
 use super::to_jsonl;
 
@@ -13,7 +13,7 @@
 #[ignore = "writes tests/traces"]
 fn make_traces() {
     std::fs::create_dir_all(folder()).expect("folder");
-    let traces = gate::traces().into_iter().chain(judge::traces()).chain(policy::traces());
+    let traces = gate::traces().into_iter().chain(monitor::traces()).chain(policy::traces());
     for (name, lines) in traces {
         let path = folder().join(name).with_extension("jsonl");
         std::fs::write(path, to_jsonl(&lines)).expect("trace");
--- a/tests/suite/replay/record.rs
+++ b/tests/suite/replay/record.rs
@@ -22,7 +22,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::gate::RecordedGate;
-use super::judge;
+use super::monitor;
 use super::policy::attempt;
 
 const LIMIT_BYTES: u64 = 1 << 26;
@@ -74,7 +74,7 @@
         setup,
     });
     let mut outputs = Vec::new();
-    for (at, input) in judge::ejection_inputs() {
+    for (at, input) in monitor::ejection_inputs() {
         let at = at + Duration::from_nanos(7);
         for input in [input, health::Input::Tick] {
             machine_recorder.record_input(at, || Input::Judge(input.clone()));
