--- a/src/node/core/configuration.rs
+++ b/src/node/core/configuration.rs
@@ -39,7 +39,7 @@
                 controller::Output::SnapshotInstalled | controller::Output::UpstreamChanged(_) => {
                     tracing::warn!(
                         target: "hemlockfield::registry",
-                        "ignored an upstream in the log; upstreams announce to entries here"
+                        "ignored any upstreams in log or snapshot; they announce to entries here"
                     );
                 }
                 controller::Output::Leadership(leads) => {
